--- a/control/control.go
+++ b/control/control.go
@@ -1,142 +1,143 @@
-// Package control is the interface between the assigner and whatever carries its events and orders: the events
-// that come in, the orders that go out, and the facts an instance is given when it starts. It holds no decision.
+// Package control is the interface between the decision module (package policy) and the programs that host it: the
+// configuration that an instance gets at its start, the events that it receives and the orders that it returns. It
+// makes no decision.
 package control
 
 import "time"
 
-// Ids are opaque; the carrier hands back exactly what it was given.
+// Ids are opaque. A host hands back exactly the ids that it was given.
 type (
-	EndpointID uint32
-	ProxyID    uint16
-	TableID    uint16
+	EndpointID uint32 // id of an endpoint, which is one server
+	ProxyID    uint16 // id of a proxy
+	TableID    uint16 // id of a table, or of a slice where tables are slices of the keys
 )
 
-// Everywhere, as the table of a SetLevel, means every joined proxy.
+// Everywhere, as the table of a SetLevel, means all joined proxies.
 const Everywhere TableID = 65535
 
-// LongAgo is the start of an endpoint whose last start nobody remembers.
+// LongAgo is the start time of an endpoint whose start is unknown or long past.
 const LongAgo = time.Duration(-1 << 62)
 
-// Repeat tells who throws away the repeats of an op.
+// Repeat tells what happens if an op runs more than once.
 type Repeat int
 
 const (
-	Retryable    Repeat = iota // may run again
-	Deduplicated               // endpoints of one group drop a repeat for a while
-	OnceOnly                   // must never run twice
+	Retryable    Repeat = iota // the op may run more than once
+	Deduplicated               // endpoints of one group discard repeats within the deduplication window
+	OnceOnly                   // the op must never run twice
 )
 
-// Group is the set of endpoints that drop each other's repeats.
+// Group is the set of endpoints that recognize each other's repeats of an op.
 type Group int
 
 const (
-	GroupAll Group = iota
-	GroupZone
-	GroupPack
+	GroupAll  Group = iota // all endpoints
+	GroupZone              // the endpoints of one zone
+	GroupPack              // the endpoints of one pack within a zone
 )
 
-// OpType is what is known of one type of op.
+// OpType is the configuration of one type of op.
 type OpType struct {
 	TargetLatency time.Duration
 	OpTimeout     time.Duration
-	Revenue       float64
-	LateShare     float64 // of the revenue, when acked late
+	Revenue       float64 // of one op that is acked within its target latency
+	LateShare     float64 // share of the revenue that an op earns if it is acked late
 	Repeat        Repeat
 	Group         Group         // for Deduplicated
 	DedupWindow   time.Duration // for Deduplicated
-	OwnZoneOnly   bool
-	Writes        bool
+	OwnZoneOnly   bool          // the op may only run in the zone of its proxy
+	Writes        bool          // the op changes data
 }
 
-// LevelUnit is what the number of a SetLevel means.
+// LevelUnit is the unit of the level of a SetLevel.
 type LevelUnit int
 
 const (
-	LevelOff LevelUnit = iota // levels are ignored, ways of trying again are not
-	LevelShare
-	LevelRate
+	LevelOff   LevelUnit = iota // levels are ignored, retry policies are not
+	LevelShare                  // share of the ops, from 0 to 1
+	LevelRate                   // ops per second
 )
 
-// RetryPolicy is when a proxy tries an op at another endpoint.
+// RetryPolicy tells when a proxy retries an op at another endpoint.
 type RetryPolicy int
 
 const (
 	RetryNever   RetryPolicy = iota
-	RetryIfUnrun             // once, after proof that the first try never ran
-	RetryOnce                // once after any failure
-	RetryTwice               // twice after any failure
+	RetryIfUnrun             // at most once, and only after proof that the first try never ran
+	RetryOnce                // at most once, after any failure
+	RetryTwice               // at most twice, after any failure
 )
 
-// Measure is one value of a load report.
+// Measure is the kind of one value of a load report.
 type Measure int
 
 const (
-	OtherMeasure Measure = iota
-	Inflight             // ops in hand
-	Queue                // ops waiting
-	Util                 // busy share of the cores
-	Latency              // recent service time, in milliseconds
-	Rate                 // ops acked a second
-	ErrorRate            // errors a second
+	OtherMeasure Measure = iota // a value that has no meaning here
+	Inflight                    // ops in progress
+	Queue                       // ops waiting
+	Util                        // share of the cores that is busy, from 0 to 1
+	Latency                     // recent service time in milliseconds
+	Rate                        // ops acked per second
+	ErrorRate                   // errors per second
 )
 
-// Config are what an instance is told when it starts.
+// Config is the configuration that an instance gets at its start.
 type Config struct {
-	Instance, Instances int
-	Zone, Zones         int
+	Instance, Instances int // index of this instance; number of instances
+	Zone, Zones         int // index of the instance's zone; number of zones
 	OpTypes             []OpType
 
-	ListNeedsWatch bool // the list comes only to those who watch it
-	Tick           time.Duration
+	ListNeedsWatch bool          // the endpoint list is only sent after WatchList
+	Tick           time.Duration // period for which the host gathers events before it calls Decide
 
-	Slices int // 0: proxies are bound to tables; else a table is a slice of the keys
+	Slices int // 0: proxies are bound to tables; else the number of slices of the keys, each of which is a table
 
 	Levels             LevelUnit
-	AvoidAfterFailures int
-	StandingTableLines int // lines of a standing table, at most
-
-	Proxies              int // of all instances
-	MessageOverheadLines float64
-	LinesPerSecond       float64
-	MaxUnconfirmedLines  float64
-	MessageCap           int // messages to one proxy within MessageCapOver; 0: no cap
-	MessageCapWindow     time.Duration
-	MaxPushDelay         time.Duration // longest way of a message once it left the channel
-	KeepsWithdrawals     bool          // a proxy keeps what was withdrawn on an earlier stream until it is let in by name
-	ReportInterval       time.Duration
-	ReportLinesPerSecond float64
-
-	Measures         []Measure // what a load report holds, in order
-	CrossZonePrice   float64
-	UseListedWeights bool // the list's weights mean something
-
-	CrossCellOpTypes uint16 // op types, by bit, that every proxy may have to send to any server, whichever cell it is in
-	SinglePackWrites bool   // some ops go to one pack alone, and are refused while none of its servers is in use
-
-	WarmUpTime        time.Duration
-	ColdCapacityShare float64
-	DrainGrace        time.Duration
+	AvoidAfterFailures int // failures in a row after which a proxy avoids an endpoint by itself; 0: never
+	StandingTableLines int // greatest number of lines of a proxy's standing table
+
+	Proxies              int           // number of proxies of all instances
+	MessageOverheadLines float64       // lines that a message costs in addition to its content
+	LinesPerSecond       float64       // lines per second that the channel to the proxies carries
+	MaxUnconfirmedLines  float64       // greatest number of lines sent to proxies that are not yet confirmed
+	MessageCap           int           // greatest number of messages to one proxy within MessageCapWindow; 0: unlimited
+	MessageCapWindow     time.Duration // period that MessageCap applies to
+	MaxPushDelay         time.Duration // longest time that a message takes after it has left the channel
+	KeepsWithdrawals     bool          // a proxy keeps withdrawals of an earlier stream until an order ends them by name
+	ReportInterval       time.Duration // period of the statistics from proxies
+	ReportLinesPerSecond float64       // greatest rate of lines of statistics
+
+	Measures         []Measure // kinds of the values of a load report, in order
+	CrossZonePrice   float64   // cost of sending an op to another zone
+	UseListedWeights bool      // the weights on the endpoint list are meaningful
+
+	CrossCellOpTypes uint16 // bits of the op types that every proxy may have to send to any endpoint, whatever its cell
+	SinglePackWrites bool   // some ops go to one pack alone, and are refused while none of its endpoints is in use
+
+	WarmUpTime        time.Duration // time after its start until an endpoint is surely warm
+	ColdCapacityShare float64       // share of its capacity that an endpoint surely has at its start
+	DrainGrace        time.Duration // time within which proxies must stop sending to a draining endpoint
 }
 
 // Event is something that happened to the instance.
 type Event interface{ event() }
 
-// Mode is how the list shows an endpoint.
+// Mode is the state of an endpoint on the endpoint list.
 type Mode int
 
 const (
-	Gone Mode = iota
-	Draining
-	Ready
+	Gone     Mode = iota // not on the list any more
+	Draining             // finishes its ops and takes no new ones
+	Ready                // takes ops
 )
 
-// Entry is one endpoint on the list.
+// Entry is one endpoint on the endpoint list.
 type Entry struct {
 	Endpoint EndpointID
 	Weight   float64
 	Mode     Mode
-	Started  time.Duration
-	Machine  int
+	Started  time.Duration // time of its last start on the clock of the instance, or LongAgo
+	Machine  int           // index of its machine type
 	Zone     int
 	Pack     int
 }
@@ -145,75 +146,84 @@
 type ListKind int
 
 const (
-	Changes ListKind = iota
-	Full
-	Cached // as last seen, possibly stale
-	Failed // a call failed; the old list still holds
+	Changes ListKind = iota // only the entries that changed
+	Full                    // the whole list
+	Cached                  // the whole list as last seen, possibly stale
+	Failed                  // no entries: the request failed, and the previous list still holds
 )
 
 type (
 	// Start is the first event of an instance.
 	Start struct {
 		Config Config
-		Seed   uint64
+		Seed   uint64 // seed of the pseudo-random numbers of the decisions
 	}
+	// Listing has the endpoint list or changes to it.
 	Listing struct {
 		Kind    ListKind
 		Entries []Entry
 	}
-	// EndpointStats is what the joined proxies of one zone met at an endpoint.
+	// EndpointStats are statistics of the tries that the joined proxies of one zone made at an endpoint.
 	EndpointStats struct {
 		Zone     int
 		Endpoint EndpointID
 		Tries    int
 		Failed   int
-		Latency  time.Duration // of the good ones
-		Window   time.Duration
-		Load     []float64 // as in Facts.Measures; empty if none came
+		Latency  time.Duration // mean latency of the tries that did not fail
+		Window   time.Duration // period that the statistics span
+		Load     []float64     // values in the order of Config.Measures; empty if no load report came
 	}
-	// Arrivals are the ops of a type that came to a proxy.
+	// Arrivals are statistics of the ops of one type that arrived at a proxy.
 	Arrivals struct {
 		Proxy   ProxyID
 		OpType  int
 		Ops     int
 		Unacked int
-		Window  time.Duration
+		Window  time.Duration // period that the statistics span
 	}
-	// SliceLoad are the ops of a type that came for a slice.
+	// SliceLoad are statistics of the ops of one type that arrived for a slice.
 	SliceLoad struct {
 		Slice   TableID
 		OpType  int
 		Ops     int
 		Unacked int
-		Window  time.Duration
+		Window  time.Duration // period that the statistics span
 	}
+	// Joined reports that a proxy opened a stream to the instance.
 	Joined struct {
 		Proxy    ProxyID
 		Zone     int
-		Rate     float64 // ops a second it usually gets
-		Standing bool    // it holds only its standing tables
+		Rate     float64 // ops per second that it usually gets
+		Standing bool    // it holds only its standing tables, nothing of an earlier stream
 	}
-	Left    struct{ Proxy ProxyID }
+	// Left reports that the stream of a proxy ended.
+	Left struct{ Proxy ProxyID }
+	// InForce reports that a proxy has applied all orders up to a checkpoint.
 	InForce struct {
 		Proxy      ProxyID
 		Checkpoint int
-		Took       time.Duration
+		Took       time.Duration // time from the checkpoint to its confirmation
 	}
+	// Probed is the result of a Probe.
 	Probed struct {
 		Endpoint EndpointID
 		Outcome  ProbeOutcome
 		Took     time.Duration
-		Load     []float64
+		Load     []float64 // values in the order of Config.Measures; empty if none came
 	}
+	// PeerNote is data that another instance sent by Publish.
 	PeerNote struct {
-		From int
+		From int // index of the sending instance
 		Data []byte
 	}
-	TimerFired  struct{ Label uint32 }
+	// TimerFired reports that the timer of a SetTimer expired.
+	TimerFired struct{ Label uint32 }
+	// SliceHanded reports that a slice was given to the instance or taken from it.
 	SliceHanded struct {
 		Slice TableID
 		Given bool
 	}
+	// SliceLine is a line of a slice's table as it is recorded.
 	SliceLine struct {
 		Slice    TableID
 		Endpoint EndpointID
@@ -221,17 +231,17 @@
 	}
 )
 
-// ProbeOutcome is how a probe ended.
+// ProbeOutcome is the way in which a probe ended.
 type ProbeOutcome int
 
 const (
-	ProbeAnswered ProbeOutcome = iota
-	ProbeErrored
-	ProbeRejected // draining, or too many probes at once
-	ProbeTimedOut
-	ProbeUnreached // down or cut off
-	ProbeBroken
-	ProbeOther
+	ProbeAnswered  ProbeOutcome = iota
+	ProbeErrored                // the endpoint answered with an error
+	ProbeRejected               // the endpoint drains, or too many probes ran at once
+	ProbeTimedOut               // no answer came in time
+	ProbeUnreached              // the endpoint is down or cut off
+	ProbeBroken                 // the connection broke during the probe
+	ProbeOther                  // any other outcome
 )
 
 func (Start) event()         {}
@@ -248,85 +258,97 @@
 func (SliceHanded) event()   {}
 func (SliceLine) event()     {}
 
-// Order is something to be done.
+// Order is something that the host must do.
 type Order interface{ order() }
 
-// Reason is why an order was given.
+// Reason is the reason for an order.
 type Reason string
 
-// The reasons, with the figure and the limit that a Why bears.
+// The reasons for orders, with the value and the limit that a Why has for each, in this order.
 const (
-	Unlisted         Reason = "gone"       // the list says that it is no more
-	ListedAsDraining Reason = "draining"   // the list says that it drains
-	Unhealthy        Reason = "sick"       // share of its tries that failed; what is borne, by how others fare
-	Readmitted       Reason = "back"       // listed as ready, or its sick spell is over
-	Listed           Reason = "listed"     // its weight on the list
-	Warming          Reason = "warming"    // how far it has come since its start; 1 is warm
-	CellOverloaded   Reason = "jammed"     // its cell's load in percent; where no cold server may join it
-	WeightReduced    Reason = "eased"      // its load in percent; what is borne beside the others'
-	WeightRestored   Reason = "regains"    // its load in percent; what calls for more, beside the others'
-	RampingUp        Reason = "returning"  // it takes up its weight in steps; the share that it has
-	Home             Reason = "home"       // the identity hash says so
-	CellDown         Reason = "cell-down"  // its cell drops; seconds that nothing came back from it, how long is borne
-	HomeDown         Reason = "home-down"  // seconds that nothing came back from its home; how long is borne
-	HomeFull         Reason = "home-full"  // the fill of its home with it; how far one is filled
-	ReturnedHome     Reason = "home-again" // the fill of its home with it; where there is room
-	Shed             Reason = "shed"       // its cell's score, or fill; where it sheds
-	InitialLevel     Reason = "start"      // the first word
-	Overload         Reason = "distress"   // the fleet's load in percent; where levels fall
-	Failing          Reason = "failing"    // share of tries that fail; where levels fall
-	Capacity         Reason = "capacity"   // what the servers can do over what is offered; 1
-	LevelRestored    Reason = "recovers"   // the fleet's load in percent; where levels rise
+	Unlisted         Reason = "gone"       // the endpoint is no longer on the list
+	ListedAsDraining Reason = "draining"   // the endpoint is listed as draining
+	Unhealthy        Reason = "sick"       // share of the endpoint's tries that failed; share tolerated, given those of others
+	Readmitted       Reason = "back"       // the endpoint is listed as ready, or the time of its withdrawal is over
+	Listed           Reason = "listed"     // weight of the endpoint on the list
+	Warming          Reason = "warming"    // share of its warm-up that the endpoint has completed; 1, where it is warm
+	CellOverloaded   Reason = "jammed"     // load of the endpoint's cell in percent; load from which on no cold endpoint joins it
+	WeightReduced    Reason = "eased"      // load of the endpoint in percent; load tolerated, given that of others
+	WeightRestored   Reason = "regains"    // load of the endpoint in percent; load below which its weight rises again
+	RampingUp        Reason = "returning"  // share of its weight that the returning endpoint has; share that it will have
+	Home             Reason = "home"       // the cell is the proxy's home cell
+	CellDown         Reason = "cell-down"  // seconds since the proxy's cell last answered; seconds tolerated
+	HomeDown         Reason = "home-down"  // seconds since the proxy's home cell last answered; seconds tolerated
+	HomeFull         Reason = "home-full"  // fill of the home cell with the proxy, in percent; limit of the fill
+	ReturnedHome     Reason = "home-again" // fill of the home cell with the proxy, in percent; fill that leaves room for it
+	Shed             Reason = "shed"       // score or fill of the proxy's cell in percent; value above which it sheds proxies
+	InitialLevel     Reason = "start"      // first level of an op type
+	Overload         Reason = "distress"   // load of the fleet in percent; load from which on levels fall
+	Failing          Reason = "failing"    // share of all tries that fail; share above which levels fall
+	Capacity         Reason = "capacity"   // capacity of the servers over the offered work; 1
+	LevelRestored    Reason = "recovers"   // load of the fleet in percent; load below which levels rise
 )
 
-// Why is an order's reason with the figure that crossed a limit; both are 0 where there is none.
+// Why is the reason for an order, with the value that crossed a limit. Value and Limit are 0 where the reason has none.
 type Why struct {
 	Reason       Reason
 	Value, Limit float64
 }
 
 type (
+	// PutLine sets the weight of an endpoint in a table.
 	PutLine struct {
 		Table    TableID
 		Endpoint EndpointID
 		Weight   float64 // 0 removes the line
 		Why      Why
 	}
+	// ClearTable removes all lines of a table.
 	ClearTable struct{ Table TableID }
-	Bind       struct {
+	// Bind makes a proxy use a table for some or all op types.
+	Bind struct {
 		Table   TableID
 		Proxy   ProxyID
-		OpTypes uint16 // a bit for each; 0: all
+		OpTypes uint16 // a bit for each op type; 0: all
 		Why     Why
 	}
+	// SetLevel limits how much of some op types the proxies of a table admit, and sets when they retry ops.
 	SetLevel struct {
 		Table       TableID
-		OpTypes     uint16
+		OpTypes     uint16 // a bit for each op type; 0: all
 		Level       float64
 		RetryPolicy RetryPolicy
 		Why         Why
 	}
+	// Suspend withdraws an endpoint from use at the proxies whose tables may contain it, or returns it to use.
 	Suspend struct {
 		Endpoint  EndpointID
-		Out       bool
-		BoundOnly bool // at proxies that were bound alone; others are about to be
+		Out       bool // withdrawn
+		BoundOnly bool // only at bound proxies; the others are about to be bound
 		Why       Why
 	}
+	// Checkpoint ends a batch of orders; each proxy that the orders reach confirms its number by InForce.
 	Checkpoint struct {
 		Number int
-		All    bool // also to joined proxies that the other orders would not reach
+		All    bool // also to joined proxies that the other orders do not reach
 	}
+	// SetTimer requests a TimerFired event.
 	SetTimer struct {
 		After time.Duration
 		Label uint32
 	}
-	Probe   struct{ Endpoint EndpointID }
+	// Probe requests a probe of an endpoint and a Probed event.
+	Probe struct{ Endpoint EndpointID }
+	// Publish sends data to other instances.
 	Publish struct {
-		To   int // below 0: to every peer
+		To   int // index of the receiving instance; negative: every peer
 		Data []byte
 	}
-	FetchList  struct{}
-	WatchList  struct{ On bool }
+	// FetchList requests the full endpoint list.
+	FetchList struct{}
+	// WatchList starts or stops the sending of changes of the endpoint list.
+	WatchList struct{ On bool }
+	// LogMessage writes a text to the log of the instance.
 	LogMessage struct{ Text string }
 )
 
