--- /dev/null
+++ b/policy/messages.go
@@ -0,0 +1,69 @@
+package policy
+
+import (
+	"cmp"
+	"math"
+	"slices"
+
+	"vetchdoor/control"
+)
+
+// sendOrders emits the orders for all differences between the decisions and what was last sent, the most urgent
+// first, and a checkpoint if any proxy gets a message. Where tables are slices of the keys, or no server is usable,
+// it emits only withdrawals.
+func (a *Assigner) sendOrders() {
+	a.backlogFull = false
+	if a.placeProxies(); a.config.Slices == 0 && a.capacity > 0 {
+		a.updateWithdrawals() // before new lines, which could fill the backlog: only withdrawals have a deadline
+		if a.hasReturningProxies() {
+			a.bindProxies(deferrableBacklogShare)
+		}
+		a.updateLines(urgentBacklogShare)
+		a.updateWithdrawals()
+		a.bindProxies(urgentBacklogShare)
+		a.updateLevels()
+		a.bindProxies(deferrableBacklogShare)
+		a.updateLines(deferrableBacklogShare)
+	}
+	a.updateWithdrawals()
+	if !slices.ContainsFunc(a.joinedProxies, func(p *proxy) bool { return p.lines > 0 }) {
+		return
+	}
+	a.checkpoint, a.sentAt = (a.checkpoint+1)&math.MaxUint16, a.now
+	a.emit(control.Checkpoint{Number: a.checkpoint})
+	for _, p := range a.joinedProxies {
+		if p.lines > 0 {
+			p.unconfirmedLines, p.lines, p.lastCheckpoint = p.unconfirmedLines+p.lines, 0, a.checkpoint
+		}
+	}
+}
+
+// hasReturningProxies reports whether proxies that still use tables of an earlier stream wait for their binding,
+// which brings them the withdrawals that they missed.
+func (a *Assigner) hasReturningProxies() bool {
+	return slices.ContainsFunc(a.joinedProxies, func(p *proxy) bool { return p.placed && p.keepsWithdrawals && p.table == nil })
+}
+
+// reserveLines reserves lines for each recipient in the backlog of unconfirmed lines and reports whether there was
+// room. For a proxy that has no lines in the current message yet, the overhead is reserved too: the message's own
+// lines, its checkpoint and the levels. Deferrable orders are also refused while the backlog takes too long to send.
+func (a *Assigner) reserveLines(backlogShare, lines float64, recipients ...*proxy) bool {
+	overhead := a.config.MessageOverheadLines + 1 + float64(len(a.opTypes))
+	total := 0.0
+	for _, p := range recipients {
+		if total += lines; p.lines == 0 {
+			total += overhead
+		}
+	}
+	deferrableLimit := deferrableDrainGraceShare * a.config.DrainGrace.Seconds() * a.config.LinesPerSecond
+	deferred := backlogShare < urgentBacklogShare && deferrableLimit > 0 && a.backlogLines > deferrableLimit
+	if total > 0 && (deferred || a.backlogLines+total > backlogShare*a.config.MaxUnconfirmedLines) {
+		a.backlogFull = true
+		return false
+	}
+	a.backlogLines += total
+	for _, p := range recipients {
+		p.lines = cmp.Or(p.lines, overhead) + lines
+	}
+	return true
+}
--- /dev/null
+++ b/policy/withdrawals.go
@@ -0,0 +1,36 @@
+package policy
+
+import (
+	"slices"
+
+	"vetchdoor/control"
+)
+
+// updateWithdrawals withdraws unusable servers, and returns usable ones to use, at all proxies whose tables may
+// contain them. A ready server that is the last to serve a table is not withdrawn.
+func (a *Assigner) updateWithdrawals() {
+	unbound := a.tableUsers(nil)
+	cannotBind := func(p *proxy) bool {
+		return !a.config.KeepsWithdrawals || !p.placed || !a.hasServingLine(a.dueTable(p), nil)
+	}
+	if !slices.ContainsFunc(unbound, cannotBind) {
+		unbound = nil // all can be bound, which costs fewer lines than a message for each server of their table
+	}
+	for _, e := range a.sortedEndpoints {
+		if e.withdrawn != e.usable() {
+			continue
+		}
+		holders, lastServing := slices.Clone(unbound), false
+		isHolder := func(p *proxy) bool { return slices.Contains(holders, p) } // already a holder through its other table
+		for _, t := range []*table{e.cell.table, a.tables[len(a.tables)-1]} {  // no other table contains it
+			if tableUsers := a.tableUsers(t); e.sentWeight[t.id] > 0 && len(tableUsers) > 0 {
+				holders = append(holders, slices.DeleteFunc(tableUsers, isHolder)...)
+				lastServing = lastServing || !e.withdrawn && e.mode == control.Ready && !a.hasServingLine(t, e)
+			}
+		}
+		if !lastServing && a.reserveLines(urgentBacklogShare, 1, holders...) {
+			e.withdrawn = !e.withdrawn
+			a.emit(control.Suspend{Endpoint: e.id, Out: e.withdrawn, BoundOnly: unbound == nil, Why: e.withdrawalReason()})
+		}
+	}
+}
