--- a/adapter/adapter_test.go
+++ b/adapter/adapter_test.go
@@ -13,17 +13,17 @@
 	"vetchdoor/control"
 )
 
-func raw(t *testing.T, text string) []byte {
+func decodeHex(t *testing.T, hexText string) []byte {
 	t.Helper()
-	b, err := hex.DecodeString(strings.Join(strings.Fields(text), ""))
+	b, err := hex.DecodeString(strings.Join(strings.Fields(hexText), ""))
 	if err != nil {
 		t.Fatal(err)
 	}
 	return b
 }
 
-// The records are the examples of the wire's description.
-func TestEventsFromTheDescription(t *testing.T) {
+// The records are the examples of the protocol description; every truncated record must be rejected.
+func TestReadsEventsOfTheProtocolDescription(t *testing.T) {
 	for _, c := range []struct {
 		text string
 		want control.Event
@@ -47,24 +47,24 @@
 			control.Probed{Endpoint: 0x2c9011f2, Took: 1400 * time.Microsecond,
 				Load: []float64{0.6200000047683716, 7, 14.5}}},
 	} {
-		b := raw(t, c.text)
-		f := &fields{left: b[recordHead:]}
+		b := decodeHex(t, c.text)
+		f := &fields{remaining: b[recordHeaderBytes:]}
 		f.u32()
 		got, err := readEvent(b[0], f)
-		if err != nil || f.done(b[0]) != nil || !reflect.DeepEqual(got, c.want) {
+		if err != nil || f.checkEnd(b[0]) != nil || !reflect.DeepEqual(got, c.want) {
 			t.Errorf("%s: got %+v, %v, want %+v", c.text, got, err, c.want)
 		}
-		for cut := recordHead; cut < len(b); cut++ {
-			f := &fields{left: b[recordHead:cut]}
+		for cut := recordHeaderBytes; cut < len(b); cut++ {
+			f := &fields{remaining: b[recordHeaderBytes:cut]}
 			f.u32()
-			if _, err := readEvent(b[0], f); err == nil && f.done(b[0]) == nil {
-				t.Errorf("%s: cut to %d bytes it still reads", c.text, cut)
+			if _, err := readEvent(b[0], f); err == nil && f.checkEnd(b[0]) == nil {
+				t.Errorf("%s: truncated to %d bytes it is still accepted", c.text, cut)
 			}
 		}
 	}
 }
 
-func TestOrdersFromTheDescription(t *testing.T) {
+func TestWritesOrdersOfTheProtocolDescription(t *testing.T) {
 	for _, c := range []struct {
 		order control.Order
 		want  string
@@ -84,29 +84,29 @@
 		{control.WatchList{On: true}, "18 05000000 03000000 01"},
 	} {
 		r := newReply(1)
-		if err := r.write(3, c.order); err != nil {
+		if err := r.writeOrder(3, c.order); err != nil {
 			t.Fatal(err)
 		}
-		if got := r.frame()[replyHeader:]; !bytes.Equal(got, raw(t, c.want)) {
+		if got := r.frame()[replyHeaderBytes:]; !bytes.Equal(got, decodeHex(t, c.want)) {
 			t.Errorf("%+v: got %x, want %s", c.order, got, c.want)
 		}
 	}
 }
 
-func put(code byte, body ...any) []byte {
+func eventRecord(code byte, values ...any) []byte {
 	var b bytes.Buffer
-	for _, v := range body {
+	for _, v := range values {
 		_ = binary.Write(&b, binary.LittleEndian, v)
 	}
-	head := []byte{code, 0, 0, 0, 0}
-	binary.LittleEndian.PutUint32(head[1:], uint32(b.Len()))
-	return append(head, b.Bytes()...)
+	record := []byte{code, 0, 0, 0, 0}
+	binary.LittleEndian.PutUint32(record[1:], uint32(b.Len()))
+	return append(record, b.Bytes()...)
 }
 
-func frame(number uint32, clock float64, records ...[]byte) []byte {
-	b := make([]byte, batchHeader)
+func batchFrame(number uint32, clockMilliseconds float64, records ...[]byte) []byte {
+	b := make([]byte, batchHeaderBytes)
 	binary.LittleEndian.PutUint32(b, number)
-	binary.LittleEndian.PutUint64(b[8:], math.Float64bits(clock))
+	binary.LittleEndian.PutUint64(b[8:], math.Float64bits(clockMilliseconds))
 	binary.LittleEndian.PutUint32(b[16:], uint32(len(records)))
 	for _, r := range records {
 		b = append(b, r...)
@@ -118,106 +118,112 @@
 const startSettings = `{"dcs":["a","b"],"grades":[{"effect":"strange","slo":500}],"extra":{"cycle":1000,"lines_per_s":1000,
 	"most_waiting":2000,"envelope":3,"proxy_count":2,"unheard_of":[1]},"guarantees":{"cold":9000},"tick":5}`
 
-func powerOn(who uint32) []byte {
-	return put(evPowerOn, who, uint64(9), uint32(len(startSettings)), []byte(startSettings))
+func powerOn(instanceID uint32) []byte {
+	return eventRecord(eventPowerOn, instanceID, uint64(9), uint32(len(startSettings)), []byte(startSettings))
 }
 
-func list(number uint32, ids ...uint32) []byte {
-	body := []any{number, uint32(len(ids))}
+func defineList(number uint32, ids ...uint32) []byte {
+	values := []any{number, uint32(len(ids))}
 	for _, id := range ids {
-		body = append(body, float32(1), uint8(2), float64(0), id, uint16(0), uint8(0), uint16(0))
+		values = append(values, float32(1), uint8(2), float64(0), id, uint16(0), uint8(0), uint16(0))
 	}
-	return put(evDefineList, body...)
+	return eventRecord(eventDefineList, values...)
 }
 
-func update(who, number uint32) []byte {
-	return put(evDirectoryUpdate, who, uint8(control.Cached), uint32(1), number)
+func directoryUpdate(instanceID, number uint32) []byte {
+	return eventRecord(eventDirectoryUpdate, instanceID, uint8(control.Cached), uint32(1), number)
 }
 
-// replies runs Serve and cuts what it wrote into the bodies of its frames.
-func replies(t *testing.T, frames ...[]byte) ([][]byte, error) {
+// serveFrames runs Serve on frames and returns the bodies of the frames that it wrote.
+func serveFrames(t *testing.T, frames ...[]byte) ([][]byte, error) {
 	t.Helper()
-	var out bytes.Buffer
-	err := Serve(bytes.NewReader(bytes.Join(frames, nil)), &out)
+	var output bytes.Buffer
+	err := Serve(bytes.NewReader(bytes.Join(frames, nil)), &output)
 	var bodies [][]byte
-	for b := out.Bytes(); len(b) > 0; {
+	for b := output.Bytes(); len(b) > 0; {
 		n := binary.LittleEndian.Uint32(b[4:])
-		bodies = append(bodies, b[replyHeader:8+n])
+		bodies = append(bodies, b[replyHeaderBytes:8+n])
 		b = b[8+n:]
 	}
 	return bodies, err
 }
 
-func TestInstancesShareNothing(t *testing.T) {
-	join := func(who uint32) []byte { return put(evAttached, who, float32(5), uint8(0), uint16(4), uint8(1)) }
-	alone, err := replies(t, frame(1, 100, list(0, 7, 8), powerOn(5), update(5, 0)), frame(2, 200, join(5)))
+func TestInstancesAreIndependent(t *testing.T) {
+	attached := func(instanceID uint32) []byte {
+		return eventRecord(eventAttached, instanceID, float32(5), uint8(0), uint16(4), uint8(1))
+	}
+	alone, err := serveFrames(t, batchFrame(1, 100, defineList(0, 7, 8), powerOn(5), directoryUpdate(5, 0)),
+		batchFrame(2, 200, attached(5)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	// The list's number is taken over within the batch: the first instance sees other endpoints than the second.
-	both, err := replies(t, frame(1, 100, list(0, 1, 2), powerOn(6), update(6, 0), list(0, 7, 8), powerOn(5), update(5, 0)),
-		frame(2, 200, join(5)))
+	// The list number is defined anew within the batch, so the first instance gets other endpoints than the second.
+	together, err := serveFrames(t, batchFrame(1, 100, defineList(0, 1, 2), powerOn(6), directoryUpdate(6, 0),
+		defineList(0, 7, 8), powerOn(5), directoryUpdate(5, 0)),
+		batchFrame(2, 200, attached(5)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(alone[1]) == 0 || !bytes.Equal(alone[1], both[1]) {
-		t.Fatalf("alone %x, in company %x", alone[1], both[1])
+	if len(alone[1]) == 0 || !bytes.Equal(alone[1], together[1]) {
+		t.Fatalf("alone %x, beside another instance %x", alone[1], together[1])
 	}
-	if !bytes.HasSuffix(both[0], alone[0]) {
-		t.Fatal("the start differs in company")
+	if !bytes.HasSuffix(together[0], alone[0]) {
+		t.Fatal("the reply to the start differs beside another instance")
 	}
 }
 
-func TestAfterDeathNothingChanges(t *testing.T) {
-	got, err := replies(t, frame(1, 100, list(0, 7), powerOn(5), update(5, 0)),
-		frame(2, 200, put(evKilled, uint32(5)), put(evAttached, uint32(5), float32(5), uint8(0), uint16(4), uint8(1))),
-		frame(3, 300, put(evRing, uint32(5), uint32(1)), update(9, 0)))
+func TestEventsAfterKilledAreIgnored(t *testing.T) {
+	got, err := serveFrames(t, batchFrame(1, 100, defineList(0, 7), powerOn(5), directoryUpdate(5, 0)),
+		batchFrame(2, 200, eventRecord(eventKilled, uint32(5)),
+			eventRecord(eventAttached, uint32(5), float32(5), uint8(0), uint16(4), uint8(1))),
+		batchFrame(3, 300, eventRecord(eventRing, uint32(5), uint32(1)), directoryUpdate(9, 0)))
 	if err != nil || len(got) != 3 || len(got[1])+len(got[2]) > 0 {
 		t.Fatalf("%x, %v", got, err)
 	}
 }
 
-func TestUnknownProxyAndEndpointChangeNothing(t *testing.T) {
-	got, err := replies(t, frame(1, 100, list(0, 7), powerOn(5), update(5, 0)),
-		frame(2, 200, put(evInForce, uint32(5), uint16(3), uint32(1), float64(1)), put(evDetached, uint32(5), uint16(3)),
-			put(evArrivals, uint32(5), uint16(3), uint16(99), uint32(1), uint32(0), float64(1000)),
-			put(evDigest, uint32(5), uint8(200), uint32(99), uint32(1), uint32(0), float64(1), float64(1000), uint8(0))))
+func TestUnknownProxyAndEndpointAreIgnored(t *testing.T) {
+	got, err := serveFrames(t, batchFrame(1, 100, defineList(0, 7), powerOn(5), directoryUpdate(5, 0)),
+		batchFrame(2, 200, eventRecord(eventInForce, uint32(5), uint16(3), uint32(1), float64(1)),
+			eventRecord(eventDetached, uint32(5), uint16(3)),
+			eventRecord(eventArrivals, uint32(5), uint16(3), uint16(99), uint32(1), uint32(0), float64(1000)),
+			eventRecord(eventDigest, uint32(5), uint8(200), uint32(99), uint32(1), uint32(0), float64(1), float64(1000), uint8(0))))
 	if err != nil || len(got[1]) > 0 {
 		t.Fatalf("%x, %v", got, err)
 	}
 }
 
-func TestMalformedInputEndsWithAMessage(t *testing.T) {
-	whole := frame(1, 100, list(0, 7), powerOn(5), update(5, 0))
+func TestMalformedInputIsAnError(t *testing.T) {
+	whole := batchFrame(1, 100, defineList(0, 7), powerOn(5), directoryUpdate(5, 0))
 	bad := map[string][]byte{
-		"unknown code":      frame(1, 1, put(99, uint32(1))),
-		"undefined list":    frame(1, 1, powerOn(5), update(5, 3)),
-		"list number":       frame(1, 1, list(16, 7)),
-		"settings":          frame(1, 1, put(evPowerOn, uint32(1), uint64(1), uint32(1), []byte("{"))),
-		"settings' length":  frame(1, 1, put(evPowerOn, uint32(1), uint64(1), uint32(1<<31), []byte("{}"))),
-		"count of records":  append(frame(1, 1)[:16], 0xff, 0xff, 0xff, 0xff),
-		"clock":             frame(1, math.NaN()),
+		"unknown code":      batchFrame(1, 1, eventRecord(99, uint32(1))),
+		"undefined list":    batchFrame(1, 1, powerOn(5), directoryUpdate(5, 3)),
+		"list number":       batchFrame(1, 1, defineList(16, 7)),
+		"settings":          batchFrame(1, 1, eventRecord(eventPowerOn, uint32(1), uint64(1), uint32(1), []byte("{"))),
+		"settings' length":  batchFrame(1, 1, eventRecord(eventPowerOn, uint32(1), uint64(1), uint32(1<<31), []byte("{}"))),
+		"count of records":  append(batchFrame(1, 1)[:16], 0xff, 0xff, 0xff, 0xff),
+		"clock":             batchFrame(1, math.NaN()),
 		"length":            {1, 0, 0, 0, 3, 0, 0, 0, 0, 0, 0},
-		"bytes left over":   frame(1, 1, put(evRing, uint32(5), uint32(1), uint8(1))),
+		"bytes left over":   batchFrame(1, 1, eventRecord(eventRing, uint32(5), uint32(1), uint8(1))),
 		"impossible length": {1, 0, 0, 0, 0xff, 0xff, 0xff, 0xff},
 	}
 	for name, b := range bad {
-		if got, err := replies(t, b); err == nil || len(got) > 0 {
+		if got, err := serveFrames(t, b); err == nil || len(got) > 0 {
 			t.Errorf("%s: %v, %v", name, got, err)
 		}
 	}
 	for cut := 1; cut < len(whole); cut++ {
-		if _, err := replies(t, whole[:cut]); err == nil {
-			t.Fatalf("cut to %d of %d bytes it still reads", cut, len(whole))
+		if _, err := serveFrames(t, whole[:cut]); err == nil {
+			t.Fatalf("truncated to %d of %d bytes it is still accepted", cut, len(whole))
 		}
 	}
-	if _, err := replies(t, whole); err != nil {
+	if _, err := serveFrames(t, whole); err != nil {
 		t.Fatal(err)
 	}
 }
 
 func TestPanicBecomesAFault(t *testing.T) {
-	in := &instance{events: []control.Event{control.TimerFired{Label: 1}}} // no assigner: its call panics
+	in := &instance{events: []control.Event{control.TimerFired{Label: 1}}} // the assigner is nil, so that its call panics
 	if orders, fault := in.decide(0); orders != nil || !strings.Contains(fault, "panic") {
 		t.Fatalf("%v, %q", orders, fault)
 	}
--- a/adapter/frame.go
+++ b/adapter/frame.go
@@ -1,5 +1,5 @@
-// Package adapter speaks the bench's wire: it reads batches of events, hosts the instances they are for, and
-// writes their orders back. Names and codes of the wire end here; it decides nothing.
+// Package adapter speaks the bench's protocol: it reads batches of events, hosts the instances that they are for, and
+// writes their orders back. The names and codes of the protocol are confined to this package, which makes no decision.
 package adapter
 
 import (
@@ -10,65 +10,68 @@
 	"math"
 )
 
+// Sizes of the parts of frames.
 const (
-	batchHeader = 20
-	replyHeader = 12
-	recordHead  = 5
-	entrySize   = 22
-	mostBody    = 1 << 30
+	batchHeaderBytes  = 20
+	replyHeaderBytes  = 12
+	recordHeaderBytes = 5
+	listEntryBytes    = 22
+	maxBodyBytes      = 1 << 30 // longer frames are rejected
 )
 
-// batch is one frame from the bench.
+// batch is one frame from the bench: the events of one moment.
 type batch struct {
-	number  uint32
-	clock   float64 // milliseconds
-	records []record
+	number            uint32
+	clockMilliseconds float64
+	records           []record
 }
 
+// record is one event of a batch, not yet decoded.
 type record struct {
 	code byte
 	body []byte
 }
 
-// readBatch reads one frame; io.EOF means that the input ended between frames.
+// readBatch reads one frame. It returns io.EOF if the input ends between frames, and another error if the frame is
+// truncated or malformed.
 func readBatch(r io.Reader) (batch, error) {
-	var head [batchHeader]byte
-	if _, err := io.ReadFull(r, head[:8]); err != nil {
+	var header [batchHeaderBytes]byte
+	if _, err := io.ReadFull(r, header[:8]); err != nil {
 		if errors.Is(err, io.ErrUnexpectedEOF) {
-			return batch{}, errors.New("frame cut off in its header")
+			return batch{}, errors.New("frame truncated in its header")
 		}
 		return batch{}, err
 	}
-	b := batch{number: binary.LittleEndian.Uint32(head[:])}
-	length := binary.LittleEndian.Uint32(head[4:])
-	if length < batchHeader-8 || length > mostBody {
-		return batch{}, fmt.Errorf("batch %d: impossible length %d", b.number, length)
+	b := batch{number: binary.LittleEndian.Uint32(header[:])}
+	length := binary.LittleEndian.Uint32(header[4:])
+	if length < batchHeaderBytes-8 || length > maxBodyBytes {
+		return batch{}, fmt.Errorf("batch %d: invalid frame length %d", b.number, length)
 	}
 	rest := make([]byte, length)
 	if _, err := io.ReadFull(r, rest); err != nil {
-		return batch{}, fmt.Errorf("batch %d: frame cut off: %d bytes were announced", b.number, length)
+		return batch{}, fmt.Errorf("batch %d: frame truncated: its length is %d bytes", b.number, length)
 	}
-	b.clock = math.Float64frombits(binary.LittleEndian.Uint64(rest))
-	if math.IsNaN(b.clock) || math.IsInf(b.clock, 0) {
-		return batch{}, fmt.Errorf("batch %d: the clock is no number", b.number)
+	b.clockMilliseconds = math.Float64frombits(binary.LittleEndian.Uint64(rest))
+	if math.IsNaN(b.clockMilliseconds) || math.IsInf(b.clockMilliseconds, 0) {
+		return batch{}, fmt.Errorf("batch %d: the clock is not a finite number", b.number)
 	}
 	count := binary.LittleEndian.Uint32(rest[8:])
 	rest = rest[12:]
-	if uint64(count)*recordHead > uint64(len(rest)) {
+	if uint64(count)*recordHeaderBytes > uint64(len(rest)) {
 		return batch{}, fmt.Errorf("batch %d: %d records do not fit into %d bytes", b.number, count, len(rest))
 	}
 	b.records = make([]record, 0, count)
 	for i := uint32(0); i < count; i++ {
-		if len(rest) < recordHead {
-			return batch{}, fmt.Errorf("batch %d: record %d is cut off", b.number, i)
+		if len(rest) < recordHeaderBytes {
+			return batch{}, fmt.Errorf("batch %d: record %d is truncated", b.number, i)
 		}
 		size := binary.LittleEndian.Uint32(rest[1:])
-		if uint64(size) > uint64(len(rest)-recordHead) {
-			return batch{}, fmt.Errorf("batch %d: record %d announces %d bytes, %d are left",
-				b.number, i, size, len(rest)-recordHead)
+		if uint64(size) > uint64(len(rest)-recordHeaderBytes) {
+			return batch{}, fmt.Errorf("batch %d: record %d has a length of %d bytes, but only %d are left",
+				b.number, i, size, len(rest)-recordHeaderBytes)
 		}
-		end := recordHead + int(size)
-		b.records = append(b.records, record{code: rest[0], body: rest[recordHead:end]})
+		end := recordHeaderBytes + int(size)
+		b.records = append(b.records, record{code: rest[0], body: rest[recordHeaderBytes:end]})
 		rest = rest[end:]
 	}
 	if len(rest) > 0 {
@@ -77,76 +80,80 @@
 	return b, nil
 }
 
-// fields takes the fields of a record in turn; the first that is missing spoils the rest.
+// fields decodes the fields of a record in order. Once a field is missing, truncated is set, and that field and all
+// further ones read as zero.
 type fields struct {
-	left []byte
-	bad  bool
+	remaining []byte
+	truncated bool
 }
 
-func (f *fields) take(n int) []byte {
-	if f.bad || n > len(f.left) {
-		f.bad = true
+// next returns the next n bytes, or at most 8 zero bytes if fewer than n remain.
+func (f *fields) next(n int) []byte {
+	if f.truncated || n > len(f.remaining) {
+		f.truncated = true
 		return make([]byte, min(n, 8))
 	}
-	out := f.left[:n]
-	f.left = f.left[n:]
+	out := f.remaining[:n]
+	f.remaining = f.remaining[n:]
 	return out
 }
 
-func (f *fields) u8() byte     { return f.take(1)[0] }
-func (f *fields) u16() uint16  { return binary.LittleEndian.Uint16(f.take(2)) }
-func (f *fields) u32() uint32  { return binary.LittleEndian.Uint32(f.take(4)) }
-func (f *fields) u64() uint64  { return binary.LittleEndian.Uint64(f.take(8)) }
+func (f *fields) u8() byte     { return f.next(1)[0] }
+func (f *fields) u16() uint16  { return binary.LittleEndian.Uint16(f.next(2)) }
+func (f *fields) u32() uint32  { return binary.LittleEndian.Uint32(f.next(4)) }
+func (f *fields) u64() uint64  { return binary.LittleEndian.Uint64(f.next(8)) }
 func (f *fields) f64() float64 { return math.Float64frombits(f.u64()) }
 func (f *fields) f32() float64 { return float64(math.Float32frombits(f.u32())) }
 
+// floats returns a list of 32-bit floats that a byte with their number precedes.
 func (f *fields) floats() []float64 {
 	n := int(f.u8())
-	if f.bad || 4*n > len(f.left) {
-		f.bad = true
+	if f.truncated || 4*n > len(f.remaining) {
+		f.truncated = true
 		return nil
 	}
-	out := make([]float64, n)
-	for i := range out {
-		out[i] = f.f32()
+	values := make([]float64, n)
+	for i := range values {
+		values[i] = f.f32()
 	}
-	return out
+	return values
 }
 
-// bytes takes a run of bytes that its length n precedes; it is cut only once it is known to be there.
+// bytes returns the next n bytes, or nil if fewer remain. n comes from the input and may be wrong.
 func (f *fields) bytes(n uint32) []byte {
-	if f.bad || uint64(n) > uint64(len(f.left)) {
-		f.bad = true
+	if f.truncated || uint64(n) > uint64(len(f.remaining)) {
+		f.truncated = true
 		return nil
 	}
-	return f.take(int(n))
+	return f.next(int(n))
 }
 
-// reply collects the orders of one batch.
+// reply encodes the orders that answer one batch.
 type reply struct {
 	buf   []byte
 	count uint32
 }
 
+// newReply starts the reply to the batch with this number.
 func newReply(number uint32) *reply {
-	r := &reply{buf: make([]byte, replyHeader, 256)}
+	r := &reply{buf: make([]byte, replyHeaderBytes, 256)}
 	binary.LittleEndian.PutUint32(r.buf, number)
 	return r
 }
 
-// add appends a record; fill appends its fields.
-func (r *reply) add(code byte, who uint32, fill func(b []byte) []byte) {
-	at := len(r.buf)
+// add appends a record for an instance; appendFields appends the record's own fields and may be nil.
+func (r *reply) add(code byte, instanceID uint32, appendFields func(b []byte) []byte) {
+	start := len(r.buf)
 	r.buf = append(r.buf, code, 0, 0, 0, 0)
-	r.buf = binary.LittleEndian.AppendUint32(r.buf, who)
-	if fill != nil {
-		r.buf = fill(r.buf)
+	r.buf = binary.LittleEndian.AppendUint32(r.buf, instanceID)
+	if appendFields != nil {
+		r.buf = appendFields(r.buf)
 	}
-	binary.LittleEndian.PutUint32(r.buf[at+1:], uint32(len(r.buf)-at-recordHead))
+	binary.LittleEndian.PutUint32(r.buf[start+1:], uint32(len(r.buf)-start-recordHeaderBytes))
 	r.count++
 }
 
-// frame is the finished reply.
+// frame completes the header and returns the encoded reply.
 func (r *reply) frame() []byte {
 	binary.LittleEndian.PutUint32(r.buf[4:], uint32(len(r.buf)-8))
 	binary.LittleEndian.PutUint32(r.buf[8:], r.count)
--- a/adapter/serve.go
+++ b/adapter/serve.go
@@ -12,22 +12,23 @@
 	"vetchdoor/settings"
 )
 
-// instance is one hosted assigner. It has nothing in common with its neighbours.
+// instance is one hosted assigner. Instances share no state.
 type instance struct {
-	assigner *policy.Assigner
-	born     float64 // clock at its start, milliseconds
-	events   []control.Event
+	assigner               *policy.Assigner
+	startClockMilliseconds float64         // clock of the batch that started it
+	events                 []control.Event // events of the current batch
 }
 
-// host keeps the instances of one process. The numbered lists are the wire's way of saying the same entries to
-// several instances once; they are resolved as the events are read.
+// host holds the instances of one process and the numbered endpoint lists. The bench defines a list once for several
+// instances and refers to it by its number, which is resolved when an event is read.
 type host struct {
-	instances map[uint32]*instance
-	lists     [lists][]listEntry
-	defined   [lists]bool
+	instances   map[uint32]*instance
+	listSlots   [listSlots][]listEntry
+	slotDefined [listSlots]bool
 }
 
-// Serve answers batches from in on out until the input ends.
+// Serve reads batches from in and writes a reply to each on out. It returns nil when the input ends between batches, and
+// an error if a batch is malformed or reading or writing fails.
 func Serve(in io.Reader, out io.Writer) error {
 	r, w := bufio.NewReaderSize(in, 1<<16), bufio.NewWriter(out)
 	h := &host{instances: map[uint32]*instance{}}
@@ -52,39 +53,40 @@
 	}
 }
 
-// answer hands each instance its events of the batch at once, in the order in which the instances first appear.
+// answer passes each instance its events of the batch in one call, in the order in which the instances first appear in
+// the batch, and returns the encoded reply.
 func (h *host) answer(b batch) ([]byte, error) {
-	var turn []uint32
+	var instanceIDs []uint32
 	for i, rec := range b.records {
-		who, err := h.take(rec, b.clock)
+		instanceID, err := h.readRecord(rec, b.clockMilliseconds)
 		if err != nil {
 			return nil, fmt.Errorf("record %d: %w", i, err)
 		}
-		if in := h.instances[who]; in != nil && len(in.events) == 1 {
-			turn = append(turn, who)
+		if in := h.instances[instanceID]; in != nil && len(in.events) == 1 {
+			instanceIDs = append(instanceIDs, instanceID)
 		}
 	}
-	out := newReply(b.number)
-	for _, who := range turn {
-		in := h.instances[who]
+	reply := newReply(b.number)
+	for _, instanceID := range instanceIDs {
+		in := h.instances[instanceID]
 		if in == nil || len(in.events) == 0 {
 			continue
 		}
-		orders, fault := in.decide(settings.Span(b.clock - in.born))
+		orders, fault := in.decide(settings.Span(b.clockMilliseconds - in.startClockMilliseconds))
 		if fault != "" {
-			out.bailOut(who, fault)
+			reply.bailOut(instanceID, fault)
 			continue
 		}
 		for _, o := range orders {
-			if err := out.write(who, o); err != nil {
+			if err := reply.writeOrder(instanceID, o); err != nil {
 				return nil, err
 			}
 		}
 	}
-	return out.frame(), nil
+	return reply.frame(), nil
 }
 
-// decide runs the assigner on what is gathered; a panic in it becomes the text of a fault.
+// decide passes the collected events to the assigner. A panic of the assigner is recovered and returned as fault.
 func (in *instance) decide(now time.Duration) (orders []control.Order, fault string) {
 	events := in.events
 	in.events = nil
@@ -96,48 +98,49 @@
 	return in.assigner.Decide(now, events), ""
 }
 
-// take reads one record; an event for an instance that does not run is read and dropped.
-func (h *host) take(rec record, clock float64) (who uint32, err error) {
-	f := &fields{left: rec.body}
-	if rec.code == evDefineList {
+// readRecord decodes one record, stores its event at the instance that it is for, and returns the id of the instance.
+// Events for instances that do not run are decoded and ignored.
+func (h *host) readRecord(rec record, clockMilliseconds float64) (instanceID uint32, err error) {
+	f := &fields{remaining: rec.body}
+	if rec.code == eventDefineList {
 		number, entries, err := readList(f)
 		if err != nil {
 			return 0, err
 		}
-		h.lists[number], h.defined[number] = entries, true
+		h.listSlots[number], h.slotDefined[number] = entries, true
 		return everyPeer, nil
 	}
-	who = f.u32()
-	in := h.instances[who]
+	instanceID = f.u32()
+	in := h.instances[instanceID]
 	var event control.Event
 	switch rec.code {
-	case evPowerOn:
+	case eventPowerOn:
 		seed, n := f.u64(), f.u32()
 		text := f.bytes(n)
-		if err := f.done(rec.code); err != nil {
+		if err := f.checkEnd(rec.code); err != nil {
 			return 0, err
 		}
 		start, err := settings.Read(text)
 		if err != nil {
 			return 0, fmt.Errorf("power_on: %w", err)
 		}
-		in = &instance{assigner: &policy.Assigner{}, born: clock}
-		h.instances[who] = in
+		in = &instance{assigner: &policy.Assigner{}, startClockMilliseconds: clockMilliseconds}
+		h.instances[instanceID] = in
 		event = control.Start{Config: start.Config, Seed: seed}
-	case evKilled:
-		delete(h.instances, who)
-	case evDirectoryUpdate:
+	case eventKilled:
+		delete(h.instances, instanceID)
+	case eventDirectoryUpdate:
 		kind, _, number := f.u8(), f.u32(), f.u32()
 		if kind > byte(control.Failed) {
 			return 0, fmt.Errorf("directory_update: unknown kind %d", kind)
 		}
 		listing := control.Listing{Kind: control.ListKind(kind)}
-		if listing.Kind != control.Failed && !f.bad {
-			if number >= lists || !h.defined[number] {
+		if listing.Kind != control.Failed && !f.truncated {
+			if number >= listSlots || !h.slotDefined[number] {
 				return 0, fmt.Errorf("directory_update: list %d was never defined", number)
 			}
 			if in != nil {
-				listing.Entries = entriesFor(h.lists[number], in.born)
+				listing.Entries = entriesFor(h.listSlots[number], in.startClockMilliseconds)
 			}
 		}
 		event = listing
@@ -146,34 +149,36 @@
 			return 0, err
 		}
 	}
-	if err := f.done(rec.code); err != nil {
+	if err := f.checkEnd(rec.code); err != nil {
 		return 0, err
 	}
 	if in != nil && event != nil {
 		in.events = append(in.events, event)
 	}
-	return who, nil
+	return instanceID, nil
 }
 
-// done complains of a record that was too short or too long for its code.
-func (f *fields) done(code byte) error {
-	if f.bad {
-		return fmt.Errorf("event code %d: its fields are cut off", code)
+// checkEnd returns an error if the record was too short or too long for its code.
+func (f *fields) checkEnd(code byte) error {
+	if f.truncated {
+		return fmt.Errorf("event code %d: its fields are truncated", code)
 	}
-	if len(f.left) > 0 {
-		return fmt.Errorf("event code %d: %d bytes after its fields", code, len(f.left))
+	if len(f.remaining) > 0 {
+		return fmt.Errorf("event code %d: %d bytes after its fields", code, len(f.remaining))
 	}
 	return nil
 }
 
-func entriesFor(list []listEntry, born float64) []control.Entry {
-	out := make([]control.Entry, len(list))
+// entriesFor returns the entries of a list with their start times on the clock of an instance that started at
+// startClockMilliseconds.
+func entriesFor(list []listEntry, startClockMilliseconds float64) []control.Entry {
+	entries := make([]control.Entry, len(list))
 	for i, e := range list {
-		out[i] = e.entry
-		out[i].Started = control.LongAgo
-		if e.started > 0 {
-			out[i].Started = settings.Span(e.started - born)
+		entries[i] = e.entry
+		entries[i].Started = control.LongAgo
+		if e.startedMilliseconds > 0 {
+			entries[i].Started = settings.Span(e.startedMilliseconds - startClockMilliseconds)
 		}
 	}
-	return out
+	return entries
 }
--- a/adapter/wire.go
+++ b/adapter/wire.go
@@ -10,64 +10,65 @@
 	"vetchdoor/settings"
 )
 
-// Codes of the events.
+// Codes of the events of the protocol.
 const (
-	evPowerOn byte = iota + 16
-	evDirectoryUpdate
-	evRing
-	evProbed
-	evPeerData
-	evKilled
-	evAttached
-	evDetached
-	evInForce
-	evDigest
-	evArrivals
-	evSliceLoad
-	evHanded
-	evRecorded
-	evDefineList
+	eventPowerOn byte = iota + 16
+	eventDirectoryUpdate
+	eventRing
+	eventProbed
+	eventPeerData
+	eventKilled
+	eventAttached
+	eventDetached
+	eventInForce
+	eventDigest
+	eventArrivals
+	eventSliceLoad
+	eventHanded
+	eventRecorded
+	eventDefineList
 )
 
-// Codes of the actions.
+// Codes of the actions of the protocol, which orders are encoded as.
 const (
-	acPutLine byte = iota + 16
-	acCheckpoint
-	acBind
-	acListAll
-	acRecord
-	acSuspend
-	acWakeMe
-	acBailOut
-	acTail
-	acBlank
-	acPublish
-	acHealthCheck
-	acLevel
+	actionPutLine byte = iota + 16
+	actionCheckpoint
+	actionBind
+	actionListAll
+	actionRecord
+	actionSuspend
+	actionWakeMe
+	actionBailOut
+	actionTail
+	actionBlank
+	actionPublish
+	actionHealthCheck
+	actionLevel
 )
 
 const (
-	everyPeer = math.MaxUint32
-	mostText  = math.MaxUint16
-	lists     = 16
+	everyPeer    = math.MaxUint32 // as the receiver of a publish action: all peers
+	maxTextBytes = math.MaxUint16 // longer texts are cut
+	listSlots    = 16             // numbers that an endpoint list can have, from 0 on
 )
 
-func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
+func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// listEntry is one entry as the wire has it: its start is a clock time, which each instance reads from its own
-// start on.
+// listEntry is one entry of an endpoint list as the protocol has it. Its start is a time on the bench's clock, which
+// entriesFor converts to the clock of an instance.
 type listEntry struct {
-	entry   control.Entry
-	started float64
+	entry               control.Entry
+	startedMilliseconds float64 // 0 or less: unknown
 }
 
+// readList decodes the fields of a define_list event.
 func readList(f *fields) (number uint32, entries []listEntry, err error) {
 	number = f.u32()
 	n := f.u32()
-	if f.bad || uint64(n)*entrySize != uint64(len(f.left)) {
-		return 0, nil, fmt.Errorf("define_list: %d entries do not fill %d bytes", n, len(f.left))
+	if f.truncated || uint64(n)*listEntryBytes != uint64(len(f.remaining)) {
+		return 0, nil, fmt.Errorf("define_list: %d entries do not fill %d bytes", n, len(f.remaining))
 	}
-	if number >= lists {
+	if number >= listSlots {
 		return 0, nil, fmt.Errorf("define_list: no such list number: %d", number)
 	}
 	entries = make([]listEntry, n)
@@ -79,7 +80,7 @@
 			return 0, nil, fmt.Errorf("define_list: unknown mode %d", mode)
 		}
 		e.entry.Mode = control.Mode(mode)
-		e.started = f.f64()
+		e.startedMilliseconds = f.f64()
 		e.entry.Endpoint = control.EndpointID(f.u32())
 		e.entry.Machine = int(f.u16())
 		e.entry.Zone = int(f.u8())
@@ -88,51 +89,53 @@
 	return number, entries, nil
 }
 
-var outcomes = map[uint16]control.ProbeOutcome{
+// outcomeByStatus has the outcome of a probe by its status code.
+var outcomeByStatus = map[uint16]control.ProbeOutcome{
 	200: control.ProbeAnswered, 500: control.ProbeErrored, 503: control.ProbeRejected,
 	504: control.ProbeTimedOut, 502: control.ProbeUnreached, 598: control.ProbeBroken,
 }
 
-// readEvent reads the fields after `who` of the events that are plain data.
+// readEvent decodes the fields after the instance id of an event that needs no state of the host. It returns an error for
+// an unknown code.
 func readEvent(code byte, f *fields) (control.Event, error) {
 	switch code {
-	case evRing:
+	case eventRing:
 		return control.TimerFired{Label: f.u32()}, nil
-	case evProbed:
+	case eventProbed:
 		e := control.Probed{Endpoint: control.EndpointID(f.u32()), Outcome: control.ProbeOther}
-		if o, ok := outcomes[f.u16()]; ok {
+		if o, ok := outcomeByStatus[f.u16()]; ok {
 			e.Outcome = o
 		}
 		e.Took, e.Load = settings.Span(f.f64()), f.floats()
 		return e, nil
-	case evPeerData:
+	case eventPeerData:
 		e := control.PeerNote{From: int(f.u32())}
 		e.Data = f.bytes(uint32(f.u16()))
 		return e, nil
-	case evAttached:
+	case eventAttached:
 		e := control.Joined{Rate: f.f32(), Zone: int(f.u8())}
 		e.Proxy, e.Standing = control.ProxyID(f.u16()), f.u8() != 0
 		return e, nil
-	case evDetached:
+	case eventDetached:
 		return control.Left{Proxy: control.ProxyID(f.u16())}, nil
-	case evInForce:
+	case eventInForce:
 		return control.InForce{Proxy: control.ProxyID(f.u16()), Checkpoint: int(f.u32()), Took: settings.Span(f.f64())}, nil
-	case evDigest:
+	case eventDigest:
 		e := control.EndpointStats{Zone: int(f.u8()), Endpoint: control.EndpointID(f.u32())}
 		e.Tries, e.Failed = int(f.u32()), int(f.u32())
 		e.Latency, e.Window, e.Load = settings.Span(f.f64()), settings.Span(f.f64()), f.floats()
 		return e, nil
-	case evArrivals:
+	case eventArrivals:
 		e := control.Arrivals{Proxy: control.ProxyID(f.u16()), OpType: int(f.u16())}
 		e.Ops, e.Unacked, e.Window = int(f.u32()), int(f.u32()), settings.Span(f.f64())
 		return e, nil
-	case evSliceLoad:
+	case eventSliceLoad:
 		e := control.SliceLoad{Ops: int(f.u32()), Unacked: int(f.u32()), OpType: int(f.u16())}
 		e.Slice, e.Window = control.TableID(f.u16()), settings.Span(f.f64())
 		return e, nil
-	case evHanded:
+	case eventHanded:
 		return control.SliceHanded{Slice: control.TableID(f.u16()), Given: f.u8() != 0}, nil
-	case evRecorded:
+	case eventRecorded:
 		e := control.SliceLine{Slice: control.TableID(f.u16()), Weight: f.f32()}
 		e.Endpoint = control.EndpointID(f.u32())
 		return e, nil
@@ -140,75 +143,77 @@
 	return nil, fmt.Errorf("unknown event code %d", code)
 }
 
-func flag(b []byte, on bool) []byte {
+func appendFlag(b []byte, on bool) []byte {
 	if on {
 		return append(b, 1)
 	}
 	return append(b, 0)
 }
 
-func number32(b []byte, v float64) []byte {
+func appendFloat32(b []byte, v float64) []byte {
 	return binary.LittleEndian.AppendUint32(b, math.Float32bits(float32(v)))
 }
 
-func text(b []byte, data string) []byte {
-	if len(data) > mostText {
-		data = data[:mostText]
+// appendText appends a text after its length; a text longer than maxTextBytes is cut.
+func appendText(b []byte, data string) []byte {
+	if len(data) > maxTextBytes {
+		data = data[:maxTextBytes]
 	}
 	return append(binary.LittleEndian.AppendUint16(b, uint16(len(data))), data...)
 }
 
-// write puts one order on the wire.
-func (r *reply) write(who uint32, o control.Order) error {
+// writeOrder encodes one order of an instance. It returns an error if the protocol has no action for it.
+func (r *reply) writeOrder(instanceID uint32, o control.Order) error {
 	le := binary.LittleEndian
 	switch o := o.(type) {
 	case control.PutLine:
-		r.add(acPutLine, who, func(b []byte) []byte {
+		r.add(actionPutLine, instanceID, func(b []byte) []byte {
 			b = le.AppendUint32(le.AppendUint16(b, uint16(o.Table)), uint32(o.Endpoint))
-			return number32(b, o.Weight)
+			return appendFloat32(b, o.Weight)
 		})
 	case control.ClearTable:
-		r.add(acBlank, who, func(b []byte) []byte { return le.AppendUint16(b, uint16(o.Table)) })
+		r.add(actionBlank, instanceID, func(b []byte) []byte { return le.AppendUint16(b, uint16(o.Table)) })
 	case control.Bind:
-		r.add(acBind, who, func(b []byte) []byte {
+		r.add(actionBind, instanceID, func(b []byte) []byte {
 			b = le.AppendUint16(le.AppendUint16(b, uint16(o.Table)), uint16(o.Proxy))
 			return le.AppendUint16(b, o.OpTypes)
 		})
 	case control.SetLevel:
-		r.add(acLevel, who, func(b []byte) []byte {
+		r.add(actionLevel, instanceID, func(b []byte) []byte {
 			b = le.AppendUint16(le.AppendUint16(b, uint16(o.Table)), o.OpTypes)
-			return append(number32(b, o.Level), byte(o.RetryPolicy))
+			return append(appendFloat32(b, o.Level), byte(o.RetryPolicy))
 		})
 	case control.Suspend:
-		r.add(acSuspend, who, func(b []byte) []byte { return le.AppendUint32(flag(b, o.Out), uint32(o.Endpoint)) })
+		r.add(actionSuspend, instanceID, func(b []byte) []byte { return le.AppendUint32(appendFlag(b, o.Out), uint32(o.Endpoint)) })
 	case control.Checkpoint:
-		r.add(acCheckpoint, who, func(b []byte) []byte {
-			return flag(le.AppendUint32(b, uint32(o.Number)), o.All)
+		r.add(actionCheckpoint, instanceID, func(b []byte) []byte {
+			return appendFlag(le.AppendUint32(b, uint32(o.Number)), o.All)
 		})
 	case control.SetTimer:
-		r.add(acWakeMe, who, func(b []byte) []byte {
-			return le.AppendUint32(le.AppendUint64(b, math.Float64bits(millis(o.After))), o.Label)
+		r.add(actionWakeMe, instanceID, func(b []byte) []byte {
+			return le.AppendUint32(le.AppendUint64(b, math.Float64bits(milliseconds(o.After))), o.Label)
 		})
 	case control.Probe:
-		r.add(acHealthCheck, who, func(b []byte) []byte { return le.AppendUint32(b, uint32(o.Endpoint)) })
+		r.add(actionHealthCheck, instanceID, func(b []byte) []byte { return le.AppendUint32(b, uint32(o.Endpoint)) })
 	case control.Publish:
 		to := uint32(everyPeer)
 		if o.To >= 0 {
 			to = uint32(o.To)
 		}
-		r.add(acPublish, who, func(b []byte) []byte { return text(le.AppendUint32(b, to), string(o.Data)) })
+		r.add(actionPublish, instanceID, func(b []byte) []byte { return appendText(le.AppendUint32(b, to), string(o.Data)) })
 	case control.FetchList:
-		r.add(acListAll, who, nil)
+		r.add(actionListAll, instanceID, nil)
 	case control.WatchList:
-		r.add(acTail, who, func(b []byte) []byte { return flag(b, o.On) })
+		r.add(actionTail, instanceID, func(b []byte) []byte { return appendFlag(b, o.On) })
 	case control.LogMessage:
-		r.add(acRecord, who, func(b []byte) []byte { return text(b, o.Text) })
+		r.add(actionRecord, instanceID, func(b []byte) []byte { return appendText(b, o.Text) })
 	default:
-		return fmt.Errorf("no wire form for an order of type %T", o)
+		return fmt.Errorf("no encoding for an order of type %T", o)
 	}
 	return nil
 }
 
-func (r *reply) bailOut(who uint32, why string) {
-	r.add(acBailOut, who, func(b []byte) []byte { return text(b, why) })
+// bailOut encodes the message that an instance has failed.
+func (r *reply) bailOut(instanceID uint32, message string) {
+	r.add(actionBailOut, instanceID, func(b []byte) []byte { return appendText(b, message) })
 }
--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,4 +1,5 @@
-// Command adapter runs the assigner on the bench's wire, on standard input and output.
+// Command adapter hosts the decision module (package policy) for the bench, whose protocol it speaks on standard input
+// and output.
 package main
 
 import (
