--- a/adapter/adapter_test.go
+++ b/adapter/adapter_test.go
@@ -13,6 +13,7 @@
 	"vetchdoor/control"
 )
 
+// decodeHex decodes hexadecimal digits, which spaces may separate.
 func decodeHex(t *testing.T, hexText string) []byte {
 	t.Helper()
 	b, err := hex.DecodeString(strings.Join(strings.Fields(hexText), ""))
@@ -64,6 +65,7 @@
 	}
 }
 
+// The expected records are the examples of the protocol description.
 func TestWritesOrdersOfTheProtocolDescription(t *testing.T) {
 	for _, c := range []struct {
 		order control.Order
@@ -93,6 +95,7 @@
 	}
 }
 
+// eventRecord encodes a record with these values as its fields.
 func eventRecord(code byte, values ...any) []byte {
 	var b bytes.Buffer
 	for _, v := range values {
@@ -103,6 +106,7 @@
 	return append(record, b.Bytes()...)
 }
 
+// batchFrame encodes a batch of records.
 func batchFrame(number uint32, clockMilliseconds float64, records ...[]byte) []byte {
 	b := make([]byte, batchHeaderBytes)
 	binary.LittleEndian.PutUint32(b, number)
@@ -118,10 +122,12 @@
 const startSettings = `{"dcs":["a","b"],"grades":[{"effect":"strange","slo":500}],"extra":{"cycle":1000,"lines_per_s":1000,
 	"most_waiting":2000,"envelope":3,"proxy_count":2,"unheard_of":[1]},"guarantees":{"cold":9000},"tick":5}`
 
+// powerOn encodes the start of an instance.
 func powerOn(instanceID uint32) []byte {
 	return eventRecord(eventPowerOn, instanceID, uint64(9), uint32(len(startSettings)), []byte(startSettings))
 }
 
+// defineList encodes the definition of a list of ready endpoints.
 func defineList(number uint32, ids ...uint32) []byte {
 	values := []any{number, uint32(len(ids))}
 	for _, id := range ids {
@@ -130,6 +136,7 @@
 	return eventRecord(eventDefineList, values...)
 }
 
+// directoryUpdate encodes an event that gives an instance the list with this number.
 func directoryUpdate(instanceID, number uint32) []byte {
 	return eventRecord(eventDirectoryUpdate, instanceID, uint8(control.Cached), uint32(1), number)
 }
@@ -148,6 +155,7 @@
 	return bodies, err
 }
 
+// An instance must give the same replies whether or not the process hosts another one.
 func TestInstancesAreIndependent(t *testing.T) {
 	attached := func(instanceID uint32) []byte {
 		return eventRecord(eventAttached, instanceID, float32(5), uint8(0), uint16(4), uint8(1))
@@ -172,6 +180,7 @@
 	}
 }
 
+// Events for an instance that was killed or never started must be read and lead to no order.
 func TestEventsAfterKilledAreIgnored(t *testing.T) {
 	got, err := serveFrames(t, batchFrame(1, 100, defineList(0, 7), powerOn(5), directoryUpdate(5, 0)),
 		batchFrame(2, 200, eventRecord(eventKilled, uint32(5)),
@@ -182,6 +191,7 @@
 	}
 }
 
+// Events that name a proxy that has not joined, or an endpoint that is not listed, must lead to no order.
 func TestUnknownProxyAndEndpointAreIgnored(t *testing.T) {
 	got, err := serveFrames(t, batchFrame(1, 100, defineList(0, 7), powerOn(5), directoryUpdate(5, 0)),
 		batchFrame(2, 200, eventRecord(eventInForce, uint32(5), uint16(3), uint32(1), float64(1)),
@@ -193,6 +203,7 @@
 	}
 }
 
+// Serve must end with an error on input that is malformed or truncated at any byte. A malformed batch gets no reply.
 func TestMalformedInputIsAnError(t *testing.T) {
 	whole := batchFrame(1, 100, defineList(0, 7), powerOn(5), directoryUpdate(5, 0))
 	bad := map[string][]byte{
@@ -222,6 +233,7 @@
 	}
 }
 
+// A panic of one assigner must be reported as its fault, for the process also hosts other instances.
 func TestPanicBecomesAFault(t *testing.T) {
 	in := &instance{events: []control.Event{control.TimerFired{Label: 1}}} // the assigner is nil, so that its call panics
 	if orders, fault := in.decide(0); orders != nil || !strings.Contains(fault, "panic") {
--- a/adapter/wire.go
+++ b/adapter/wire.go
@@ -47,11 +47,12 @@
 )
 
 const (
-	everyPeer    = math.MaxUint32 // as the receiver of a publish action: all peers
+	everyPeer    = math.MaxUint32 // receiver of a publish action that is for all peers; no instance has this id
 	maxTextBytes = math.MaxUint16 // longer texts are cut
-	listSlots    = 16             // numbers that an endpoint list can have, from 0 on
+	listSlots    = 16             // endpoint lists that can be defined at a time, numbered from 0
 )
 
+// milliseconds returns a duration in the protocol's unit of time.
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
 // listEntry is one entry of an endpoint list as the protocol has it. Its start is a time on the bench's clock, which
@@ -143,6 +144,7 @@
 	return nil, fmt.Errorf("unknown event code %d", code)
 }
 
+// appendFlag appends a byte that is 1 if on is set, else 0.
 func appendFlag(b []byte, on bool) []byte {
 	if on {
 		return append(b, 1)
@@ -150,6 +152,7 @@
 	return append(b, 0)
 }
 
+// appendFloat32 appends a value as a 32-bit float.
 func appendFloat32(b []byte, v float64) []byte {
 	return binary.LittleEndian.AppendUint32(b, math.Float32bits(float32(v)))
 }
--- a/policy/parameters.go
+++ b/policy/parameters.go
@@ -8,7 +8,7 @@
 	shedScorePercent  = 70.0            // a cell with a higher score sheds proxies one by one, with a higher fill at once
 	moderatePercent   = 60.0            // limit for the score of a move's target; failures at a lower load are not due to overload
 	evenFillPercent   = 50.0            // fill of a cell whose share of the demand equals its share of the capacity
-	silentCellTimeout = 7 * time.Second // a cell without any answered try for this long leaves use; the guide prescribes 7 s
+	silentCellTimeout = 7 * time.Second // a cell without an answered try for this long goes out of use; the guide prescribes 7 s
 	entryWeightShare  = 0.25            // share of its weight that a server gets at its start, and the least that easing leaves
 	entryWeightSteps  = 4               // equal steps from entryWeightShare to the whole weight
 
--- a/policy/scenario_test.go
+++ b/policy/scenario_test.go
@@ -59,6 +59,7 @@
 	orderLog         []control.Order
 }
 
+// newRunner returns a runner with the default configuration: two zones, four proxies and two op types.
 func newRunner(t *testing.T) *scenarioRunner {
 	return &scenarioRunner{t: t, entries: map[control.EndpointID]control.Entry{}, confirming: true,
 		proxyZones: map[control.ProxyID]int{}, endpointStats: map[control.EndpointID][3]float64{},
@@ -74,11 +75,13 @@
 			}}}
 }
 
+// fail ends the test with the time and the statement at which an expectation or check failed.
 func (r *scenarioRunner) fail(format string, args ...any) {
 	r.t.Helper()
 	r.t.Fatalf("%v, at %q: %s", r.now, r.statement, fmt.Sprintf(format, args...))
 }
 
+// parseNumber reads a number of a statement and fails the test if it is none.
 func (r *scenarioRunner) parseNumber(text string) float64 {
 	v, err := strconv.ParseFloat(text, 64)
 	if err != nil {
@@ -266,8 +269,8 @@
 		key, text, _ := strings.Cut(pair, "=")
 		value := r.parseNumber(text)
 		count := map[string]*int{"avoid": &r.config.AvoidAfterFailures, "standing": &r.config.StandingTableLines,
-			"cap":     &r.config.MessageCap,
-			"proxies": &r.config.Proxies, "zones": &r.config.Zones, "slices": &r.config.Slices}[key]
+			"cap": &r.config.MessageCap, "proxies": &r.config.Proxies, "zones": &r.config.Zones,
+			"slices": &r.config.Slices}[key]
 		if key == "waiting" {
 			r.config.MaxUnconfirmedLines = value
 		} else if key == "across" {
--- a/policy/tables.go
+++ b/policy/tables.go
@@ -53,7 +53,7 @@
 				!e.withdrawn && len(tableUsers) > 0
 			lines := 1.0
 			if sentWeight == 0 && a.config.KeepsWithdrawals {
-				lines++ // the line and whether its server is withdrawn
+				lines++ // for whether the server is withdrawn, which is sent along
 			}
 			if targetWeight != sentWeight && !postponed && a.reserveLines(backlogShare, lines, tableUsers...) {
 				e.sentWeight[t.id] = targetWeight
--- a/policy/warmup.go
+++ b/policy/warmup.go
@@ -14,9 +14,9 @@
 		return min(1, entryWeightShare+(1-entryWeightShare)*math.Floor(progress*entryWeightSteps)/entryWeightSteps)
 	}
 	returnProgress, warmUp := (a.now-e.healthChangedAt).Seconds()/(easingIntervalLags*a.feedbackLag()).Seconds(), a.warmUpShare(e)
-	if a.config.AvoidAfterFailures == 0 { // proxies go on sending to a server that they overload
+	if a.config.AvoidAfterFailures == 0 { // proxies keep sending to a server that they overload
 		warmUp *= warmUp
-		if e.cell.failures.mean() > overloadFailureShare { // and clients repeat the ops that fail at other servers
+		if e.cell.failures.mean() > overloadFailureShare { // clients also repeat ops that failed at other servers
 			warmUp *= warmUp
 		}
 	}
--- a/policy/withdrawals.go
+++ b/policy/withdrawals.go
@@ -14,15 +14,15 @@
 		return !a.config.KeepsWithdrawals || !p.placed || !a.hasServingLine(a.dueTable(p), nil)
 	}
 	if !slices.ContainsFunc(unbound, cannotBind) {
-		unbound = nil // all can be bound, which costs fewer lines than a message for each server of their table
+		unbound = nil // all can be bound, so that they need no separate order for each withdrawn server
 	}
 	for _, e := range a.sortedEndpoints {
 		if e.withdrawn != e.usable() {
 			continue
 		}
 		holders, lastServing := slices.Clone(unbound), false
-		isHolder := func(p *proxy) bool { return slices.Contains(holders, p) } // already a holder through its other table
-		for _, t := range []*table{e.cell.table, a.tables[len(a.tables)-1]} {  // no other table contains it
+		isHolder := func(p *proxy) bool { return slices.Contains(holders, p) } // counted already, through its other table
+		for _, t := range []*table{e.cell.table, a.tables[len(a.tables)-1]} {  // no other table can contain the server
 			if tableUsers := a.tableUsers(t); e.sentWeight[t.id] > 0 && len(tableUsers) > 0 {
 				holders = append(holders, slices.DeleteFunc(tableUsers, isHolder)...)
 				lastServing = lastServing || !e.withdrawn && e.mode == control.Ready && !a.hasServingLine(t, e)
