--- a/policy/admission.go
+++ b/policy/admission.go
@@ -9,7 +9,7 @@
 
 // opType holds what the decisions need of one op type.
 type opType struct {
-	costSeconds, revenuePerSecond float64 // work per op, estimated by the target latency; revenue per second of work
+	costSeconds, revenuePerSecond float64 // seconds of work per op, for which its target latency stands; revenue per second of work
 	level                         float64 // level last sent; negative before the first
 }
 
@@ -37,7 +37,7 @@
 		a.workPerCapacity = cmp.Or(a.workPerCapacity, measuredWork)
 		a.workPerCapacity += gain * (measuredWork - a.workPerCapacity)
 	}
-	share := 1.0 // until the capacity of the servers is known
+	share := 1.0 // everything is admitted until the capacity of the servers is known
 	if a.workPerCapacity > 0 && a.offeredWork > 0 {
 		share = capacityTargetShare * a.workPerCapacity * a.capacity / a.offeredWork
 	}
--- a/policy/cells.go
+++ b/policy/cells.go
@@ -12,15 +12,16 @@
 type cell struct {
 	table *table
 	area  int
-	// Numbers of servers: listed ones, and of these the ready ones, the warm ones and the unhealthy ones.
+	// servers counts the listed servers; ready, warm and unhealthy count those of them that are in this state.
 	servers, ready, warm, unhealthy int
-	// In use, because it has capacity and answers; too loaded for cold servers to join.
+	// live is set while the cell has capacity and answers; closedToCold is set while it is too loaded for cold servers.
 	live, closedToCold bool
 	failures           failureTally // over its servers
-	// Last change of live; last statistics with an answered try.
+	// liveChangedAt is the last change of live; answeredAt is the time of the last statistics with an answered try.
 	liveChangedAt, answeredAt time.Duration
-	// Work per second of its proxies; capacity in units of listed weight; mean load of its servers in percent; mean of
-	// load and fill in percent; number of servers whose load is known.
+	// demand is the work per second of the cell's proxies, capacity that of its servers in units of listed weight.
+	// loadPercent is the mean load of its servers, score the mean of load and fill in percent, and loadReports the number
+	// of servers whose load is known.
 	demand, capacity, loadPercent, score, loadReports float64
 }
 
@@ -103,7 +104,7 @@
 		}
 	}
 	missingProxies := float64(a.config.Proxies)/max(1, float64(a.config.Instances)) - float64(len(a.knownProxies))
-	// Proxies yet to join count like the mean of those known
+	// Proxies that have yet to join count like the mean of the known ones.
 	a.demand *= 1 + max(0, missingProxies)/max(1, float64(len(a.knownProxies)))
 	for _, c := range a.cells {
 		if c.loadPercent /= max(1, c.loadReports); c.loadReports == 0 {
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -12,23 +12,24 @@
 type endpoint struct {
 	id           control.EndpointID
 	area         int
-	zonePack     [2]int // zone and pack
+	zonePack     [2]int // the zone and the pack within it
 	cell         *cell
 	listedWeight float64 // weight from the list, 1 if it gives none
 	mode         control.Mode
 	sentWeight   []float64 // weight last sent, by table
-	// Decaying number of tries of all proxies; moving average of the share of them that failed.
+	// tries is the number of tries of all proxies, which decays over time; failShare is the moving average of the share
+	// of them that failed.
 	tries, failShare float64
-	// Load, negative before the first report; share of the weight that easing leaves.
+	// loadPercent is negative before the first report; easingShare is the share of the weight that easing leaves.
 	loadPercent, easingShare float64
-	// Withdrawn, as last sent; found unhealthy.
+	// withdrawn is the state that was last sent; unhealthy is the verdict of updateHealth.
 	withdrawn, unhealthy bool
 	unhealthySpells      int // times that it was found unhealthy since its start
-	// Start; last change of unhealthy, control.LongAgo if there was none.
+	// startedAt is the last start of the server; healthChangedAt is the last change of unhealthy, or control.LongAgo.
 	startedAt, healthChangedAt time.Duration
-	// Length of the last unhealthy spell; last change of easingShare.
+	// unhealthyFor is the length of the last unhealthy spell; easedAt is the time of the last change of easingShare.
 	unhealthyFor, easedAt time.Duration
-	lastListedAt          time.Duration // last review at which it was listed
+	lastListedAt          time.Duration // time of the last review at which it was listed
 	unhealthyWhy          control.Why   // reason of the last unhealthy spell
 }
 
--- a/policy/health.go
+++ b/policy/health.go
@@ -52,7 +52,7 @@
 	a.failingShare = 1
 	for _, c := range a.cells {
 		a.failingShare = min(a.failingShare, c.failures.mean())
-		c.closedToCold = a.config.AvoidAfterFailures > 0 && // proxies send all traffic to servers that still answer
+		c.closedToCold = a.config.AvoidAfterFailures > 0 && // proxies then send all traffic to servers that still answer
 			(c.loadReports == 0 || c.loadPercent >= overloadPercent || a.worseFailShare(c) > unhealthyMarginShare)
 	}
 	for _, e := range a.sortedEndpoints {
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -14,37 +14,40 @@
 // control.Start.
 type Assigner struct {
 	config control.Config
-	// Time of the current events; moving average of the period that statistics span.
+	// now is the time of the current events; statsWindow is the moving average of the period that statistics span.
 	now, statsWindow time.Duration
 	randomState      uint64 // state of the generator of randomShare
 	endpoints        map[control.EndpointID]*endpoint
 	proxies          map[control.ProxyID]*proxy // joined proxies
 	sortedEndpoints  []*endpoint                // all of endpoints, by id
-	// Joined proxies, by id; joined proxies and those that disconnected lately.
+	// joinedProxies are the joined proxies by id; knownProxies also include those that disconnected lately.
 	joinedProxies, knownProxies []*proxy
 	opTypes                     []opType
 	areaCount                   int // zones, or pairs of zones; each area has its own cells
 	cells                       []*cell
 	tables                      []*table // tables of the cells and, last, the common table
-	// Bits of the op types for which every proxy uses the common table; bits of the others, 0 for all op types.
+	// crossCellOpTypes has the bits of the op types for which every proxy uses the common table, cellOpTypes those of the
+	// others; a cellOpTypes of 0 stands for all op types.
 	crossCellOpTypes, cellOpTypes uint16
 	orders                        []control.Order
 	checkpoint                    int  // number of the last checkpoint
 	backlogFull                   bool // an order waits for room in the backlog
-	// Lines sent or being written that are not yet confirmed, all proxies; mean target latency of the op types.
+	// backlogLines counts the lines for all proxies that are sent or being written and not yet confirmed;
+	// meanTargetSeconds is the mean target latency of the op types.
 	backlogLines, meanTargetSeconds float64
-	// Work per second of all known proxies, raised for those yet to join; capacity of the usable servers in units of
-	// listed weight; their mean load.
+	// demand is the work per second of all known proxies, raised for those that have yet to join; capacity is that of the
+	// usable servers in units of listed weight, and loadPercent their mean load.
 	demand, capacity, loadPercent float64
-	// Work per second that a unit of capacity does at full load, 0 before it is known; work per second that clients
-	// offer, without repeats of rejected ops.
+	// workPerCapacity is the work per second that a unit of capacity does at full load, 0 before it is known; offeredWork
+	// is the work per second that clients offer, without repeats of rejected ops.
 	workPerCapacity, offeredWork float64
 	failures                     failureTally // over usable servers
 	failingShare                 float64      // mean share of failed tries in the cell where it is least
-	// Share of the work that is admitted; the same one feedback lag behind, as statistics show it; factor, at most 1,
-	// that overload leaves of the admitted share.
+	// admittedShare is the share of the work that is admitted; laggedAdmittedShare follows it one feedback lag behind, as
+	// statistics do; overloadTrim is the factor, at most 1, by which overload reduces it.
 	admittedShare, laggedAdmittedShare, overloadTrim float64
-	// Last move by moveOneProxy; last change of overloadTrim; last message.
+	// movedAt is the time of the last move by moveOneProxy, trimmedAt of the last change of overloadTrim, sentAt of the
+	// last messages to proxies.
 	movedAt, trimmedAt, sentAt time.Duration
 }
 
--- a/policy/proxies.go
+++ b/policy/proxies.go
@@ -17,11 +17,12 @@
 	rankedCells []*cell   // cells in order of preference, the home cell first
 	cell        *cell     // cell that the proxy belongs to; nil: the common table
 	table       *table    // table that the proxy was last bound to; nil: its standing table
-	// Has been given a cell or the common table; has no stream any more.
+	// placed is set once the proxy has a cell or the common table; disconnected is set once its stream has ended.
 	placed, disconnected bool
 	keepsWithdrawals     bool          // may still exclude servers that are no longer withdrawn
 	leftAt               time.Duration // time of the disconnection
-	// Lines for the proxy in the message that is being written; in messages that are not yet confirmed.
+	// lines counts the proxy's lines in the message that is being written, unconfirmedLines those in messages that are sent
+	// and not yet confirmed.
 	lines, unconfirmedLines float64
 	lastCheckpoint          int         // number of its newest message
 	placementWhy            control.Why // reason of the current placement
--- a/policy/tables.go
+++ b/policy/tables.go
@@ -53,7 +53,7 @@
 				!e.withdrawn && len(tableUsers) > 0
 			lines := 1.0
 			if sentWeight == 0 && a.config.KeepsWithdrawals {
-				lines++ // for whether the server is withdrawn, which is sent along
+				lines++ // one more for whether the server is withdrawn
 			}
 			if targetWeight != sentWeight && !postponed && a.reserveLines(backlogShare, lines, tableUsers...) {
 				e.sentWeight[t.id] = targetWeight
@@ -89,7 +89,7 @@
 		for _, e := range a.sortedEndpoints {
 			for _, b := range binds {
 				if e.sentWeight[b.Table] > 0 && (e.withdrawn || p.keepsWithdrawals) {
-					lines += 2 // the line and whether its server is withdrawn
+					lines += 2 // one for the line, one for whether its server is withdrawn
 				} else if e.sentWeight[b.Table] > 0 {
 					lines++
 				}
