--- a/adapter/serve.go
+++ b/adapter/serve.go
@@ -72,7 +72,7 @@
 		if in == nil || len(in.events) == 0 {
 			continue
 		}
-		orders, fault := in.decide(settings.Span(b.clockMilliseconds - in.startClockMilliseconds))
+		orders, fault := in.decide(settings.Milliseconds(b.clockMilliseconds - in.startClockMilliseconds))
 		if fault != "" {
 			reply.bailOut(instanceID, fault)
 			continue
@@ -178,7 +178,7 @@
 		entries[i] = e.entry
 		entries[i].Started = control.LongAgo
 		if e.startedMilliseconds > 0 {
-			entries[i].Started = settings.Span(e.startedMilliseconds - startClockMilliseconds)
+			entries[i].Started = settings.Milliseconds(e.startedMilliseconds - startClockMilliseconds)
 		}
 	}
 	return entries
