--- a/pilot/host/host.go
+++ b/pilot/host/host.go
@@ -1,6 +1,7 @@
-// Package host runs one decision module for whoever fronts it: it keeps the loop that owns all state, hands the module
-// what happened in one batch a tick, carries its wakes, and guards against its panic and its hang. New, Run and Post are
-// the way in; a front turns bytes into events and orders into bytes. Nothing is decided here.
+// Package host runs one decision module on behalf of a daemon. It owns the event loop to which all state belongs, passes
+// events to the module in one batch per tick, implements the module's timers, recovers from its panics and detects when
+// it hangs. New, Run and Post are the entry points. The daemon converts received bytes to events and orders to bytes;
+// this package makes no control decisions.
 package host
 
 import (
@@ -16,78 +17,81 @@
 	"vetchdoor/policy"
 )
 
-// Decider is the module's one entry point; tests put another in its place.
+// Decider is the interface of the decision module. Tests substitute their own implementation.
 type Decider interface {
 	Decide(now time.Duration, events []control.Event) []control.Order
 }
 
-// Callbacks is what the loop calls of whoever fronts the module.
+// Callbacks is implemented by the daemon that runs the module. All methods are called on the loop.
 type Callbacks interface {
-	InitialEvents() []control.Event                    // what a new module is told after its start
-	Execute(now time.Duration, orders []control.Order) // the orders of one call; wakes are left out
-	HandlePanic()                                      // the module did; what it ordered before is no longer known
+	InitialEvents() []control.Event                    // events that a new module gets after control.Start
+	Execute(now time.Duration, orders []control.Order) // carries out the orders of one Decide call, without the Wakes
+	HandlePanic()                                      // called after a panic of the module, whose state is lost
 }
 
-// Host runs a module. Its fields are set before Run.
+// Host runs a module. Its exported settings and callbacks are set before Run.
 type Host struct {
 	Facts          control.Facts
 	Seed           uint64
 	Log            *slog.Logger
-	SilenceTimeout time.Duration // the module counts as stuck after half of it
-	OnStuck        func()        // nil, or called once then; nothing in this process can mend that
-	NewDecider     func() Decider
+	SilenceTimeout time.Duration  // proxies consider the pilot dead after this; the module counts as hung after half of it
+	OnStuck        func()         // if not nil, called once when the module hangs; the process cannot recover from that and must exit
+	NewDecider     func() Decider // creates the module; tests replace it
 	Callbacks      Callbacks
 
-	born     time.Time
-	inbox    chan func()
-	stop     chan struct{}
-	stopped  chan struct{}
-	ending   sync.Once
-	claimed  atomic.Bool  // by Run, or by Stop where Run was never called
-	inModule atomic.Int64 // when the module was last called, since born; 0: it came back
+	epoch         time.Time
+	inbox         chan func()
+	stop          chan struct{}
+	stopped       chan struct{}
+	stopOnce      sync.Once
+	loopClaimed   atomic.Bool  // set by Run, or by Stop if Run was never called
+	moduleEntered atomic.Int64 // time since epoch, in ns, at which the running Decide call began; 0 if none is running
 
-	// What follows is the loop's own.
+	// The fields below are used only on the loop.
 	module     Decider
-	run        int // counts modules, so that an old one's wakes are known for such
+	generation int // number of modules started, used to drop timers of earlier modules
 	events     []control.Event
-	batch      *time.Timer // set while events wait for their tick
+	batchTimer *time.Timer // fires at the tick at which the queued events are due
 	Batches    uint64
 	DecideTime time.Duration
 	Panics     uint64
 }
 
-// New makes a host; its time begins now.
-func New(f control.Facts, seed uint64, log *slog.Logger) *Host {
-	if f.Tick <= 0 {
-		f.Tick = 5 * time.Millisecond
+// New returns a host with the default module and a silence timeout of 10 s. A tick that is not positive becomes 5 ms.
+// Now counts from this call.
+func New(facts control.Facts, seed uint64, log *slog.Logger) *Host {
+	if facts.Tick <= 0 {
+		facts.Tick = 5 * time.Millisecond
 	}
-	return &Host{Facts: f, Seed: seed, Log: log, SilenceTimeout: 10 * time.Second, born: time.Now(), inbox: make(chan func(), 1024),
+	return &Host{Facts: facts, Seed: seed, Log: log, SilenceTimeout: 10 * time.Second, epoch: time.Now(), inbox: make(chan func(), 1024),
 		stop: make(chan struct{}), stopped: make(chan struct{}), NewDecider: func() Decider { return &policy.Assigner{} }}
 }
 
-// Epoch is when its time began.
-func (h *Host) Epoch() time.Time { return h.born }
+// Epoch returns the wall-clock time at which Now is zero.
+func (h *Host) Epoch() time.Time { return h.epoch }
 
-// Now is the time since then, which is all that the module knows.
-func (h *Host) Now() time.Duration { return time.Since(h.born) }
+// Now returns the time since Epoch. The module gets no other clock.
+func (h *Host) Now() time.Duration { return time.Since(h.epoch) }
 
-// Stopping is closed once it is to end, Stopped once the loop has.
+// Stopping returns a channel that is closed when Stop is called.
 func (h *Host) Stopping() <-chan struct{} { return h.stop }
-func (h *Host) Stopped() <-chan struct{}  { return h.stopped }
 
-// Stop ends the loop and waits for it. Where Run was never called, as after a start that failed, there is no loop to wait for,
-// and a later Run returns at once.
+// Stopped returns a channel that is closed when the loop has ended.
+func (h *Host) Stopped() <-chan struct{} { return h.stopped }
+
+// Stop ends the loop and waits until it has ended. If Run was never called, for example because the daemon failed to start,
+// Stop returns at once, and so does a later Run.
 func (h *Host) Stop() {
-	h.ending.Do(func() {
+	h.stopOnce.Do(func() {
 		close(h.stop)
-		if h.claimed.CompareAndSwap(false, true) {
+		if h.loopClaimed.CompareAndSwap(false, true) {
 			close(h.stopped)
 		}
 	})
 	<-h.stopped
 }
 
-// Post has the loop run f; false if it has ended.
+// Post queues f to run on the loop, waiting while the queue is full. It reports false if the loop has been stopped.
 func (h *Host) Post(f func()) bool {
 	select {
 	case <-h.stop:
@@ -102,35 +106,35 @@
 	}
 }
 
-// After has the loop run f in a while.
+// After runs f on the loop once d has passed.
 func (h *Host) After(d time.Duration, f func()) *time.Timer {
 	return time.AfterFunc(d, func() { h.Post(f) })
 }
 
-// Every has the loop run f again and again, until the loop ends.
+// Every runs f on the loop at the interval d until Stop.
 func (h *Host) Every(d time.Duration, f func()) {
 	go func() {
-		t := time.NewTicker(d)
-		defer t.Stop()
+		ticker := time.NewTicker(d)
+		defer ticker.Stop()
 		for {
 			select {
 			case <-h.stop:
 				return
-			case <-t.C:
+			case <-ticker.C:
 				h.Post(f)
 			}
 		}
 	}()
 }
 
-// Run begins a module and runs the loop until Stop.
+// Run starts a module, unless StartModule was called before, and runs the loop until Stop.
 func (h *Host) Run() {
-	if !h.claimed.CompareAndSwap(false, true) {
+	if !h.loopClaimed.CompareAndSwap(false, true) {
 		return
 	}
 	defer close(h.stopped)
-	h.batch = time.NewTimer(time.Hour)
-	defer h.batch.Stop()
+	h.batchTimer = time.NewTimer(time.Hour)
+	defer h.batchTimer.Stop()
 	if h.module == nil {
 		h.StartModule()
 	}
@@ -141,34 +145,36 @@
 			return
 		case f := <-h.inbox:
 			f()
-		case <-h.batch.C:
+		case <-h.batchTimer.C:
 			h.decide()
 		}
 	}
 }
 
-// Enqueue keeps an event for the batch at the next tick.
+// Enqueue adds an event to the batch that the module gets at the next tick. It must be called on the loop.
 func (h *Host) Enqueue(e control.Event) {
-	if h.events = append(h.events, e); len(h.events) == 1 && h.batch != nil {
-		h.batch.Reset(h.Facts.Tick)
+	if h.events = append(h.events, e); len(h.events) == 1 && h.batchTimer != nil {
+		h.batchTimer.Reset(h.Facts.Tick)
 	}
 }
 
-// Pending are the events of the batch that waits.
+// Pending returns the events queued for the next batch.
 func (h *Host) Pending() []control.Event { return h.events }
 
-// StartModule begins a module anew: it is told of its start and of what its front says.
+// StartModule replaces the module with a new one and queues control.Start and the initial events from the callbacks for
+// it. Events queued for the old module are dropped.
 func (h *Host) StartModule() {
 	h.module = h.NewDecider()
-	h.run++
+	h.generation++
 	h.events = append([]control.Event{control.Start{Facts: h.Facts, Seed: h.Seed}}, h.Callbacks.InitialEvents()...)
 	h.Seed++
-	if h.batch != nil {
-		h.batch.Reset(h.Facts.Tick)
+	if h.batchTimer != nil {
+		h.batchTimer.Reset(h.Facts.Tick)
 	}
 }
 
-// decide hands the module its batch and has the front carry out what it orders.
+// decide passes the queued events to the module, schedules the timers that it orders and leaves its other orders to the
+// callbacks.
 func (h *Host) decide() {
 	events := h.events
 	h.events = nil
@@ -176,64 +182,68 @@
 		return
 	}
 	now := h.Now()
-	orders, fault := h.CallModule(now, events)
+	orders, panicValue := h.CallModule(now, events)
 	h.DecideTime += h.Now() - now
 	h.Batches++
-	if fault != nil {
+	if panicValue != nil {
 		h.Panics++
 		h.Callbacks.HandlePanic()
 		return
 	}
-	rest := orders[:0:0]
+	others := orders[:0:0]
 	for _, o := range orders {
-		if w, ok := o.(control.Wake); ok {
-			h.wake(w)
+		if wake, ok := o.(control.Wake); ok {
+			h.scheduleWake(wake)
 		} else {
-			rest = append(rest, o)
+			others = append(others, o)
 		}
 	}
-	h.Callbacks.Execute(now, rest)
+	h.Callbacks.Execute(now, others)
 }
 
-func (h *Host) wake(w control.Wake) {
-	run := h.run
+// scheduleWake queues a Ring event once a Wake's delay has passed, unless the module has been replaced since.
+func (h *Host) scheduleWake(w control.Wake) {
+	generation := h.generation
 	h.After(w.After, func() {
-		if h.run == run {
+		if h.generation == generation {
 			h.Enqueue(control.Ring{Label: w.Label})
 		}
 	})
 }
 
-// CallModule runs the module; a panic in it becomes a fault.
-func (h *Host) CallModule(now time.Duration, events []control.Event) (orders []control.Order, fault any) {
+// CallModule calls the module's Decide. If Decide panics, CallModule logs the panic and returns the recovered value, which
+// is nil otherwise.
+func (h *Host) CallModule(now time.Duration, events []control.Event) (orders []control.Order, panicValue any) {
 	defer func() {
-		if fault = recover(); fault != nil {
-			h.Log.Error("the module panicked", "panic", fmt.Sprint(fault), "now", now, "events", describe(events),
+		if panicValue = recover(); panicValue != nil {
+			h.Log.Error("decision module panicked", "panic", fmt.Sprint(panicValue), "now", now, "events", formatEvents(events),
 				"stack", string(debug.Stack()))
 		}
 	}()
-	h.inModule.Store(max(1, int64(h.Now())))
-	defer h.inModule.Store(0)
+	h.moduleEntered.Store(max(1, int64(h.Now())))
+	defer h.moduleEntered.Store(0)
 	return h.module.Decide(now, events), nil
 }
 
-// RunWatchdog watches the module from beside the loop, for as long as that runs: an end waits for the loop too.
+// RunWatchdog returns when the loop has ended, or when a Decide call has lasted for half of SilenceTimeout; in the latter
+// case it logs all stacks and calls OnStuck. It also runs while Stop waits for the loop, since Stop would wait for a hung
+// module indefinitely.
 func (h *Host) RunWatchdog() {
-	t := time.NewTicker(max(h.SilenceTimeout/40, time.Millisecond))
-	defer t.Stop()
+	ticker := time.NewTicker(max(h.SilenceTimeout/40, time.Millisecond))
+	defer ticker.Stop()
 	for {
 		select {
 		case <-h.stopped:
 			return
-		case <-t.C:
+		case <-ticker.C:
 		}
-		since := time.Duration(h.inModule.Load())
-		if since == 0 || h.Now()-since < h.SilenceTimeout/2 {
+		entered := time.Duration(h.moduleEntered.Load())
+		if entered == 0 || h.Now()-entered < h.SilenceTimeout/2 {
 			continue
 		}
 		stacks := make([]byte, 64<<10)
 		stacks = stacks[:runtime.Stack(stacks, true)]
-		h.Log.Error("the module does not come back; this process must end", "for", h.Now()-since, "stacks", string(stacks))
+		h.Log.Error("decision module hangs; the process must exit", "for", h.Now()-entered, "stacks", string(stacks))
 		if h.OnStuck != nil {
 			h.OnStuck()
 		}
@@ -241,15 +251,15 @@
 	}
 }
 
-// describe writes events for the log, the first of them whole.
-func describe(events []control.Event) string {
-	const most = 4096
-	s := ""
+// formatEvents formats events for the log and truncates the text after 4096 bytes.
+func formatEvents(events []control.Event) string {
+	const maxBytes = 4096
+	text := ""
 	for i, e := range events {
-		if len(s) > most {
-			return fmt.Sprintf("%s; and %d more", s[:most], len(events)-i)
+		if len(text) > maxBytes {
+			return fmt.Sprintf("%s; and %d more events", text[:maxBytes], len(events)-i)
 		}
-		s += fmt.Sprintf("%T%+v; ", e, e)
+		text += fmt.Sprintf("%T%+v; ", e, e)
 	}
-	return s
+	return text
 }
--- a/pilot/host/host_test.go
+++ b/pilot/host/host_test.go
@@ -14,46 +14,47 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// script is a module, and the front of a host, that notes what happens to it.
-type script struct {
-	mu       sync.Mutex
-	batches  [][]control.Event
-	carried  []control.Order
-	panicked int
-	host     *Host
-	next     []control.Order
+// recordingModule is a decision module and the Callbacks of its host. It records the calls of both interfaces.
+type recordingModule struct {
+	mu         sync.Mutex
+	batches    [][]control.Event
+	executed   []control.Order
+	panics     int
+	host       *Host
+	nextOrders []control.Order
 }
 
-func (s *script) Decide(_ time.Duration, events []control.Event) []control.Order {
+func (s *recordingModule) Decide(_ time.Duration, events []control.Event) []control.Order {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.batches = append(s.batches, events)
 	if slices.Contains(events, control.Event(control.Ring{Label: 666})) {
-		panic("as the test asked")
+		panic("panic requested by the test")
 	}
-	out := s.next
-	s.next = nil
+	out := s.nextOrders
+	s.nextOrders = nil
 	return out
 }
 
-func (s *script) InitialEvents() []control.Event {
+func (s *recordingModule) InitialEvents() []control.Event {
 	return []control.Event{control.Listing{Kind: control.Cached}}
 }
 
-func (s *script) Execute(_ time.Duration, orders []control.Order) {
+func (s *recordingModule) Execute(_ time.Duration, orders []control.Order) {
 	s.mu.Lock()
-	s.carried = append(s.carried, orders...)
+	s.executed = append(s.executed, orders...)
 	s.mu.Unlock()
 }
 
-func (s *script) HandlePanic() {
+func (s *recordingModule) HandlePanic() {
 	s.mu.Lock()
-	s.panicked++
+	s.panics++
 	s.mu.Unlock()
 	s.host.StartModule()
 }
 
-func (s *script) until(t *testing.T, what string, done func() bool) {
+// waitFor waits until done, which is called with mu held, returns true. It fails the test after 20 s.
+func (s *recordingModule) waitFor(t *testing.T, what string, done func() bool) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		s.mu.Lock()
@@ -63,13 +64,14 @@
 			return
 		}
 	}
-	t.Fatal("never: ", what)
+	t.Fatal("timed out waiting for ", what)
 }
 
-func (s *script) count(is func(control.Event) bool) (n int) {
+// countEvents returns the number of events that match. The caller must hold mu.
+func (s *recordingModule) countEvents(match func(control.Event) bool) (n int) {
 	for _, b := range s.batches {
 		for _, e := range b {
-			if is(e) {
+			if match(e) {
 				n++
 			}
 		}
@@ -77,74 +79,80 @@
 	return n
 }
 
-func begin(t *testing.T) *script {
-	s := &script{}
+// startHost runs a host with a recordingModule whose first reply orders a Wake and a Note.
+func startHost(t *testing.T) *recordingModule {
+	s := &recordingModule{}
 	s.host = New(control.Facts{Tick: time.Millisecond}, 7, slog.New(slog.DiscardHandler))
 	s.host.Callbacks, s.host.NewDecider = s, func() Decider { return s }
-	s.next = []control.Order{control.Wake{After: time.Millisecond, Label: 5}, control.Note{Text: "x"}}
+	s.nextOrders = []control.Order{control.Wake{After: time.Millisecond, Label: 5}, control.Note{Text: "x"}}
 	go s.host.Run()
 	t.Cleanup(s.host.Stop)
 	return s
 }
 
-// The first batch is the start and what the front says; a wake comes back as a ring and is no order for the front.
+// The first batch consists of Start and the initial events. A Wake order comes back as a Ring event and is not passed to
+// Execute.
 func TestStartAndWake(t *testing.T) {
-	s := begin(t)
-	s.until(t, "a ring", func() bool { return s.count(func(e control.Event) bool { return e == control.Ring{Label: 5} }) == 1 })
+	s := startHost(t)
+	s.waitFor(t, "the Ring event", func() bool {
+		return s.countEvents(func(e control.Event) bool { return e == control.Ring{Label: 5} }) == 1
+	})
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	first := s.batches[0]
 	if start, ok := first[0].(control.Start); !ok || start.Seed != 7 || len(first) != 2 {
 		t.Errorf("%+v", first)
 	}
-	if len(s.carried) != 1 || s.carried[0] != control.Order(control.Note{Text: "x"}) {
-		t.Errorf("%+v", s.carried)
+	if len(s.executed) != 1 || s.executed[0] != control.Order(control.Note{Text: "x"}) {
+		t.Errorf("%+v", s.executed)
 	}
 }
 
-// What happens within a tick is one batch, in order.
-func TestOneBatchATick(t *testing.T) {
-	s := begin(t)
+// Events that are queued within one tick arrive in one batch and in order.
+func TestOneBatchPerTick(t *testing.T) {
+	s := startHost(t)
 	s.host.Post(func() {
 		for i := range uint32(9) {
 			s.host.Enqueue(control.Ring{Label: 100 + i})
 		}
 	})
-	s.until(t, "nine rings", func() bool {
+	s.waitFor(t, "one batch with nine Ring events", func() bool {
 		return slices.ContainsFunc(s.batches, func(b []control.Event) bool {
 			return len(b) >= 9 && b[0] == control.Event(control.Ring{Label: 100}) && b[8] == control.Event(control.Ring{Label: 108})
 		})
 	})
 }
 
-// After a panic a new module begins; the wakes of the old one never come.
-func TestPanicBeginsAnew(t *testing.T) {
-	s := begin(t)
+// After a panic a new module is started. Wakes that the old module ordered do not reach the new one.
+func TestPanicStartsNewModule(t *testing.T) {
+	s := startHost(t)
 	s.mu.Lock()
-	s.next = []control.Order{control.Wake{After: 50 * time.Millisecond, Label: 77}}
+	s.nextOrders = []control.Order{control.Wake{After: 50 * time.Millisecond, Label: 77}}
 	s.mu.Unlock()
 	s.host.Post(func() { s.host.Enqueue(control.Ring{Label: 1}) })
-	s.until(t, "asked for", func() bool { return s.next == nil })
+	s.waitFor(t, "the Wake order to be returned", func() bool { return s.nextOrders == nil })
 	s.host.Post(func() { s.host.Enqueue(control.Ring{Label: 666}) })
-	s.until(t, "a second start", func() bool {
-		return s.count(func(e control.Event) bool { x, ok := e.(control.Start); return ok && x.Seed == 8 }) == 1
+	s.waitFor(t, "the Start event of the second module", func() bool {
+		return s.countEvents(func(e control.Event) bool { x, ok := e.(control.Start); return ok && x.Seed == 8 }) == 1
+	})
+	s.host.Post(func() { s.host.scheduleWake(control.Wake{After: 100 * time.Millisecond, Label: 78}) })
+	s.waitFor(t, "the Ring event of the second module", func() bool {
+		return s.countEvents(func(e control.Event) bool { return e == control.Ring{Label: 78} }) == 1
 	})
-	s.host.Post(func() { s.host.wake(control.Wake{After: 100 * time.Millisecond, Label: 78}) })
-	s.until(t, "the new one's wake", func() bool { return s.count(func(e control.Event) bool { return e == control.Ring{Label: 78} }) == 1 })
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.panicked != 1 || s.count(func(e control.Event) bool { return e == control.Ring{Label: 77} }) > 0 {
-		t.Errorf("%d panics, or a wake of the old module came", s.panicked)
+	if s.panics != 1 || s.countEvents(func(e control.Event) bool { return e == control.Ring{Label: 77} }) > 0 {
+		t.Errorf("%d panics reported, or a Ring of the old module reached the new one", s.panics)
 	}
 }
 
-// A loop that never ran is stopped without waiting for it, twice, and does not run after that.
+// Stop returns at once, also when called again, if Run was never called. A later Run returns at once.
 func TestStopWithoutRun(t *testing.T) {
 	h := New(control.Facts{}, 1, slog.New(slog.DiscardHandler))
 	h.Stop()
 	h.Stop()
 	h.Run()
 	if h.Post(func() {}) {
-		t.Error("it takes a post")
+		t.Error("Post accepted a function after Stop")
 	}
 }
--- a/pilot/host/probe.go
+++ b/pilot/host/probe.go
@@ -10,37 +10,37 @@
 	"vetchdoor/upstream"
 )
 
-// Probe asks an endpoint for a path and tells how that ended, within a time. load reads from an answer what the endpoint says of
-// its load.
-func Probe(pool *upstream.Pool, id control.EndpointID, address, path string, within time.Duration, load func(*http1.Message) []float64) control.Probed {
-	begin := time.Now()
+// Probe sends a GET request for a path to an endpoint and returns the outcome and how long it took. parseLoad extracts the
+// endpoint's load report from the answer.
+func Probe(pool *upstream.Pool, id control.EndpointID, address, path string, timeout time.Duration, parseLoad func(*http1.Message) []float64) control.Probed {
+	started := time.Now()
 	req := http1.AppendBody([]byte("GET "+path+" HTTP/1.1\r\nHost: "+address+"\r\n"), nil)
-	answer, fail := pool.Send(&upstream.Call{}, address, req, begin.Add(within), false)
-	probed := control.Probed{Endpoint: id, Took: time.Since(begin)}
+	answer, failure := pool.Send(&upstream.Call{}, address, req, started.Add(timeout), false)
+	probed := control.Probed{Endpoint: id, Took: time.Since(started)}
 	status := 0
 	if answer != nil {
-		status, probed.Load = answer.Status, load(answer.Message)
+		status, probed.Load = answer.Status, parseLoad(answer.Message)
 		answer.Release()
 	}
-	probed.Outcome = probeOutcome(fail, status)
+	probed.Outcome = probeOutcome(failure, status)
 	return probed
 }
 
-// probeOutcome tells how a probe ended: by its failure, or, where that is nil, by the status of its answer.
-func probeOutcome(fail *upstream.Failure, status int) control.ProbeOutcome {
+// probeOutcome classifies a probe by its failure, or by the status of its answer if there was no failure.
+func probeOutcome(failure *upstream.Failure, status int) control.ProbeOutcome {
 	var malformed *http1.Malformed
 	switch {
-	case fail == nil && status == http.StatusServiceUnavailable:
+	case failure == nil && status == http.StatusServiceUnavailable:
 		return control.ProbeRejected
-	case fail == nil && status >= http.StatusBadRequest:
+	case failure == nil && status >= http.StatusBadRequest:
 		return control.ProbeErrored
-	case fail == nil:
+	case failure == nil:
 		return control.ProbeAnswered
-	case fail.Timeout:
+	case failure.Timeout:
 		return control.ProbeTimedOut
-	case fail.Unrun:
+	case failure.Unrun:
 		return control.ProbeUnreached
-	case errors.As(fail, &malformed):
+	case errors.As(failure, &malformed):
 		return control.ProbeErrored
 	}
 	return control.ProbeBroken
