--- a/pilot/channel.go
+++ b/pilot/channel.go
@@ -6,53 +6,55 @@
 	"vetchdoor/control"
 )
 
-// channel is the way out of a pilot: messages leave it one after another at a pace, and it holds no more than its bound.
-// A proxy that has not confirmed what it has, or is away, holds up its own messages only. It is free of I/O.
+// channel is the bounded queue of outgoing messages, which are sent in order at a limited rate of lines. A proxy whose window
+// is full, or which is disconnected, delays only its own messages. The channel does no I/O.
 type channel struct {
-	perLine time.Duration
-	most    int
-	waiting int // lines
-	queue   []outgoing
-	busy    time.Duration // until then the line is taken
-	peak    int
+	perLine      time.Duration
+	maxLines     int
+	waitingLines int // lines of the queued messages
+	queue        []outgoing
+	busyUntil    time.Duration // no message may be sent before this time
+	peakLines    int
 }
 
-func newChannel(linesPerSecond, mostWaiting float64) *channel {
-	return &channel{perLine: time.Duration(float64(time.Second) / linesPerSecond), most: int(mostWaiting)}
+// newChannel returns an empty channel with a rate in lines per second and a bound on the lines that wait.
+func newChannel(linesPerSecond, maxLines float64) *channel {
+	return &channel{perLine: time.Duration(float64(time.Second) / linesPerSecond), maxLines: int(maxLines)}
 }
 
-// push takes a message in; false says that there is no room for it.
+// push appends a message. It reports false if the message does not fit.
 func (c *channel) push(m outgoing) bool {
-	if c.waiting+m.Lines > c.most {
+	if c.waitingLines+m.Lines > c.maxLines {
 		return false
 	}
-	c.waiting += m.Lines
-	c.peak = max(c.peak, c.waiting)
+	c.waitingLines += m.Lines
+	c.peakLines = max(c.peakLines, c.waitingLines)
 	c.queue = append(c.queue, m)
 	return true
 }
 
-// again puts messages of one proxy that were on their way when its stream broke back in, before its others.
-func (c *channel) again(messages []outgoing) bool {
+// requeue puts messages of one proxy that were sent but not confirmed when its stream broke at the head of the queue, so that
+// they precede the proxy's later ones. It reports false if they do not fit.
+func (c *channel) requeue(messages []outgoing) bool {
 	lines := 0
 	for _, m := range messages {
 		lines += m.Lines
 	}
-	if c.waiting+lines > c.most {
+	if c.waitingLines+lines > c.maxLines {
 		return false
 	}
-	c.waiting += lines
-	c.peak = max(c.peak, c.waiting)
+	c.waitingLines += lines
+	c.peakLines = max(c.peakLines, c.waitingLines)
 	c.queue = append(append(make([]outgoing, 0, len(messages)+len(c.queue)), messages...), c.queue...)
 	return true
 }
 
-// drop forgets a proxy's messages.
-func (c *channel) drop(id control.ProxyID) {
+// dropProxy removes a proxy's messages.
+func (c *channel) dropProxy(id control.ProxyID) {
 	kept := c.queue[:0]
 	for _, m := range c.queue {
 		if m.proxy == id {
-			c.waiting -= m.Lines
+			c.waitingLines -= m.Lines
 		} else {
 			kept = append(kept, m)
 		}
@@ -61,25 +63,26 @@
 	c.queue = kept
 }
 
-// next returns the message that leaves now, if any, and else how long it is until one may; below 0: none waits that may.
-// open tells whether a proxy takes a message of so many lines now.
-func (c *channel) next(now time.Duration, open func(control.ProxyID, int) bool) (m outgoing, ok bool, wait time.Duration) {
+// next removes and returns the next message that may be sent now. If there is none, ok is false and wait is the time until the
+// rate allows one; wait is negative if no queued message may be sent. accepts reports whether a proxy can take a message with
+// that many lines now.
+func (c *channel) next(now time.Duration, accepts func(control.ProxyID, int) bool) (m outgoing, ok bool, wait time.Duration) {
 	if len(c.queue) == 0 {
 		return m, false, -1
 	}
-	if now < c.busy {
-		return m, false, c.busy - now
+	if now < c.busyUntil {
+		return m, false, c.busyUntil - now
 	}
-	var shut map[control.ProxyID]bool
+	var blocked map[control.ProxyID]bool
 	for i, m := range c.queue {
-		if shut[m.proxy] {
+		if blocked[m.proxy] {
 			continue
 		}
-		if !open(m.proxy, m.Lines) {
-			if shut == nil {
-				shut = map[control.ProxyID]bool{}
+		if !accepts(m.proxy, m.Lines) {
+			if blocked == nil {
+				blocked = map[control.ProxyID]bool{}
 			}
-			shut[m.proxy] = true
+			blocked[m.proxy] = true
 			continue
 		}
 		if i == 0 {
@@ -90,9 +93,9 @@
 			c.queue[len(c.queue)-1] = outgoing{}
 			c.queue = c.queue[:len(c.queue)-1]
 		}
-		c.waiting -= m.Lines
-		// A pause between two looks is made up for, up to a few milliseconds, so that the pace holds on average.
-		c.busy = max(c.busy, now-5*time.Millisecond) + time.Duration(m.Lines)*c.perLine
+		c.waitingLines -= m.Lines
+		// Time lost between two calls is made up for, up to 5 ms, so that the average rate is kept.
+		c.busyUntil = max(c.busyUntil, now-5*time.Millisecond) + time.Duration(m.Lines)*c.perLine
 		return m, true, 0
 	}
 	return outgoing{}, false, -1
--- a/pilot/desired.go
+++ b/pilot/desired.go
@@ -8,198 +8,209 @@
 	"vetchdoor/runtime"
 )
 
-// desiredState is what the module has ordered so far: the tables, who is on which, what is withdrawn. It turns the orders of one
-// reply into one message for each proxy concerned. It is free of I/O and decides nothing.
+// desiredState is the state that the module's orders add up to: the tables, the proxies bound to them, the levels and the
+// withdrawn endpoints. It translates the orders of one reply into at most one message per proxy. It does no I/O.
 type desiredState struct {
-	where   func(control.EndpointID) (runtime.Server, bool)
-	types   int
-	head    int // lines that a message costs beyond its own
-	tables  map[control.TableID]*sheet
-	all     map[int]runtime.Change // levels for all tables, by op type
-	out     map[control.EndpointID]bool
-	proxies map[control.ProxyID]*holder
-	limits  map[string]runtime.Change // of tenants, rates over all proxies
-	budget  noticeBudget
-	due     map[control.ProxyID]bool // who is yet to be told something by the pilot itself
-	turn    control.ProxyID          // whose turn is next
+	serverOf       func(control.EndpointID) (runtime.Server, bool)
+	opTypeCount    int
+	headLines      int // lines that each message counts for in addition to its changes
+	tables         map[control.TableID]*tableState
+	globalLevels   map[int]runtime.Change // levels that apply to all tables, by op type
+	withdrawn      map[control.EndpointID]bool
+	proxies        map[control.ProxyID]*proxyState
+	limits         map[string]runtime.Change // limits of tenants, with rates over all proxies
+	budget         noticeBudget
+	pendingNotices map[control.ProxyID]bool // proxies with notices that are not sent
+	nextTurn       control.ProxyID          // proxy at which the next round of notices begins
 
-	contents map[uint64][]runtime.Line // tables that proxies hold of earlier runs, by digest
-	saved    int                       // lines that were not sent for it
+	knownTables map[uint64][]runtime.Line // contents of tables that proxies hold from earlier runs, by digest
+	savedLines  int                       // lines that did not have to be sent because of knownTables
 }
 
-// sheet is one table as ordered.
-type sheet struct {
+// tableState is one table with its weights and its levels by op type.
+type tableState struct {
 	id     control.TableID
 	lines  map[control.EndpointID]float64
 	levels map[int]runtime.Change
 }
 
-// holder is a joined proxy.
-type holder struct {
-	id        control.ProxyID
-	standing  map[control.EndpointID]bool
-	held      []uint64                    // digests of the tables that it joined with, by op type
-	older     bool                        // it holds tables of an earlier stream, whose lines are not known here
-	bound     []*sheet                    // by op type; nil: its standing table, or what an earlier run gave it
-	withdrawn map[control.EndpointID]bool // as its stream was last sent
-	levelled  bool                        // it has been sent the levels for all
-	cleared   bool                        // withdrawals of earlier runs are cleared
-	notices   notices
-	next      uint64
-	changes   []runtime.Change // of the message being written
+// proxyState is what a joined proxy has been sent in its session.
+type proxyState struct {
+	id                 control.ProxyID
+	standing           map[control.EndpointID]bool
+	heldDigests        []uint64                    // digests of the tables that it held when it joined, by op type
+	holdsUnknownTables bool                        // it holds tables of an earlier session, which may contain any endpoint
+	bound              []*tableState               // its table by op type; nil: its standing table, or one of an earlier run
+	sentWithdrawn      map[control.EndpointID]bool // endpoints that it was last sent as withdrawn
+	levelsSent         bool                        // it has been sent globalLevels
+	stateCleared       bool                        // the withdrawals that it held from earlier runs have been cleared
+	notices            notices
+	nextNumber         uint64
+	changes            []runtime.Change // changes of the message being composed
 }
 
-func newDesiredState(types, head int, where func(control.EndpointID) (runtime.Server, bool)) *desiredState {
-	return &desiredState{where: where, types: types, head: head, tables: map[control.TableID]*sheet{},
-		all: map[int]runtime.Change{}, out: map[control.EndpointID]bool{}, proxies: map[control.ProxyID]*holder{},
-		limits: map[string]runtime.Change{}, budget: noticeBudget{most: unbounded}, due: map[control.ProxyID]bool{}, contents: map[uint64][]runtime.Line{}}
+// newDesiredState returns an empty state without a bound on notices. headLines is the number of lines that a message counts for
+// in addition to its changes; serverOf returns the place of an endpoint.
+func newDesiredState(opTypeCount, headLines int, serverOf func(control.EndpointID) (runtime.Server, bool)) *desiredState {
+	return &desiredState{serverOf: serverOf, opTypeCount: opTypeCount, headLines: headLines,
+		tables:       map[control.TableID]*tableState{},
+		globalLevels: map[int]runtime.Change{}, withdrawn: map[control.EndpointID]bool{}, proxies: map[control.ProxyID]*proxyState{},
+		limits: map[string]runtime.Change{}, budget: noticeBudget{maxLines: unlimitedLines},
+		pendingNotices: map[control.ProxyID]bool{}, knownTables: map[uint64][]runtime.Line{}}
 }
 
-// join adds a proxy that is bound to nothing; number is that of the last message that this run sent it.
-func (ds *desiredState) join(id control.ProxyID, standing []control.EndpointID, older bool, number uint64) {
-	h := &holder{id: id, older: older, standing: map[control.EndpointID]bool{}, bound: make([]*sheet, ds.types),
-		withdrawn: map[control.EndpointID]bool{}, next: number + 1, notices: newNotices()}
+// join adds a proxy that is not bound to any table. number is that of the last message that this run sent to it, 0 if none.
+func (ds *desiredState) join(id control.ProxyID, standing []control.EndpointID, holdsUnknownTables bool, number uint64) {
+	h := &proxyState{id: id, holdsUnknownTables: holdsUnknownTables, standing: map[control.EndpointID]bool{},
+		bound:         make([]*tableState, ds.opTypeCount),
+		sentWithdrawn: map[control.EndpointID]bool{}, nextNumber: number + 1, notices: newNotices()}
 	for _, e := range standing {
 		h.standing[e] = true
 	}
 	ds.proxies[id] = h
 	for name := range ds.limits {
-		h.notices.limits[name] = true
-		ds.due[id] = true
+		h.notices.changedLimits[name] = true
+		ds.pendingNotices[id] = true
 	}
 }
 
-// leave drops a proxy and returns the number of the last message sent to it.
+// leave removes a proxy and returns the number of the last message composed for it, 0 if the proxy is unknown.
 func (ds *desiredState) leave(id control.ProxyID) uint64 {
 	h := ds.proxies[id]
 	delete(ds.proxies, id)
-	delete(ds.due, id)
+	delete(ds.pendingNotices, id)
 	if h == nil {
 		return 0
 	}
-	ds.budget.used -= h.notices.unconfirmed
-	return h.next - 1
+	ds.budget.usedLines -= h.notices.unconfirmedLines
+	return h.nextNumber - 1
 }
 
-// sorted returns the joined proxies by id.
-func (ds *desiredState) sorted() []*holder {
-	out := make([]*holder, 0, len(ds.proxies))
+// sortedProxies returns the joined proxies, sorted by id.
+func (ds *desiredState) sortedProxies() []*proxyState {
+	out := make([]*proxyState, 0, len(ds.proxies))
 	for _, id := range slices.Sorted(maps.Keys(ds.proxies)) {
 		out = append(out, ds.proxies[id])
 	}
 	return out
 }
 
-func (ds *desiredState) sheet(id control.TableID) *sheet {
+// table returns a table, creating it if it does not exist.
+func (ds *desiredState) table(id control.TableID) *tableState {
 	t := ds.tables[id]
 	if t == nil {
-		t = &sheet{id: id, lines: map[control.EndpointID]float64{}, levels: map[int]runtime.Change{}}
+		t = &tableState{id: id, lines: map[control.EndpointID]float64{}, levels: map[int]runtime.Change{}}
 		ds.tables[id] = t
 	}
 	return t
 }
 
-// holds tells whether a proxy may send to an endpoint by the tables that it is on.
-func (h *holder) holds(e control.EndpointID) bool {
+// mayUse reports whether a proxy may send ops to an endpoint, given the tables that it uses.
+func (h *proxyState) mayUse(e control.EndpointID) bool {
 	for _, t := range h.bound {
-		if t == nil && (h.older || h.standing[e]) || t != nil && t.lines[e] > 0 {
+		if t == nil && (h.holdsUnknownTables || h.standing[e]) || t != nil && t.lines[e] > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-func (h *holder) on(t *sheet) bool { return slices.Contains(h.bound, t) }
+// isBoundTo reports whether the proxy uses a table for any op type.
+func (h *proxyState) isBoundTo(t *tableState) bool { return slices.Contains(h.bound, t) }
 
-func (h *holder) add(c runtime.Change) { h.changes = append(h.changes, c) }
+// add appends a change to the message being composed.
+func (h *proxyState) add(c runtime.Change) { h.changes = append(h.changes, c) }
 
-// outgoing is a message for one proxy.
+// outgoing is a message addressed to one proxy.
 type outgoing struct {
 	proxy control.ProxyID
 	*runtime.Message
-	notices int // lines of it that the pilot wrote by itself
+	noticeLines int // lines of the message that count against the notice budget
 }
 
-// write carries out the orders of one reply that concern proxies and returns the messages, by proxy, and the orders
-// that are for others.
-func (ds *desiredState) write(orders []control.Order) (messages []outgoing, rest []control.Order) {
+// translate applies the orders of one reply that concern proxies. It returns the resulting messages, sorted by proxy, and the
+// orders that it does not handle.
+func (ds *desiredState) translate(orders []control.Order) (messages []outgoing, others []control.Order) {
 	checkpoint, everyone := -1, false
-	joined := ds.sorted()
+	joined := ds.sortedProxies()
 	for _, o := range orders {
 		switch o := o.(type) {
 		case control.PutLine:
-			ds.put(o, joined)
+			ds.putLine(o, joined)
 		case control.Blank:
-			t := ds.sheet(o.Table)
+			t := ds.table(o.Table)
 			clear(t.lines)
 			clear(t.levels)
-			ds.toUsers(t, joined, runtime.Change{Verb: runtime.ClearTable, Table: o.Table})
+			ds.addToBound(t, joined, runtime.Change{Verb: runtime.ClearTable, Table: o.Table})
 		case control.Bind:
 			if h := ds.proxies[o.Proxy]; h != nil {
 				ds.bind(h, o)
 			}
 		case control.SetLevel:
-			ds.level(o, joined)
+			ds.setLevel(o, joined)
 		case control.Suspend:
-			ds.out[o.Endpoint] = o.Out
+			ds.withdrawn[o.Endpoint] = o.Out
 			if !o.Out {
-				delete(ds.out, o.Endpoint)
+				delete(ds.withdrawn, o.Endpoint)
 			}
 			for _, h := range joined {
-				if o.Out && h.holds(o.Endpoint) || !o.Out && h.withdrawn[o.Endpoint] {
-					ds.tell(h, o.Endpoint)
+				if o.Out && h.mayUse(o.Endpoint) || !o.Out && h.sentWithdrawn[o.Endpoint] {
+					ds.addState(h, o.Endpoint)
 				}
 			}
 		case control.Checkpoint:
 			checkpoint, everyone = o.Number, everyone || o.All
 		default:
-			rest = append(rest, o)
+			others = append(others, o)
 		}
 	}
 	for _, h := range joined {
 		if len(h.changes) > 0 || everyone && checkpoint >= 0 {
-			messages = append(messages, ds.finish(h, checkpoint, ds.addNotices(h)))
+			messages = append(messages, ds.finishMessage(h, checkpoint, ds.addNotices(h)))
 		}
 	}
-	return messages, rest
+	return messages, others
 }
 
-// finish takes what is written for a proxy as a message; so many lines of it are notices.
-func (ds *desiredState) finish(h *holder, checkpoint, notices int) outgoing {
-	if !h.levelled {
-		h.levelled = true
-		for _, i := range slices.Sorted(maps.Keys(ds.all)) {
-			h.add(ds.all[i])
+// finishMessage returns the message composed for a proxy and starts the next one. A negative checkpoint means none;
+// noticeLines is the number of its lines that count against the notice budget.
+func (ds *desiredState) finishMessage(h *proxyState, checkpoint, noticeLines int) outgoing {
+	if !h.levelsSent {
+		h.levelsSent = true
+		for _, i := range slices.Sorted(maps.Keys(ds.globalLevels)) {
+			h.add(ds.globalLevels[i])
 		}
 	}
-	m := &runtime.Message{Number: h.next, Checkpoint: checkpoint, Changes: h.changes, Lines: ds.head + len(h.changes)}
+	m := &runtime.Message{Number: h.nextNumber, Checkpoint: checkpoint, Changes: h.changes, Lines: ds.headLines + len(h.changes)}
 	if checkpoint >= 0 {
 		m.Lines++
 	}
-	h.next, h.changes = h.next+1, nil
-	return outgoing{h.id, m, notices}
+	h.nextNumber, h.changes = h.nextNumber+1, nil
+	return outgoing{h.id, m, noticeLines}
 }
 
-func (ds *desiredState) toUsers(t *sheet, joined []*holder, c runtime.Change) {
+// addToBound adds a change to the messages of all proxies that are bound to a table.
+func (ds *desiredState) addToBound(t *tableState, joined []*proxyState, c runtime.Change) {
 	for _, h := range joined {
-		if h.on(t) {
+		if h.isBoundTo(t) {
 			h.add(c)
 		}
 	}
 }
 
-// tell writes a proxy whether an endpoint is withdrawn, if it was sent otherwise.
-func (ds *desiredState) tell(h *holder, e control.EndpointID) {
-	if out := ds.out[e]; h.withdrawn[e] != out {
-		h.add(runtime.Change{Verb: runtime.SetState, Endpoint: e, Out: out})
-		if h.withdrawn[e] = out; !out {
-			delete(h.withdrawn, e)
+// addState adds to a proxy's message whether an endpoint is withdrawn, if the proxy was last sent the opposite.
+func (ds *desiredState) addState(h *proxyState, e control.EndpointID) {
+	if withdrawn := ds.withdrawn[e]; h.sentWithdrawn[e] != withdrawn {
+		h.add(runtime.Change{Verb: runtime.SetState, Endpoint: e, Out: withdrawn})
+		if h.sentWithdrawn[e] = withdrawn; !withdrawn {
+			delete(h.sentWithdrawn, e)
 		}
 	}
 }
 
-func (ds *desiredState) put(o control.PutLine, joined []*holder) {
-	t := ds.sheet(o.Table)
+// putLine sets or removes a line of a table and adds the change to the messages of the proxies that are bound to it.
+func (ds *desiredState) putLine(o control.PutLine, joined []*proxyState) {
+	t := ds.table(o.Table)
 	before := t.lines[o.Endpoint]
 	c := runtime.Change{Verb: runtime.SetWeight, Table: o.Table, Endpoint: o.Endpoint, Weight: o.Weight}
 	switch {
@@ -209,7 +220,7 @@
 		}
 		c.Verb, c.Weight = runtime.DelServer, 0
 	case before == 0:
-		at, ok := ds.where(o.Endpoint)
+		at, ok := ds.serverOf(o.Endpoint)
 		if !ok {
 			return
 		}
@@ -219,36 +230,36 @@
 		t.lines[o.Endpoint] = o.Weight
 	}
 	for _, h := range joined {
-		if h.on(t) {
+		if h.isBoundTo(t) {
 			if c.Verb == runtime.AddServer {
-				ds.tell(h, o.Endpoint) // first: it never holds a withdrawn endpoint open
+				ds.addState(h, o.Endpoint) // first, so that the proxy never uses a withdrawn endpoint
 			}
 			h.add(c)
 		}
 	}
 }
 
-// bind writes a proxy a whole table and puts op types on it.
-func (ds *desiredState) bind(h *holder, o control.Bind) {
-	t := ds.sheet(o.Table)
-	if !h.cleared {
-		h.cleared = true
+// bind adds a whole table to a proxy's message, unless the proxy is bound to it already, and maps op types to it.
+func (ds *desiredState) bind(h *proxyState, o control.Bind) {
+	t := ds.table(o.Table)
+	if !h.stateCleared {
+		h.stateCleared = true
 		h.add(runtime.Change{Verb: runtime.ClearState})
-		clear(h.withdrawn)
-		for _, e := range slices.Sorted(maps.Keys(ds.out)) {
-			if h.holds(e) {
-				ds.tell(h, e)
+		clear(h.sentWithdrawn)
+		for _, e := range slices.Sorted(maps.Keys(ds.withdrawn)) {
+			if h.mayUse(e) {
+				ds.addState(h, e)
 			}
 		}
 	}
-	if !h.on(t) && !ds.adopt(h, t, o.OpTypes) {
+	if !h.isBoundTo(t) && !ds.adoptTable(h, t, o.OpTypes) {
 		h.add(runtime.Change{Verb: runtime.ClearTable, Table: t.id})
 		for _, e := range slices.Sorted(maps.Keys(t.lines)) {
-			at, ok := ds.where(e)
+			at, ok := ds.serverOf(e)
 			if !ok {
 				continue
 			}
-			ds.tell(h, e)
+			ds.addState(h, e)
 			h.add(runtime.Change{Verb: runtime.AddServer, Table: t.id, Endpoint: e, Server: at, Weight: t.lines[e]})
 		}
 		for _, i := range slices.Sorted(maps.Keys(t.levels)) {
@@ -263,49 +274,50 @@
 	h.add(runtime.Change{Verb: runtime.SetMap, Table: t.id, OpTypes: o.OpTypes})
 }
 
-// mostContents bounds the tables of earlier runs that are kept.
-const mostContents = 256
+// maxKnownTables bounds the number of tables in knownTables.
+const maxKnownTables = 256
 
-// learn takes in a table that a proxy holds; past the bound it begins anew, for what proxies hold changes with the fleet.
-func (ds *desiredState) learn(t *runtime.Holding) {
+// learnTable stores the contents of a table that a proxy holds, if they match their digest. When the bound is reached all
+// stored tables are dropped, because old ones are of no use once the proxies' tables have changed.
+func (ds *desiredState) learnTable(t *runtime.Holding) {
 	if runtime.Digest(t.Lines) != t.Digest {
 		return
 	}
-	if len(ds.contents) >= mostContents {
-		clear(ds.contents)
+	if len(ds.knownTables) >= maxKnownTables {
+		clear(ds.knownTables)
 	}
-	ds.contents[t.Digest] = t.Lines
+	ds.knownTables[t.Digest] = t.Lines
 }
 
-// unknown returns the digests of a proxy's tables whose lines are not known.
-func (ds *desiredState) unknown(digests []uint64) (out []uint64) {
+// unknownDigests returns those digests, without duplicates and zeros, whose table contents are not known.
+func (ds *desiredState) unknownDigests(digests []uint64) (out []uint64) {
 	for _, d := range digests {
-		if _, known := ds.contents[d]; d != 0 && !known && !slices.Contains(out, d) {
+		if _, known := ds.knownTables[d]; d != 0 && !known && !slices.Contains(out, d) {
 			out = append(out, d)
 		}
 	}
 	return out
 }
 
-// adopt writes a proxy a table as the one that it has for an op type already, of an earlier run, and what differs; false if
-// none is known or it would take as many lines.
-func (ds *desiredState) adopt(h *holder, t *sheet, opTypes uint16) bool {
+// adoptTable adds a table to a proxy's message as the difference to a table that the proxy holds from an earlier run for one of
+// the op types. It reports false, and adds nothing, if no such table is known or the difference is longer than the table.
+func (ds *desiredState) adoptTable(h *proxyState, t *tableState, opTypes uint16) bool {
 	var best []runtime.Change
-	for i, d := range h.held {
-		base, known := ds.contents[d]
+	for i, d := range h.heldDigests {
+		base, known := ds.knownTables[d]
 		if d == 0 || !known || h.bound[i] != nil || opTypes != 0 && opTypes&(1<<i) == 0 {
-			continue // it goes by another table of ours since, or this is not of its op types
+			continue // replaced by a table of this run, or not one of the op types to bind
 		}
 		changes := []runtime.Change{{Verb: runtime.AdoptTable, Table: t.id, Digest: d}}
-		there := map[control.EndpointID]runtime.Line{}
+		baseLines := map[control.EndpointID]runtime.Line{}
 		for _, l := range base {
-			if there[l.Endpoint] = l; t.lines[l.Endpoint] == 0 {
+			if baseLines[l.Endpoint] = l; t.lines[l.Endpoint] == 0 {
 				changes = append(changes, runtime.Change{Verb: runtime.DelServer, Table: t.id, Endpoint: l.Endpoint})
 			}
 		}
 		for _, e := range slices.Sorted(maps.Keys(t.lines)) {
-			at, ok := ds.where(e)
-			l, has := there[e]
+			at, ok := ds.serverOf(e)
+			l, has := baseLines[e]
 			switch {
 			case !ok && has:
 				changes = append(changes, runtime.Change{Verb: runtime.DelServer, Table: t.id, Endpoint: e})
@@ -323,9 +335,9 @@
 	if best == nil || len(best) > len(t.lines) {
 		return false
 	}
-	ds.saved += len(t.lines) + 1 - len(best)
+	ds.savedLines += len(t.lines) + 1 - len(best)
 	for _, e := range slices.Sorted(maps.Keys(t.lines)) {
-		ds.tell(h, e)
+		ds.addState(h, e)
 	}
 	h.changes = append(h.changes, best...)
 	for _, i := range slices.Sorted(maps.Keys(t.levels)) {
@@ -334,15 +346,17 @@
 	return true
 }
 
-func (ds *desiredState) level(o control.SetLevel, joined []*holder) {
+// setLevel stores a level and adds it to the messages of the proxies concerned. A proxy that has not been sent globalLevels yet
+// gets all of them.
+func (ds *desiredState) setLevel(o control.SetLevel, joined []*proxyState) {
 	c := runtime.Change{Verb: runtime.SetLevel, Table: o.Table, OpTypes: o.OpTypes, Level: o.Level, Again: o.Again}
-	levels := ds.all
-	var t *sheet
+	levels := ds.globalLevels
+	var t *tableState
 	if o.Table != control.Everywhere {
-		t = ds.sheet(o.Table)
+		t = ds.table(o.Table)
 		levels = t.levels
 	}
-	for i := range ds.types {
+	for i := range ds.opTypeCount {
 		if o.OpTypes == 0 || o.OpTypes&(1<<i) != 0 {
 			one := c
 			one.OpTypes = 1 << i
@@ -350,20 +364,20 @@
 		}
 	}
 	for _, h := range joined {
-		if t != nil && h.on(t) || t == nil && h.levelled {
+		if t != nil && h.isBoundTo(t) || t == nil && h.levelsSent {
 			h.add(c)
 		} else if t == nil {
-			h.levelled = true
-			for _, i := range slices.Sorted(maps.Keys(ds.all)) {
-				h.add(ds.all[i])
+			h.levelsSent = true
+			for _, i := range slices.Sorted(maps.Keys(ds.globalLevels)) {
+				h.add(ds.globalLevels[i])
 			}
 		}
 	}
 }
 
-// free tells whether nothing that was ordered names an endpoint any more.
-func (ds *desiredState) free(e control.EndpointID) bool {
-	if ds.out[e] {
+// isUnreferenced reports whether an endpoint is neither withdrawn nor part of a table.
+func (ds *desiredState) isUnreferenced(e control.EndpointID) bool {
+	if ds.withdrawn[e] {
 		return false
 	}
 	for _, t := range ds.tables {
@@ -374,9 +388,9 @@
 	return true
 }
 
-// alone is a message for one proxy of changes that concern no table.
-func (ds *desiredState) alone(id control.ProxyID, changes []runtime.Change) outgoing {
+// newMessage returns a message with the given changes, none of which concerns a table, to one joined proxy.
+func (ds *desiredState) newMessage(id control.ProxyID, changes []runtime.Change) outgoing {
 	h := ds.proxies[id]
 	h.changes = append(h.changes, changes...)
-	return ds.finish(h, -1, 0)
+	return ds.finishMessage(h, -1, 0)
 }
--- a/pilot/fleet.go
+++ b/pilot/fleet.go
@@ -12,7 +12,8 @@
 	sessions "vetchdoor/session"
 )
 
-// startMembers takes part in the gossip of pilots. It is for people alone: nothing that it says becomes an event.
+// startMembers starts the gossip with other pilots, if it is configured. Gossip only feeds the admin commands; nothing from it
+// becomes an event for the module.
 func (p *Pilot) startMembers() error {
 	f := p.file.Members
 	if f == nil {
@@ -22,13 +23,14 @@
 	if err != nil {
 		return err
 	}
-	p.updateSelf()
-	p.members, err = members.Start(members.Gossip{Name: p.file.Name, Bind: f.Bind, Others: f.Others, Keys: keys, Allow: f.Allow, Log: p.log,
-		Tell: func() members.Who { return *p.self.Load() }})
+	p.updateAdvertised()
+	p.members, err = members.Start(members.Gossip{Name: p.file.Name, Bind: f.Bind, Others: f.Others, Keys: keys, Allow: f.Allow,
+		Log: p.log, Tell: func() members.Who { return *p.advertised.Load() }})
 	return err
 }
 
-// readKeys reads a file of keys, one a line, the first writes.
+// readKeys reads gossip keys from a file, one per line; empty lines and lines that start with # are skipped. The first key is
+// the one used to encrypt. It returns an error if there is no key.
 func readKeys(path string) (out []string, err error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -41,47 +43,50 @@
 		}
 	}
 	if len(out) == 0 {
-		return nil, fmt.Errorf("%s holds no key: the base64 of 32 bytes, one a line, is meant", path)
+		return nil, fmt.Errorf("%s contains no key; expected one key per line, 32 bytes in base64", path)
 	}
 	return out, nil
 }
 
-// updateSelf notes what the others are to hear of this pilot; the loop's own.
-func (p *Pilot) updateSelf() {
-	w := members.Who{Pilot: p.file.Name, Zone: p.file.Zone, Run: p.run, List: p.version, From: p.fresher, Servers: len(p.list), Proxies: len(p.sessions),
+// updateAdvertised updates the data that is gossiped to the other pilots. It must be called on the loop, or before the loop
+// runs.
+func (p *Pilot) updateAdvertised() {
+	w := members.Who{Pilot: p.file.Name, Zone: p.file.Zone, Run: p.run, List: p.listVersion, From: p.listOrigin,
+		Servers: len(p.list), Proxies: len(p.sessions),
 		Wire: runtime.Wire, At: p.file.Listen}
 	if p.ln != nil {
 		w.At = p.ln.Address()
 	}
-	p.self.Store(&w)
+	p.advertised.Store(&w)
 }
 
-var errNoMembers = fmt.Errorf("this pilot hears of no others: its file has no members")
+var errGossipDisabled = fmt.Errorf("gossip is not configured: the pilot's file has no members")
 
-// showFleet lists the pilots that are heard of; skew is how far a list is behind or ahead of this pilot's.
+// showFleet lists the pilots known by gossip. The skew column is the version of a pilot's list minus that of this pilot's.
 func (p *Pilot) showFleet(w io.Writer, _ []string) error {
 	if p.members == nil {
-		return errNoMembers
+		return errGossipDisabled
 	}
 	fmt.Fprintln(w, "# pilot,zone,at,run,wire,list,from,skew,servers,proxies,")
-	proxies, heard := 0, 0
+	proxies, reachable := 0, 0
 	for _, m := range p.members.All() {
 		if m.Bad != "" {
 			fmt.Fprintf(w, "%s,,%s,%s,\n", runtime.Quote(m.Pilot), m.Address, runtime.Quote(m.Bad))
 			continue
 		}
-		proxies, heard = proxies+m.Proxies, heard+1
-		fmt.Fprintf(w, "%s,%s,%s,%d,%d,%d,%s,%d,%d,%d,\n", runtime.Quote(m.Pilot), runtime.Quote(m.Zone), runtime.Quote(m.At), m.Run, m.Wire, m.List,
-			runtime.Quote(m.From), int64(m.List-p.version), m.Servers, m.Proxies)
+		proxies, reachable = proxies+m.Proxies, reachable+1
+		fmt.Fprintf(w, "%s,%s,%s,%d,%d,%d,%s,%d,%d,%d,\n", runtime.Quote(m.Pilot), runtime.Quote(m.Zone), runtime.Quote(m.At),
+			m.Run, m.Wire, m.List,
+			runtime.Quote(m.From), int64(m.List-p.listVersion), m.Servers, m.Proxies)
 	}
-	fmt.Fprintf(w, "Pilots: %d\nProxies: %d\n", heard, proxies)
+	fmt.Fprintf(w, "Pilots: %d\nProxies: %d\n", reachable, proxies)
 	return nil
 }
 
-// showPeers lists where the gossip hears whom.
+// showPeers lists the gossip address of each member, and the prefixes of the keys in use.
 func (p *Pilot) showPeers(w io.Writer, _ []string) error {
 	if p.members == nil {
-		return errNoMembers
+		return errGossipDisabled
 	}
 	fmt.Fprintln(w, "# pilot,address,")
 	for _, m := range p.members.All() {
@@ -91,26 +96,30 @@
 	return nil
 }
 
-// keyCommand changes the gossip's keys in this process; the file is the operator's to change.
+// keyCommand returns a command that changes the gossip keys of this process. It does not change the file of keys, which the
+// operator has to update.
 func (p *Pilot) keyCommand(do func(*members.Members, string) error) func(io.Writer, []string) error {
 	return func(_ io.Writer, words []string) error {
 		if p.members == nil {
-			return errNoMembers
+			return errGossipDisabled
 		}
 		if len(words) != 3 {
-			return fmt.Errorf("a key is to follow, the base64 of 32 bytes")
+			return fmt.Errorf("a key is required: 32 bytes in base64")
 		}
 		return do(p.members, words[2])
 	}
 }
 
-// fleetCommands are those of the socket for people that concern the other pilots.
-func (p *Pilot) fleetCommands(inLoop func(func(io.Writer, []string) error) func(io.Writer, runtime.Command) error) []sessions.Command {
+// fleetCommands returns the admin commands that concern the other pilots. onLoop runs a command's function on the loop.
+func (p *Pilot) fleetCommands(
+	onLoop func(func(io.Writer, []string) error) func(io.Writer, runtime.Command) error,
+) []sessions.Command {
 	return []sessions.Command{
-		{Prefix: "show fleet", Help: "the pilots that are heard of: what each tells of itself", Do: inLoop(p.showFleet)},
-		{Prefix: "show peers", Help: "where the gossip hears whom, and the beginnings of its keys", Do: inLoop(p.showPeers)},
-		{Prefix: "add key", Help: "B64: take what others write with it", Do: inLoop(p.keyCommand((*members.Members).AddKey))},
-		{Prefix: "use key", Help: "B64: write with it; all must have it", Do: inLoop(p.keyCommand((*members.Members).UseKey))},
-		{Prefix: "del key", Help: "B64: nobody may write with it any more", Do: inLoop(p.keyCommand((*members.Members).DropKey))},
+		{Prefix: "show fleet", Help: "pilots known by gossip, with their state", Do: onLoop(p.showFleet)},
+		{Prefix: "show peers", Help: "gossip addresses of the pilots, and prefixes of the keys", Do: onLoop(p.showPeers)},
+		{Prefix: "add key", Help: "B64: accept messages encrypted with this key", Do: onLoop(p.keyCommand((*members.Members).AddKey))},
+		{Prefix: "use key", Help: "B64: encrypt with this key; all members must have it",
+			Do: onLoop(p.keyCommand((*members.Members).UseKey))},
+		{Prefix: "del key", Help: "B64: no longer accept this key", Do: onLoop(p.keyCommand((*members.Members).DropKey))},
 	}
 }
--- a/pilot/fleet_test.go
+++ b/pilot/fleet_test.go
@@ -23,26 +23,26 @@
 	sessions "vetchdoor/session"
 )
 
-// pair is two pilots that know each other, and proxies that know both.
-type pair struct {
+// pilotPair is two pilots that are each other's peers, with one list service.
+type pilotPair struct {
 	t      *testing.T
 	list   *stand.Server
 	pilots [2]*Pilot
 	files  [2]*files.Pilot
 }
 
-func newPair(t *testing.T, change func(int, *files.Pilot)) *pair {
+func newPilotPair(t *testing.T, change func(int, *files.Pilot)) *pilotPair {
 	t.Helper()
-	x := &pair{t: t}
+	x := &pilotPair{t: t}
 	var err error
 	if x.list, err = stand.Start("127.0.0.1:0", entries()); err != nil {
 		t.Fatal(err)
 	}
-	for i := range x.pilots { // each must know where the other listens: a port is found first
+	for i := range x.pilots { // each file needs the other's address, so ports are chosen first
 		f := pilotFile(x.list.Address())
 		f.Name, f.Instance, f.Instances = fmt.Sprint("p", i), i, 2
 		x.files[i] = f
-		p := begin(t, newPilot(t, f), nil)
+		p := startPilot(t, newPilot(t, f), nil)
 		f.Listen = p.Address()
 		p.Kill()
 	}
@@ -63,12 +63,13 @@
 	return x
 }
 
-func (x *pair) start(i int) {
+func (x *pilotPair) start(i int) {
 	x.t.Helper()
-	x.pilots[i] = begin(x.t, newPilot(x.t, x.files[i]), nil)
+	x.pilots[i] = startPilot(x.t, newPilot(x.t, x.files[i]), nil)
 }
 
-func (x *pair) proxies(n int) (out []*proxy.Proxy) {
+// proxies starts n proxies that can use both pilots.
+func (x *pilotPair) proxies(n int) (out []*proxy.Proxy) {
 	x.t.Helper()
 	for id := range n {
 		f := proxyFile(uint16(id), x.files[0].Listen, x.files[1].Listen)
@@ -78,45 +79,46 @@
 	return out
 }
 
-func (x *pair) info(i int, want string) bool {
+// infoContains reports whether a pilot's show info contains a text.
+func (x *pilotPair) infoContains(i int, want string) bool {
 	s, err := sessions.Query(x.pilots[i].AdminAddress(), "show info", 10*time.Second)
 	return err == nil && strings.Contains(s, want)
 }
 
-func (x *pair) until(what string, ok func() bool) {
+func (x *pilotPair) waitFor(what string, ok func() bool) {
 	x.t.Helper()
-	until(x.t, 5*time.Millisecond, what, ok)
+	waitFor(x.t, 5*time.Millisecond, what, ok)
 }
 
-func (x *pair) joined(a, b int) func() bool {
+// joinedCounts returns a condition that holds once the first pilot has a proxies and the second b.
+func (x *pilotPair) joinedCounts(a, b int) func() bool {
 	return func() bool {
-		return x.info(0, fmt.Sprintf("\nProxies: %d\n", a)) && x.info(1, fmt.Sprintf("\nProxies: %d\n", b))
+		return x.infoContains(0, fmt.Sprintf("\nProxies: %d\n", a)) && x.infoContains(1, fmt.Sprintf("\nProxies: %d\n", b))
 	}
 }
 
-// A pilot that is full sends proxies to the other, and none is without one.
-func TestFull(t *testing.T) {
-	x := newPair(t, func(i int, f *files.Pilot) { f.MostProxies = 6 })
+// A pilot that has its maximum of proxies redirects further ones to its peer, and every proxy joins one of the two.
+func TestPilotFull(t *testing.T) {
+	x := newPilotPair(t, func(i int, f *files.Pilot) { f.MostProxies = 6 })
 	x.proxies(12)
-	x.until("six each", x.joined(6, 6))
+	x.waitFor("six proxies at each pilot", x.joinedCounts(6, 6))
 }
 
-// A pilot that ends sends its proxies to the other first; once it is back those that prefer it come back by and by, and
-// nobody is refused on the way.
-func TestRolling(t *testing.T) {
-	x := newPair(t, nil)
+// A pilot that is stopped redirects its proxies to its peer. After its restart the proxies that prefer it return to it.
+func TestRollingRestart(t *testing.T) {
+	x := newPilotPair(t, nil)
 	all := x.proxies(12)
 	sum := func() bool {
 		for a := range 13 {
-			if x.joined(a, 12-a)() {
+			if x.joinedCounts(a, 12-a)() {
 				return true
 			}
 		}
 		return false
 	}
-	x.until("all joined", sum)
+	x.waitFor("all proxies to join", sum)
 	x.pilots[0].Stop()
-	x.until("all at the other", func() bool { return x.info(1, "\nProxies: 12\n") })
+	x.waitFor("all proxies at the remaining pilot", func() bool { return x.infoContains(1, "\nProxies: 12\n") })
 	for _, p := range all {
 		if info := p.Info(); !strings.Contains(info, "\nPilot: p1\n") && !strings.Contains(info, "Joined: true") {
 			t.Errorf("%s", info)
@@ -131,20 +133,20 @@
 		}
 	}
 	if preferred == 0 || preferred == len(all) {
-		t.Fatalf("%d of %d prefer the first", preferred, len(all))
+		t.Fatalf("%d of %d proxies prefer the first pilot; the test needs some at each", preferred, len(all))
 	}
-	x.until("those that prefer it are there", x.joined(preferred, len(all)-preferred))
+	x.waitFor("each proxy at its preferred pilot", x.joinedCounts(preferred, len(all)-preferred))
 }
 
-// Any pilot shows the fleet; a member that is forged, or bears another's name, is shown and changes nothing that is decided:
-// the module hears of no member, ever.
-func TestFleetShown(t *testing.T) {
+// show fleet lists all pilots at each of them. A member that claims another pilot's name is listed as invalid. Gossip causes no
+// events for the module, and the gossip keys can be changed by command.
+func TestShowFleet(t *testing.T) {
 	key := base64.StdEncoding.EncodeToString(bytes.Repeat([]byte{7}, 32))
 	keys := filepath.Join(t.TempDir(), "keys")
 	if err := os.WriteFile(keys, []byte("# the fleet's\n"+key+"\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	gossip := func() string { // a port that both UDP and TCP have free
+	gossip := func() string { // returns an address whose port is free for both UDP and TCP
 		for {
 			ln, err := net.Listen("tcp", net.JoinHostPort(loopback.Host(), "0"))
 			if err != nil {
@@ -158,7 +160,7 @@
 			}
 		}
 	}
-	module := &script{}
+	module := &scriptedModule{}
 	start := func(name string, others ...string) *rig {
 		f := pilotFile("127.0.0.1:1")
 		f.Name, f.Members = name, &files.Members{Bind: gossip(), Others: others, Keys: keys}
@@ -171,52 +173,56 @@
 	b := start("b", a.p.file.Members.Bind)
 	all := func(r *rig, want ...string) func() bool {
 		return func() bool {
-			s := r.ask("show fleet")
+			s := r.command("show fleet")
 			return !slices.ContainsFunc(want, func(w string) bool { return !strings.Contains(s, w) })
 		}
 	}
-	a.until("both", all(a, "\na,z,", "\nb,z,", "Pilots: 2"))
-	b.until("both", all(b, "\na,z,", "\nb,z,", "Pilots: 2"))
-	before := count[control.Event](module)
-	forged, err := members.Start(members.Gossip{Name: "zz", Bind: gossip(), Others: []string{a.p.file.Members.Bind}, Keys: []string{key},
-		Log: slog.New(slog.DiscardHandler), Tell: func() members.Who { return members.Who{Pilot: "a", Proxies: 1 << 30, List: 1 << 60} }})
+	a.waitFor("both", all(a, "\na,z,", "\nb,z,", "Pilots: 2"))
+	b.waitFor("both", all(b, "\na,z,", "\nb,z,", "Pilots: 2"))
+	before := countEvents[control.Event](module)
+	forged, err := members.Start(members.Gossip{Name: "zz", Bind: gossip(), Others: []string{a.p.file.Members.Bind},
+		Keys: []string{key},
+		Log:  slog.New(slog.DiscardHandler), Tell: func() members.Who {
+			return members.Who{Pilot: "a", Proxies: 1 << 30,
+				List: 1 << 60}
+		}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	a.until("the forged one is shown", all(a, "\nzz,,"))
-	b.until("everywhere", all(b, "\nzz,,"))
+	a.waitFor("the forged member in the reply", all(a, "\nzz,,"))
+	b.waitFor("everywhere", all(b, "\nzz,,"))
 	forged.Close()
-	a.until("gone", func() bool { return !strings.Contains(a.ask("show peers"), "\nzz,") })
-	if after := count[control.Event](module); after != before {
-		t.Errorf("%d events came of members", after-before)
+	a.waitFor("gone", func() bool { return !strings.Contains(a.command("show peers"), "\nzz,") })
+	if after := countEvents[control.Event](module); after != before {
+		t.Errorf("%d events for the module caused by gossip", after-before)
 	}
 	other := base64.StdEncoding.EncodeToString(bytes.Repeat([]byte{8}, 32))
 	for _, cmd := range []string{"add key " + other, "use key " + other, "del key " + key} {
-		if got := a.ask(cmd); strings.TrimSpace(got) != "" {
+		if got := a.command(cmd); strings.TrimSpace(got) != "" {
 			t.Errorf("%s: %s", cmd, got)
 		}
 	}
-	if got := a.ask("show peers"); !strings.Contains(got, "Keys: "+other[:6]+"...\n") {
+	if got := a.command("show peers"); !strings.Contains(got, "Keys: "+other[:6]+"...\n") {
 		t.Error(got)
 	}
-	for cmd, want := range map[string]string{"add key x": "base64", "use key": "key is to follow", "del key " + other: ""} {
-		if got := a.ask(cmd); strings.TrimSpace(got) == "" || !strings.Contains(got, want) {
+	for cmd, want := range map[string]string{"add key x": "base64", "use key": "key is required", "del key " + other: ""} {
+		if got := a.command(cmd); strings.TrimSpace(got) == "" || !strings.Contains(got, want) {
 			t.Errorf("%s: %q", cmd, got)
 		}
 	}
 }
 
-// What a later version adds is passed over; what an equal one should not say is refused.
-func TestLaterVersion(t *testing.T) {
+// Unknown words in the hello of a newer wire version are ignored. In a hello of the pilot's own version they are refused.
+func TestNewerWireVersion(t *testing.T) {
 	r := newRig(t)
-	c, in := dial(t, r.p.Address())
+	c, in := dialRaw(t, r.p.Address())
 	defer c.Close()
 	fmt.Fprint(c, "hello 1 wire 99 token x zone 0 rate 1 holds - 0 0 window 1000 standing - digests 0 bound q 1 mood sunny\n\n")
 	line, err := in.ReadString('\n')
 	if err != nil || !strings.HasPrefix(line, "welcome p ") || !strings.HasSuffix(line, " wire 1\n") {
 		t.Fatal(line, err)
 	}
-	d, in := dial(t, r.p.Address())
+	d, in := dialRaw(t, r.p.Address())
 	defer d.Close()
 	fmt.Fprint(d, "hello 2 wire 1 token x zone 0 rate 1 holds - 0 0 window 1000 standing - mood sunny\n\n")
 	if line, err := in.ReadString('\n'); err == nil && strings.HasPrefix(line, "welcome") {
@@ -224,61 +230,63 @@
 	}
 }
 
-// newStuck is a pilot whose module does not come back until it is released; noticed gets when that was seen.
-func newStuck(t *testing.T) (p *Pilot, release hanging, noticed chan time.Time) {
+// newHungPilot returns a pilot that is not started, a module that hangs until release is closed, and a channel that gets the
+// time at which the pilot detected the hang.
+func newHungPilot(t *testing.T) (p *Pilot, release hangingModule, detected chan time.Time) {
 	t.Helper()
 	f := pilotFile("127.0.0.1:1")
 	f.Silent = files.Duration(200 * time.Millisecond)
-	p, release, noticed = newPilot(t, f), make(hanging), make(chan time.Time, 1)
-	p.OnStuck = func() { noticed <- time.Now() }
-	return p, release, noticed
+	p, release, detected = newPilot(t, f), make(hangingModule), make(chan time.Time, 1)
+	p.OnStuck = func() { detected <- time.Now() }
+	return p, release, detected
 }
 
-// A module that does not come back is noticed while proxies still take the pilot for alive.
-func TestStuck(t *testing.T) {
-	p, release, noticed := newStuck(t)
+// A hung module is detected after half of the silence timeout, while proxies still consider the pilot alive.
+func TestHungModule(t *testing.T) {
+	p, release, noticed := newHungPilot(t)
 	started := time.Now()
-	begin(t, p, release)
+	startPilot(t, p, release)
 	if took := (<-noticed).Sub(started); took < 100*time.Millisecond {
-		t.Errorf("noticed after %v", took)
+		t.Errorf("hang detected after only %v, want at least 100 ms", took)
 	}
 	close(release)
 	p.Kill()
 }
 
-// A module that does not come back is noticed also while the pilot is being ended, which would else wait for it without end.
-func TestStuckWhileEnding(t *testing.T) {
-	p, release, noticed := newStuck(t)
+// A hung module is also detected during Stop, which would otherwise wait for it indefinitely.
+func TestHungModuleDuringStop(t *testing.T) {
+	p, release, noticed := newHungPilot(t)
 	ended := make(chan bool)
-	begin(t, p, release)
+	startPilot(t, p, release)
 	go func() { p.Stop(); close(ended) }()
 	select {
 	case <-noticed:
 	case <-time.After(5 * time.Second):
-		t.Error("nobody noticed")
+		t.Error("hang not detected during Stop")
 	}
 	close(release)
 	<-ended
 }
 
-type hanging chan bool
+// hangingModule is a decision module whose Decide returns only once the channel is closed.
+type hangingModule chan bool
 
-func (h hanging) Decide(time.Duration, []control.Event) []control.Order {
+func (h hangingModule) Decide(time.Duration, []control.Event) []control.Order {
 	<-h
 	return nil
 }
 
-// A pilot with no list at all sends proxies to another that has one; alone it takes them.
-func TestNoListYet(t *testing.T) {
-	x := newPair(t, func(i int, f *files.Pilot) {
+// A pilot without a server list redirects proxies to its peer.
+func TestPilotWithoutList(t *testing.T) {
+	x := newPilotPair(t, func(i int, f *files.Pilot) {
 		if i == 0 {
 			f.Roster = "127.0.0.1:1"
 		}
 	})
-	x.until("the other has its list", func() bool { return x.info(1, "\nList_from: list\n") })
+	x.waitFor("the list at the second pilot", func() bool { return x.infoContains(1, "\nList_from: list\n") })
 	x.proxies(4)
-	x.until("all at the one with a list", x.joined(0, 4))
-	if !x.info(0, "\nList_from: none\n") {
-		t.Error("a list from nowhere")
+	x.waitFor("all proxies at the pilot with a list", x.joinedCounts(0, 4))
+	if !x.infoContains(0, "\nList_from: none\n") {
+		t.Error("the first pilot reports a list")
 	}
 }
--- a/pilot/hello.go
+++ b/pilot/hello.go
@@ -10,19 +10,20 @@
 	"vetchdoor/tenancy"
 )
 
-// admission decides which proxies this pilot admits now. Without a list it admits them only where they have no other pilot.
+// admission returns the admission policy in the pilot's present state. Without a server list the pilot admits proxies only if
+// it has no peers.
 func (p *Pilot) admission() *fleet.Admission {
-	a := &fleet.Admission{MaxProxies: p.file.MostProxies, Leaving: p.leaving, Ready: p.fresher != "" || len(p.file.Peers) == 0}
+	a := &fleet.Admission{MaxProxies: p.file.MostProxies, Leaving: p.leaving, Ready: p.listOrigin != "" || len(p.file.Peers) == 0}
 	for _, peer := range p.file.Peers {
 		a.Peers = append(a.Peers, peer.Address)
 	}
 	return a
 }
 
-// answerRoomProbe says whether a proxy that probes for room would be let in.
+// answerRoomProbe answers a proxy that asks whether it would be admitted, and ends the stream.
 func (p *Pilot) answerRoomProbe(c *connection, probe runtime.RoomProbe) {
 	if decision := p.admission().Admit(proxyName(probe.Proxy), len(p.sessions)); !decision.Admitted {
-		p.sendAway(c, runtime.GoAway{Reason: decision.Reason, Redirect: decision.Redirect})
+		p.sendGoAway(c, runtime.GoAway{Reason: decision.Reason, Redirect: decision.Redirect})
 		return
 	}
 	delete(p.connections, c)
@@ -30,13 +31,13 @@
 	c.stream.End()
 }
 
-// handleHello lets a proxy join, or go on where it was.
+// handleHello resumes a proxy's session if it can, and otherwise starts a new one, redirects the proxy or refuses the stream.
 func (p *Pilot) handleHello(c *connection, h *runtime.Hello) {
 	if h.Zone >= len(p.file.Service.Zones) {
 		p.reject(c, fmt.Sprintf("zone %d is none of the %d", h.Zone, len(p.file.Service.Zones)))
 		return
 	}
-	if p.holdsOurs(h) && h.Run > p.run {
+	if p.holdsThisPilot(h) && h.Run > p.run {
 		p.adoptLaterRun(c, h.Run)
 		return
 	}
@@ -60,20 +61,20 @@
 	p.welcome(c, s, h, resumed)
 }
 
-// holdsOurs tells whether what a proxy applied last is a message of this pilot.
-func (p *Pilot) holdsOurs(h *runtime.Hello) bool { return h.Pilot == p.file.Name }
+// holdsThisPilot reports whether the last message that a proxy applied came from this pilot.
+func (p *Pilot) holdsThisPilot(h *runtime.Hello) bool { return h.Pilot == p.file.Name }
 
-// holdsThisRun tells whether what a proxy applied last is a message of this pilot's present run.
-func (p *Pilot) holdsThisRun(h *runtime.Hello) bool { return p.holdsOurs(h) && h.Run == p.run }
+// holdsThisRun reports whether the last message that a proxy applied came from this pilot's current run.
+func (p *Pilot) holdsThisRun(h *runtime.Hello) bool { return p.holdsThisPilot(h) && h.Run == p.run }
 
-// redirect sends a proxy that is not admitted to another pilot.
+// redirect refuses a proxy that is not admitted and names the pilot to dial instead, if one is known.
 func (p *Pilot) redirect(c *connection, id control.ProxyID, decision fleet.Decision) {
 	p.redirected++
-	p.log.Info("proxy sent to another pilot", "proxy", id, "reason", decision.Reason, "try", decision.Redirect)
-	p.sendAway(c, runtime.GoAway{Reason: decision.Reason, Redirect: decision.Redirect})
+	p.log.Info("proxy not admitted", "proxy", id, "reason", decision.Reason, "try", decision.Redirect)
+	p.sendGoAway(c, runtime.GoAway{Reason: decision.Reason, Redirect: decision.Redirect})
 }
 
-// closeHalfOpen closes the connection of a session whose proxy has come back on another.
+// closeHalfOpen closes the old connection of a session whose proxy has reconnected.
 func (p *Pilot) closeHalfOpen(s *session) {
 	if s == nil || s.conn == nil {
 		return
@@ -84,7 +85,7 @@
 	old.stream.Close()
 }
 
-// welcome joins a connection to its session and sends what waits for its proxy.
+// welcome attaches a connection to its session, answers the hello and sends the messages queued for the proxy.
 func (p *Pilot) welcome(c *connection, s *session, h *runtime.Hello, resumed bool) {
 	c.id, c.joined = h.Proxy, true
 	s.conn = c
@@ -92,9 +93,9 @@
 	if resumed {
 		p.resumed++
 	} else {
-		p.tellMover(h)
+		p.notifyMoverJoined(h)
 	}
-	p.records.joined(s, resumed)
+	p.records.recordJoined(s, resumed)
 	_ = c.stream.Send(runtime.Welcome{Pilot: p.file.Name, Run: p.run, Wire: runtime.Wire, Resumed: resumed}.Append(nil))
 	p.log.Info("proxy joined", "proxy", s.id, "zone", s.zone, "resumed", resumed)
 	p.pump()
@@ -103,26 +104,27 @@
 	}
 }
 
-// tellMover tells the mover that a proxy joined, and up to which number it has this pilot's bindings.
-func (p *Pilot) tellMover(h *runtime.Hello) {
-	has := uint64(0)
+// notifyMoverJoined reports to the mover that a proxy joined, and up to which number it has this pilot's bindings.
+func (p *Pilot) notifyMoverJoined(h *runtime.Hello) {
+	confirmedTo := uint64(0)
 	if h.Bound == p.file.Name {
-		has = h.BoundTo
+		confirmedTo = h.BoundTo
 	}
-	p.move(tenancy.Event{Joined: &tenancy.Joined{Proxy: tenancy.ProxyID(h.Proxy), Has: has}})
+	p.stepMover(tenancy.Event{Joined: &tenancy.Joined{Proxy: tenancy.ProxyID(h.Proxy), Has: confirmedTo}})
 }
 
-// adoptLaterRun goes on beyond a run of this pilot that a proxy holds, which refuses all older ones: the clock was set back since.
-// One that claims so again and again is turned away, for each time all join anew.
+// adoptLaterRun restarts the pilot with a run number above the one that a proxy has seen, because a proxy refuses older runs.
+// Run numbers are start times, so this happens when the clock was set back. Each restart makes all proxies join again, so a
+// further report within the silence timeout is refused.
 func (p *Pilot) adoptLaterRun(c *connection, run uint64) {
-	if run > maxRun || time.Since(p.outran) < p.silent {
+	if run > maxRun || time.Since(p.lastRunAdopted) < p.silenceTimeout {
 		p.reject(c, fmt.Sprintf("it holds run %d of this pilot, whose run is %d", run, p.run))
 		return
 	}
-	p.log.Warn("a proxy holds a later run of this pilot: the clock was set back; going on beyond it", "run", run)
-	p.outran, p.run = time.Now(), run
+	p.log.Warn("proxy has seen a later run of this pilot, so the clock was set back; restarting above it", "run", run)
+	p.lastRunAdopted, p.run = time.Now(), run
 	p.restart("clock")
 }
 
-// maxRun is the latest run that is believed, in the year 2255.
+// maxRun is the highest run number accepted from a proxy, in microseconds since 1970: a time in the year 2255.
 const maxRun = 9e15
--- a/pilot/host/host.go
+++ b/pilot/host/host.go
@@ -35,7 +35,7 @@
 	Seed           uint64
 	Log            *slog.Logger
 	SilenceTimeout time.Duration  // proxies consider the pilot dead after this; the module counts as hung after half of it
-	OnStuck        func()         // if not nil, called once when the module hangs; the process cannot recover from that and must exit
+	OnStuck        func()         // if not nil, called once when the module hangs; the process must exit then
 	NewDecider     func() Decider // creates the module; tests replace it
 	Callbacks      Callbacks
 
@@ -51,10 +51,10 @@
 	module     Decider
 	generation int // number of modules started, used to drop timers of earlier modules
 	events     []control.Event
-	batchTimer *time.Timer // fires at the tick at which the queued events are due
-	Batches    uint64
-	DecideTime time.Duration
-	Panics     uint64
+	batchTimer *time.Timer   // fires at the tick at which the queued events are due
+	Batches    uint64        // number of Decide calls
+	DecideTime time.Duration // total duration of the Decide calls
+	Panics     uint64        // number of Decide calls that panicked
 }
 
 // New returns a host with the default module and a silence timeout of 10 s. A tick that is not positive becomes 5 ms.
@@ -63,8 +63,9 @@
 	if facts.Tick <= 0 {
 		facts.Tick = 5 * time.Millisecond
 	}
-	return &Host{Facts: facts, Seed: seed, Log: log, SilenceTimeout: 10 * time.Second, epoch: time.Now(), inbox: make(chan func(), 1024),
-		stop: make(chan struct{}), stopped: make(chan struct{}), NewDecider: func() Decider { return &policy.Assigner{} }}
+	return &Host{Facts: facts, Seed: seed, Log: log, SilenceTimeout: 10 * time.Second, epoch: time.Now(),
+		inbox: make(chan func(), 1024), stop: make(chan struct{}), stopped: make(chan struct{}),
+		NewDecider: func() Decider { return &policy.Assigner{} }}
 }
 
 // Epoch returns the wall-clock time at which Now is zero.
--- a/pilot/host/probe.go
+++ b/pilot/host/probe.go
@@ -12,7 +12,8 @@
 
 // Probe sends a GET request for a path to an endpoint and returns the outcome and how long it took. parseLoad extracts the
 // endpoint's load report from the answer.
-func Probe(pool *upstream.Pool, id control.EndpointID, address, path string, timeout time.Duration, parseLoad func(*http1.Message) []float64) control.Probed {
+func Probe(pool *upstream.Pool, id control.EndpointID, address, path string, timeout time.Duration,
+	parseLoad func(*http1.Message) []float64) control.Probed {
 	started := time.Now()
 	req := http1.AppendBody([]byte("GET "+path+" HTTP/1.1\r\nHost: "+address+"\r\n"), nil)
 	answer, failure := pool.Send(&upstream.Call{}, address, req, started.Add(timeout), false)
--- a/pilot/intake.go
+++ b/pilot/intake.go
@@ -9,16 +9,16 @@
 	"vetchdoor/runtime"
 )
 
-// intake gathers the proxies' sums and hands them to the module, the oldest first, no more than so many lines a second;
-// what has to wait adds up. It is free of I/O.
+// intake aggregates the sums that proxies report and releases them to the module, oldest first, at a limited rate of lines.
+// Sums that have to wait are added to later ones of the same key. It does no I/O.
 type intake struct {
-	perSecond float64
-	room      float64
-	measures  int
-	known     func(control.EndpointID) bool // whose sums are kept; nil: all
-	types     int                           // op types that there are; 0: any number
-	digests   map[digestKey]*gathered
-	arrivals  map[arrivalKey]*gathered
+	linesPerSecond float64
+	credit         float64
+	measureCount   int
+	isKnown        func(control.EndpointID) bool // endpoints whose sums are kept; nil: all
+	opTypeCount    int                           // number of op types; 0: not checked
+	digests        map[digestKey]*pendingSum
+	arrivals       map[arrivalKey]*pendingSum
 }
 
 type digestKey struct {
@@ -31,54 +31,57 @@
 	opType int
 }
 
-// gathered is one line that waits.
-type gathered struct {
-	from, to time.Duration
-	n, bad   int
-	good     time.Duration // total latency of the good ones
-	load     []float64
+// pendingSum is one line that waits to be released.
+type pendingSum struct {
+	from, to      time.Duration
+	count, failed int
+	totalLatency  time.Duration // sum of the latencies of successful tries
+	load          []float64
 }
 
-func newIntake(perSecond float64, measures int) *intake {
-	return &intake{perSecond: perSecond, measures: measures, digests: map[digestKey]*gathered{},
-		arrivals: map[arrivalKey]*gathered{}}
+// newIntake returns an intake with a rate in lines per second, for load reports with the given number of measures.
+func newIntake(linesPerSecond float64, measureCount int) *intake {
+	return &intake{linesPerSecond: linesPerSecond, measureCount: measureCount, digests: map[digestKey]*pendingSum{},
+		arrivals: map[arrivalKey]*pendingSum{}}
 }
 
-// add takes a proxy's sums in.
+// add adds a report of a proxy. Sums of unknown endpoints and op types are ignored.
 func (in *intake) add(now time.Duration, id control.ProxyID, zone int, s *runtime.Sums) {
 	for _, t := range s.Types {
-		if in.types > 0 && t.OpType >= in.types {
+		if in.opTypeCount > 0 && t.OpType >= in.opTypeCount {
 			continue
 		}
-		g := gather(in.arrivals, arrivalKey{id, t.OpType}, now, s.Window)
-		g.n, g.bad = g.n+t.Ops, g.bad+min(t.Unacked, t.Ops)
+		g := pendingSumFor(in.arrivals, arrivalKey{id, t.OpType}, now, s.Window)
+		g.count, g.failed = g.count+t.Ops, g.failed+min(t.Unacked, t.Ops)
 	}
 	for _, e := range s.Servers {
-		if in.known != nil && !in.known(e.Endpoint) {
+		if in.isKnown != nil && !in.isKnown(e.Endpoint) {
 			continue
 		}
-		g := gather(in.digests, digestKey{zone, e.Endpoint}, now, s.Window)
+		g := pendingSumFor(in.digests, digestKey{zone, e.Endpoint}, now, s.Window)
 		failed := min(e.Failed, e.Tries)
-		g.n, g.bad = g.n+e.Tries, g.bad+failed
-		g.good += e.Latency * time.Duration(e.Tries-failed)
-		if len(e.Load) == in.measures && in.measures > 0 {
+		g.count, g.failed = g.count+e.Tries, g.failed+failed
+		g.totalLatency += e.Latency * time.Duration(e.Tries-failed)
+		if len(e.Load) == in.measureCount && in.measureCount > 0 {
 			g.load = e.Load
 		}
 	}
 }
 
-func gather[K comparable](m map[K]*gathered, k K, now, window time.Duration) *gathered {
+// pendingSumFor returns the waiting line of a key, creating it if needed, with its time range extended by the window before
+// now.
+func pendingSumFor[K comparable](m map[K]*pendingSum, k K, now, window time.Duration) *pendingSum {
 	g := m[k]
 	if g == nil {
-		g = &gathered{from: now - window}
+		g = &pendingSum{from: now - window}
 		m[k] = g
 	}
 	g.from, g.to = min(g.from, now-window), now
 	return g
 }
 
-// forget drops what waits of a proxy that left.
-func (in *intake) forget(id control.ProxyID) {
+// dropProxy discards the waiting arrivals of a proxy that left.
+func (in *intake) dropProxy(id control.ProxyID) {
 	for k := range in.arrivals {
 		if k.proxy == id {
 			delete(in.arrivals, k)
@@ -86,9 +89,10 @@
 	}
 }
 
-// take returns what the module is given now, a period after the last call.
-func (in *intake) take(period time.Duration) (events []control.Event) {
-	in.room = min(in.room, in.perSecond*period.Seconds()) + in.perSecond*period.Seconds()
+// drain returns the events that the rate allows now, if it is called once per period. Unused rate of one period is carried
+// over.
+func (in *intake) drain(period time.Duration) (events []control.Event) {
+	in.credit = min(in.credit, in.linesPerSecond*period.Seconds()) + in.linesPerSecond*period.Seconds()
 	type waitingLine struct {
 		from  time.Duration
 		order [3]int
@@ -98,10 +102,10 @@
 	for k, g := range in.digests {
 		lines = append(lines, waitingLine{g.from, [3]int{0, k.zone, int(k.endpoint)}, func() control.Event {
 			delete(in.digests, k)
-			d := control.Digest{Zone: k.zone, Endpoint: k.endpoint, Tries: g.n, Failed: g.bad, Window: g.to - g.from,
+			d := control.Digest{Zone: k.zone, Endpoint: k.endpoint, Tries: g.count, Failed: g.failed, Window: g.to - g.from,
 				Load: g.load}
-			if g.n > g.bad {
-				d.Latency = g.good / time.Duration(g.n-g.bad)
+			if g.count > g.failed {
+				d.Latency = g.totalLatency / time.Duration(g.count-g.failed)
 			}
 			return d
 		}})
@@ -109,17 +113,17 @@
 	for k, g := range in.arrivals {
 		lines = append(lines, waitingLine{g.from, [3]int{1, int(k.proxy), k.opType}, func() control.Event {
 			delete(in.arrivals, k)
-			return control.Arrivals{Proxy: k.proxy, OpType: k.opType, Ops: g.n, Unacked: g.bad, Window: g.to - g.from}
+			return control.Arrivals{Proxy: k.proxy, OpType: k.opType, Ops: g.count, Unacked: g.failed, Window: g.to - g.from}
 		}})
 	}
 	slices.SortFunc(lines, func(a, b waitingLine) int {
 		return cmp.Or(cmp.Compare(a.from/time.Second, b.from/time.Second), slices.Compare(a.order[:], b.order[:]))
 	})
 	for _, l := range lines {
-		if in.room < 1 {
+		if in.credit < 1 {
 			break
 		}
-		in.room--
+		in.credit--
 		events = append(events, l.event())
 	}
 	return events
--- a/pilot/lifecycle.go
+++ b/pilot/lifecycle.go
@@ -14,33 +14,33 @@
 	"vetchdoor/stream"
 )
 
-// Start reads the cached list, listens for proxies and people, and follows the list service. If it fails nothing is left of
-// the pilot, and Stop and Kill do nothing.
+// Start reads the cached list, opens the listeners for proxies and for admin commands, and follows the list service. If it
+// fails, everything it opened is closed again, and Stop and Kill do nothing.
 func (p *Pilot) Start() (err error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	p.cancel = cancel
 	defer func() {
-		if err != nil { // nothing runs that an end in order could be posted to
+		if err != nil { // the loop does not run, so Stop could not post to it
 			p.Kill()
 		}
 	}()
 	rng := rand.New(rand.NewPCG(p.host.Seed, uint64(p.file.Instance)))
-	p.probes.Net = p.Net
+	p.probePool.Net = p.Net
 	p.source = &roster.Client{Address: p.file.Roster, Log: p.log, Rand: rng, Net: p.Net,
-		Take: func(u *roster.Update) { p.post(func() { p.listed(u) }) }}
+		Take: func(u *roster.Update) { p.post(func() { p.applyListUpdate(u) }) }}
 	if p.file.Cache != "" {
 		version, entries, err := roster.Load(p.file.Cache, p.file.Name)
 		if err != nil {
-			p.log.Warn("the cached list cannot be used", "error", err)
+			p.log.Warn("cached list cannot be read; starting without it", "error", err)
 		}
 		for _, e := range entries {
 			p.list[e.Endpoint] = e
 		}
-		if p.version = version; len(entries) > 0 {
-			p.fresher = "cache"
-			p.log.Warn("runs by its cached list until the list service is heard", "version", version, "servers", len(entries))
+		if p.listVersion = version; len(entries) > 0 {
+			p.listOrigin = "cache"
+			p.log.Warn("using the cached list until the list service answers", "version", version, "servers", len(entries))
 		}
-		p.saver = newSaver(p.file.Cache, p.file.Name, p.log)
+		p.listCache = newListCache(p.file.Cache, p.file.Name, p.log)
 	}
 	if err = p.openMoves(); err != nil {
 		return err
@@ -50,7 +50,7 @@
 		types = append(types, t.Name)
 	}
 	p.records = newRecorder(p.Records, p.file.Name, types, p.run, p.host.Now)
-	p.records.began(p.run, "start")
+	p.records.recordStart(p.run, "start")
 	p.host.OnStuck = p.OnStuck
 	p.host.StartModule()
 	if p.ln, err = stream.Listen(p.Net, p.file.Listen, p.accept); err != nil {
@@ -65,26 +65,26 @@
 	if err = p.startMembers(); err != nil {
 		return err
 	}
-	p.done.Add(2)
-	go func() { defer p.done.Done(); p.source.Run(ctx) }()
-	go func() { defer p.done.Done(); p.host.RunWatchdog() }()
-	p.log.Info("pilot runs", "listen", p.ln.Address(), "run", p.run, "list", len(p.list)) // before the loop owns the list
-	p.pace = p.host.After(time.Hour, p.pump)
+	p.background.Add(2)
+	go func() { defer p.background.Done(); p.source.Run(ctx) }()
+	go func() { defer p.background.Done(); p.host.RunWatchdog() }()
+	p.log.Info("pilot runs", "listen", p.ln.Address(), "run", p.run, "list", len(p.list)) // reads p.list before the loop owns it
+	p.sendTimer = p.host.After(time.Hour, p.pump)
 	p.host.Every(p.facts.ReportEvery, func() {
-		for _, e := range p.intake.take(p.facts.ReportEvery) {
+		for _, e := range p.intake.drain(p.facts.ReportEvery) {
 			p.host.Enqueue(e)
 		}
 		p.limitTenants()
 	})
-	p.host.Every(min(p.silent/4, time.Second), p.watch)
+	p.host.Every(min(p.silenceTimeout/4, time.Second), p.checkConnections)
 	go p.host.Run()
 	return nil
 }
 
-// Address is where proxies dial.
+// Address returns the address on which the pilot listens for proxies.
 func (p *Pilot) Address() string { return p.ln.Address() }
 
-// AdminAddress is where people are served; empty without one.
+// AdminAddress returns the address of the admin listener, or "" if there is none.
 func (p *Pilot) AdminAddress() string {
 	if p.admin == nil {
 		return ""
@@ -92,14 +92,14 @@
 	return p.admin.Address()
 }
 
-// Stop ends the pilot in order: no new proxies, streams closed once what left the channel is written.
-// Where there are other pilots its proxies are sent to them first, a few at a time.
+// Stop shuts the pilot down gracefully. It redirects the proxies to the pilot's peers in batches, if there are any, then stops
+// accepting streams and closes each stream once the messages sent on it are written. Messages still in the channel are lost.
 func (p *Pilot) Stop() {
-	if p.cancel == nil { // it was never started
+	if p.cancel == nil { // never started
 		return
 	}
-	p.ending.Do(func() {
-		p.leave()
+	p.stopOnce.Do(func() {
+		p.redirectProxies()
 		p.cancel()
 		ended := make(chan struct{})
 		if p.post(func() {
@@ -114,53 +114,55 @@
 				p.admin.Stop()
 			}
 		}
-		p.end()
-		p.log.Info("pilot ended")
+		p.shutdown()
+		p.log.Info("pilot stopped")
 	})
 }
 
-// leaveStep is how often some are sent away.
-const leaveStep = 50 * time.Millisecond
+// redirectInterval is the time between two batches of redirected proxies.
+const redirectInterval = 50 * time.Millisecond
 
-// leave sends the proxies to other pilots, evenly, within the time that the file gives.
-func (p *Pilot) leave() {
-	all := p.file.LeaveWithin.Span()
-	if all <= 0 {
-		all = usualLeave
-	}
-	end := time.Now().Add(all)
-	for left := all; left > 0 && len(p.file.Peers) > 0; left = time.Until(end) {
-		gone := make(chan bool, 1)
-		if !p.post(func() { gone <- p.sendSome(left, all) }) || <-gone {
+// redirectProxies redirects the connected proxies to the pilot's peers in even batches, within the leave_within time of the
+// pilot's file.
+func (p *Pilot) redirectProxies() {
+	total := p.file.LeaveWithin.Span()
+	if total <= 0 {
+		total = defaultLeaveWithin
+	}
+	end := time.Now().Add(total)
+	for left := total; left > 0 && len(p.file.Peers) > 0; left = time.Until(end) {
+		done := make(chan bool, 1)
+		if !p.post(func() { done <- p.redirectBatch(left, total) }) || <-done {
 			return
 		}
-		time.Sleep(leaveStep)
+		time.Sleep(redirectInterval)
 	}
 }
 
-// sendSome sends some proxies away and tells whether none is left.
-func (p *Pilot) sendSome(left, all time.Duration) bool {
+// redirectBatch redirects the next batch of connected proxies and reports whether none was connected; left is what remains of
+// the total time.
+func (p *Pilot) redirectBatch(left, total time.Duration) bool {
 	p.leaving = true
-	var here []*session
+	var connected []*session
 	for _, id := range slices.Sorted(maps.Keys(p.sessions)) {
 		if s := p.sessions[id]; s.conn != nil {
-			here = append(here, s)
+			connected = append(connected, s)
 		}
 	}
 	admission := p.admission()
-	for _, s := range here[:fleet.LeaveBatch(len(here), left, all, leaveStep)] {
+	for _, s := range connected[:fleet.LeaveBatch(len(connected), left, total, redirectInterval)] {
 		c := s.conn
-		s.conn = nil // dropped, its stream would close before the word is out
-		p.sendAway(c, runtime.GoAway{Joined: true, Redirect: admission.Redirect(proxyName(s.id))})
+		s.conn = nil // drop would close the stream before the redirect is written
+		p.sendGoAway(c, runtime.GoAway{Joined: true, Redirect: admission.Redirect(proxyName(s.id))})
 		p.drop(s)
 	}
-	return len(here) == 0
+	return len(connected) == 0
 }
 
-// usualLeave is how long proxies are sent away for.
-const usualLeave = 10 * time.Second
+// defaultLeaveWithin is the time within which proxies are redirected where the pilot's file gives none.
+const defaultLeaveWithin = 10 * time.Second
 
-// Pause holds the pilot up for a while, as a process that is stopped and goes on; a rehearsal's way of one.
+// Pause blocks the loop for d, or until Stop or Kill, to simulate a process that is suspended and continued.
 func (p *Pilot) Pause(d time.Duration) {
 	p.post(func() {
 		select {
@@ -170,38 +172,39 @@
 	})
 }
 
-// Kill ends the pilot as a killed process would: nothing is said, nothing written.
+// Kill ends the pilot as if its process were killed: proxies are not redirected and streams are not flushed.
 func (p *Pilot) Kill() {
 	if p.cancel == nil {
 		return
 	}
-	p.ending.Do(func() {
+	p.stopOnce.Do(func() {
 		p.cancel()
-		p.end()
+		p.shutdown()
 	})
 }
 
-func (p *Pilot) end() {
+// shutdown stops the loop and closes everything else.
+func (p *Pilot) shutdown() {
 	p.host.Stop()
-	p.closeAll()
+	p.closeResources()
 }
 
-// closeAll ends what runs beside the loop, as far as it was begun.
-func (p *Pilot) closeAll() {
+// closeResources closes the listeners, connections and writers that were opened, and waits for the background goroutines.
+func (p *Pilot) closeResources() {
 	if p.ln != nil {
 		p.ln.Close()
 	}
 	if p.admin != nil {
 		p.admin.Close()
 	}
-	p.done.Wait()
-	p.probes.Close()
+	p.background.Wait()
+	p.probePool.Close()
 	p.records.close()
 	if p.members != nil {
 		p.members.Close()
 	}
-	if p.saver != nil {
-		p.saver.close()
+	if p.listCache != nil {
+		p.listCache.close()
 	}
 	if p.mover != nil {
 		p.mover.close()
--- a/pilot/list.go
+++ b/pilot/list.go
@@ -12,8 +12,9 @@
 	"vetchdoor/roster"
 )
 
-// listed takes in what the list service says.
-func (p *Pilot) listed(u *roster.Update) {
+// applyListUpdate applies an update from the list service: it passes the changes to the module, notifies proxies of servers
+// whose address, zone or pack changed, and saves the list.
+func (p *Pilot) applyListUpdate(u *roster.Update) {
 	if u.Kind == "failed" {
 		p.host.Enqueue(control.Listing{Kind: control.Failed})
 		return
@@ -21,12 +22,12 @@
 	var known []roster.Entry
 	for _, e := range u.Entries {
 		if e.Mode == "gone" {
-			if old, ok := p.list[e.Endpoint]; ok { // where it was is still needed, to keep proxies off it
+			if old, ok := p.list[e.Endpoint]; ok { // the place is still needed to withdraw it from proxies
 				e.Address, e.Zone, e.Pack = old.Address, old.Zone, old.Pack
 			}
 		}
 		if p.file.Service.ZoneIndex(e.Zone) < 0 {
-			p.log.Warn("an endpoint of a zone that is not known is left out", "endpoint", e.Endpoint, "zone", e.Zone)
+			p.log.Warn("endpoint in an unknown zone ignored", "endpoint", e.Endpoint, "zone", e.Zone)
 			continue
 		}
 		known = append(known, e)
@@ -52,25 +53,26 @@
 		}
 		p.list[e.Endpoint] = e
 	}
-	p.version, p.fresher = u.Version, "list"
-	if p.given = p.given || len(known) > 0; p.given {
-		p.host.Enqueue(control.Listing{Kind: kind, Entries: p.entries(known)})
+	p.listVersion, p.listOrigin = u.Version, "list"
+	if p.listDelivered = p.listDelivered || len(known) > 0; p.listDelivered {
+		p.host.Enqueue(control.Listing{Kind: kind, Entries: p.controlEntries(known)})
 	}
 	if len(moved) > 0 {
-		p.desired.moved(moved)
+		p.desired.markMoved(moved)
 		p.pump()
 	}
-	if p.saver != nil {
-		p.saver.save(p.version, p.sortedList())
+	if p.listCache != nil {
+		p.listCache.save(p.listVersion, p.sortedList())
 	}
 }
 
-// keepFor is how long an endpoint is kept that is gone: sums of it come late, and one that restarts may be gone meanwhile.
-const keepFor = 30 * time.Second
+// keepGoneFor is how long an endpoint is kept after it is gone from the list: sums for it arrive late, and a server that
+// restarts may be off the list in between.
+const keepGoneFor = 30 * time.Second
 
-// forget lets go of endpoints that the list names no more, once no table names them and none is withdrawn: a pilot that
-// follows releases for months would else keep every endpoint that ever was.
-func (p *Pilot) forget() {
+// forgetGoneEndpoints deletes endpoints that have been gone from the list for keepGoneFor, once no table contains them and they
+// are not withdrawn. Otherwise a pilot that runs for months would keep every endpoint that was ever listed.
+func (p *Pilot) forgetGoneEndpoints() {
 	for id, e := range p.list {
 		if e.Mode != "gone" {
 			delete(p.goneAt, id)
@@ -80,14 +82,14 @@
 		switch {
 		case !noted:
 			p.goneAt[id] = p.host.Now()
-		case p.host.Now()-since > p.keep && p.desired.free(id):
+		case p.host.Now()-since > p.keepGone && p.desired.isUnreferenced(id):
 			delete(p.goneAt, id)
 			delete(p.list, id)
 		}
 	}
 }
 
-// sortedList is the list as known, by endpoint.
+// sortedList returns the listed endpoints that are not gone, sorted by id.
 func (p *Pilot) sortedList() []roster.Entry {
 	out := make([]roster.Entry, 0, len(p.list))
 	for _, e := range p.list {
@@ -99,11 +101,11 @@
 	return out
 }
 
-// entries turns entries into the module's, wall clock to spans.
-func (p *Pilot) entries(list []roster.Entry) []control.Entry {
+// controlEntries converts list entries to the module's type; start times become offsets from the host's epoch.
+func (p *Pilot) controlEntries(list []roster.Entry) []control.Entry {
 	out := make([]control.Entry, len(list))
 	for i, e := range list {
-		mode, _ := files.ModeOf(e.Mode) // checked as it was read
+		mode, _ := files.ModeOf(e.Mode) // validated when the list was read
 		out[i] = control.Entry{Endpoint: e.Endpoint, Weight: e.Weight, Mode: mode, Started: control.LongAgo,
 			Machine: e.Machine, Zone: p.file.Service.ZoneIndex(e.Zone), Pack: e.Pack}
 		if e.Started > 0 {
@@ -113,29 +115,30 @@
 	return out
 }
 
-// saver writes the list to disk beside the loop, the newest only.
-type saver struct {
-	path  string
-	pilot string
-	log   *slog.Logger
-	mu    sync.Mutex
-	next  func() error
-	wake  chan struct{}
-	done  chan struct{}
+// listCache saves the list to disk on a goroutine of its own. Of several pending versions only the newest is written.
+type listCache struct {
+	path    string
+	pilot   string
+	log     *slog.Logger
+	mu      sync.Mutex
+	pending func() error
+	wake    chan struct{}
+	done    chan struct{}
 }
 
-func newSaver(path, pilot string, log *slog.Logger) *saver {
-	s := &saver{path: path, pilot: pilot, log: log, wake: make(chan struct{}, 1), done: make(chan struct{})}
+// newListCache starts the goroutine that writes the list; close stops it.
+func newListCache(path, pilot string, log *slog.Logger) *listCache {
+	s := &listCache{path: path, pilot: pilot, log: log, wake: make(chan struct{}, 1), done: make(chan struct{})}
 	go func() {
 		defer close(s.done)
 		for range s.wake {
 			s.mu.Lock()
-			f := s.next
-			s.next = nil
+			f := s.pending
+			s.pending = nil
 			s.mu.Unlock()
 			if f != nil {
 				if err := f(); err != nil {
-					s.log.Error("the list could not be kept on disk", "error", err)
+					s.log.Error("server list not saved to disk", "error", err)
 				}
 			}
 		}
@@ -143,9 +146,10 @@
 	return s
 }
 
-func (s *saver) save(version uint64, entries []roster.Entry) {
+// save replaces the version to be written next. It does not block.
+func (s *listCache) save(version uint64, entries []roster.Entry) {
 	s.mu.Lock()
-	s.next = func() error { return roster.Save(s.path, s.pilot, version, entries) }
+	s.pending = func() error { return roster.Save(s.path, s.pilot, version, entries) }
 	s.mu.Unlock()
 	select {
 	case s.wake <- struct{}{}:
@@ -153,7 +157,8 @@
 	}
 }
 
-func (s *saver) close() {
+// close waits until the last pending version is written.
+func (s *listCache) close() {
 	close(s.wake)
 	<-s.done
 }
--- a/pilot/moves.go
+++ b/pilot/moves.go
@@ -17,33 +17,35 @@
 	"vetchdoor/tenancy/store"
 )
 
-// mover carries out what tenancy decides of tenants that move: records go to disk, beside the loop, and only then do the
-// orders that came with them go to proxies, in turn and as the channel has nothing else to send. It is the loop's own.
+// mover carries out the moves of tenants that tenancy.Mover decides. The records of a step are written to disk on another
+// goroutine, and only then are its orders sent to the proxies, in turn and when the channel has no other message to send. It
+// is used only on the loop.
 type mover struct {
 	*tenancy.Mover
-	store   *store.Store
-	disk    *disk
-	wake    *time.Timer
-	sending []*session // that have orders to be sent, in turn
-	moved   uint64
-	undone  uint64             // cancelled
-	last    []tenancy.End      // the newest ends, for people
-	kept    []tenancy.Sentence // limits that stood when the last run ended
+	store           *store.Store
+	writer          *storeWriter
+	wake            *time.Timer
+	sendingSessions []*session // sessions with orders to send, in turn
+	moved           uint64
+	cancelled       uint64             // number of moves that were cancelled
+	recentEnds      []tenancy.End      // the latest ends of moves, for show move
+	restoredLimits  []tenancy.Sentence // limits loaded from the store at the start
 }
 
-// bound is an order for one session of a proxy.
-type bound struct {
+// sessionOrder is an order for one session of a proxy. It is not sent if the session has ended.
+type sessionOrder struct {
 	tenancy.Order
 	s *session
 }
 
-// defaultAbreast moves go on at a time; most writes held at once are theirs.
-const defaultAbreast = 64
+// defaultConcurrentMoves is the default number of moves in progress at a time. It bounds how many tenants' writes are held at
+// once.
+const defaultConcurrentMoves = 64
 
-// bindingLines bounds a message of bindings, which the module's next one waits for.
-const bindingLines = 64
+// maxBindingLines bounds the lines of a message of bindings, because the module's next message has to wait for it.
+const maxBindingLines = 64
 
-// openMoves opens the store and goes on from it.
+// openMoves opens the store of tenants and starts the mover with its contents, if moves are configured.
 func (p *Pilot) openMoves() error {
 	f := p.file.Moves
 	if f == nil {
@@ -53,198 +55,206 @@
 	if err != nil {
 		return err
 	}
-	kept, err := s.Load()
+	stored, err := s.Load()
 	if err != nil {
 		s.Close()
 		return err
 	}
-	w := tenancy.Waits{Most: f.Most.Span(), Abreast: f.Abreast}
-	w.Write, w.Window = tenancy.Needs(p.facts.OpTypes, p.file.Service.WriteLife.Span())
-	if w.Most <= 0 {
-		w.Most = 10 * (w.Write + w.Window)
+	waits := tenancy.Waits{Most: f.Most.Span(), Abreast: f.Abreast}
+	waits.Write, waits.Window = tenancy.Needs(p.facts.OpTypes, p.file.Service.WriteLife.Span())
+	if waits.Most <= 0 {
+		waits.Most = 10 * (waits.Write + waits.Window)
 	}
-	if w.Abreast <= 0 {
-		w.Abreast = defaultAbreast
+	if waits.Abreast <= 0 {
+		waits.Abreast = defaultConcurrentMoves
 	}
-	p.mover = &mover{Mover: tenancy.NewMover(w, kept.Born, kept.Records, kept.Known), store: s, wake: p.host.After(0, func() { p.move() }),
-		kept: kept.Sentences}
-	p.mover.disk = startDisk(s, p.log, func(orders []bound) { p.post(func() { p.bindings(orders) }) })
-	p.log.Info("tenants may be moved", "store", f.Store, "moved", len(kept.Records), "proxies", len(kept.Known))
+	p.mover = &mover{Mover: tenancy.NewMover(waits, stored.Born, stored.Records, stored.Known), store: s,
+		wake:           p.host.After(0, func() { p.stepMover() }),
+		restoredLimits: stored.Sentences}
+	p.mover.writer = startStoreWriter(s, p.log, func(orders []sessionOrder) { p.post(func() { p.queueBindings(orders) }) })
+	p.log.Info("store of tenants opened; moves of tenants enabled", "store", f.Store, "moved", len(stored.Records),
+		"proxies", len(stored.Known))
 	return nil
 }
 
-// move tells the mover what happened and has what it asks for carried out.
-func (p *Pilot) move(events ...tenancy.Event) []error {
+// stepMover passes events to the mover and carries out the result. It returns the errors of the events that were refused.
+func (p *Pilot) stepMover(events ...tenancy.Event) []error {
 	m := p.mover
 	if m == nil {
 		return nil
 	}
-	d := m.Step(p.host.Now(), events...)
+	done := m.Step(p.host.Now(), events...)
 	for _, e := range events {
-		if e.Ask != nil && len(d.Refused) == 0 {
-			p.records.movesAsked(*e.Ask)
+		if e.Ask != nil && len(done.Refused) == 0 {
+			p.records.recordMoveRequest(*e.Ask)
 		}
 	}
-	for _, e := range d.Ended {
-		p.records.moved(e)
+	for _, e := range done.Ended {
+		p.records.recordMoveEnd(e)
 		if e.Moved {
 			m.moved++
 		} else {
-			m.undone++
-			p.log.Warn("a move was cancelled", "tenant", e.Tenant, "held", e.Held)
+			m.cancelled++
+			p.log.Warn("tenant move cancelled", "tenant", e.Tenant, "held", e.Held)
 		}
-		m.last = append(m.last, e)
+		m.recentEnds = append(m.recentEnds, e)
 	}
-	m.last = m.last[max(0, len(m.last)-20):]
-	if d.Wake >= 0 {
-		m.wake.Reset(d.Wake)
+	m.recentEnds = m.recentEnds[max(0, len(m.recentEnds)-20):]
+	if done.Wake >= 0 {
+		m.wake.Reset(done.Wake)
 	}
-	if len(d.Records) > 0 || d.Known != nil || len(d.Orders) > 0 {
-		orders := make([]bound, 0, len(d.Orders))
-		for _, o := range d.Orders {
+	if len(done.Records) > 0 || done.Known != nil || len(done.Orders) > 0 {
+		orders := make([]sessionOrder, 0, len(done.Orders))
+		for _, o := range done.Orders {
 			if s := p.sessions[control.ProxyID(o.Proxy)]; s != nil {
-				orders = append(orders, bound{o, s})
+				orders = append(orders, sessionOrder{o, s})
 			}
 		}
-		m.disk.keep(d, orders, func(b bound) bool { return p.sessions[b.s.id] == b.s })
+		m.writer.add(done, orders, func(b sessionOrder) bool { return p.sessions[b.s.id] == b.s })
 	}
-	return d.Refused
+	return done.Refused
 }
 
-// bindings takes orders that are on disk.
-func (p *Pilot) bindings(orders []bound) {
+// queueBindings queues orders whose records are on disk.
+func (p *Pilot) queueBindings(orders []sessionOrder) {
 	for _, b := range orders {
-		if p.sessions[b.s.id] != b.s { // its proxy left, and hears of it when it joins
+		if p.sessions[b.s.id] != b.s { // the proxy left; it gets the binding when it joins again
 			continue
 		}
 		if len(b.s.bindings) == 0 {
-			p.mover.sending = append(p.mover.sending, b.s)
+			p.mover.sendingSessions = append(p.mover.sendingSessions, b.s)
 		}
 		b.s.bindings = append(b.s.bindings, b.Order)
 	}
 	p.pump()
 }
 
-// sendBindings gives the channel, where nothing else can leave it now, a message of bindings for the next proxy that takes
-// one; it tells whether it did.
+// sendBindings enqueues a message of bindings for the next proxy whose window has room. It is called when no queued message
+// can be sent, and reports whether it enqueued one.
 func (p *Pilot) sendBindings() bool {
-	if p.mover == nil || p.channel.waiting > p.channel.most/2 {
+	if p.mover == nil || p.channel.waitingLines > p.channel.maxLines/2 {
 		return false
 	}
-	l := slices.DeleteFunc(p.mover.sending, func(s *session) bool { return p.sessions[s.id] != s })
-	p.mover.sending = l
+	l := slices.DeleteFunc(p.mover.sendingSessions, func(s *session) bool { return p.sessions[s.id] != s })
+	p.mover.sendingSessions = l
 	i := slices.IndexFunc(l, func(s *session) bool {
-		return s.conn != nil && (s.unconfirmed == 0 || s.unconfirmed+bindingLines+p.desired.head <= s.window)
+		return s.conn != nil && (s.unconfirmedLines == 0 || s.unconfirmedLines+maxBindingLines+p.desired.headLines <= s.windowLines)
 	})
 	if i < 0 {
 		return false
 	}
 	s := l[i]
-	orders := s.bindings[:min(bindingLines, len(s.bindings))]
+	orders := s.bindings[:min(maxBindingLines, len(s.bindings))]
 	changes := make([]runtime.Change, len(orders))
 	for j, b := range orders {
-		if changes[j] = (runtime.Change{Verb: runtime.SetBinding, Tenant: b.Tenant, Number: b.Number, Seat: b.Seat, Held: b.Held}); b.Clear {
+		if changes[j] = (runtime.Change{Verb: runtime.SetBinding, Tenant: b.Tenant, Number: b.Number, Seat: b.Seat,
+			Held: b.Held}); b.Clear {
 			changes[j] = runtime.Change{Verb: runtime.ClearBindings, Number: b.Number}
 		}
 	}
 	s.bindings = s.bindings[len(orders):]
-	p.mover.sending = slices.Delete(l, i, i+1)
+	p.mover.sendingSessions = slices.Delete(l, i, i+1)
 	if len(s.bindings) > 0 {
-		p.mover.sending = append(p.mover.sending, s)
+		p.mover.sendingSessions = append(p.mover.sendingSessions, s)
 	} else {
 		s.bindings = nil
 	}
-	p.queue(p.host.Now(), []outgoing{p.desired.alone(s.id, changes)})
+	p.enqueueMessages(p.host.Now(), []outgoing{p.desired.newMessage(s.id, changes)})
 	return true
 }
 
-// waiting is how many orders wait to be sent.
-func (m *mover) waiting() (n int) {
-	for _, s := range m.sending {
+// waitingOrders returns the number of stored orders that are not sent.
+func (m *mover) waitingOrders() (n int) {
+	for _, s := range m.sendingSessions {
 		n += len(s.bindings)
 	}
 	return n
 }
 
-// placed takes the word of a proxy that bindings of a message are in force.
-func (p *Pilot) placed(s *session, m outgoing) {
+// confirmBindings reports to the mover that the bindings of a message are in force at a proxy.
+func (p *Pilot) confirmBindings(s *session, m outgoing) {
 	if p.mover == nil {
 		return
 	}
 	var events []tenancy.Event
 	for _, c := range m.Changes {
 		if c.Verb == runtime.SetBinding {
-			events = append(events, tenancy.Event{Confirmed: &tenancy.Confirm{Proxy: tenancy.ProxyID(s.id), Tenant: c.Tenant, Number: c.Number}})
+			events = append(events, tenancy.Event{Confirmed: &tenancy.Confirm{Proxy: tenancy.ProxyID(s.id), Tenant: c.Tenant,
+				Number: c.Number}})
 		}
 	}
 	if len(events) > 0 {
-		p.move(events...)
+		p.stepMover(events...)
 	}
 }
 
-// disk writes what steps of the mover hand out, in order, as many at once as there are; what cannot be written is tried
-// again, and no later order goes out before it.
-type disk struct {
-	store *store.Store
-	log   *slog.Logger
-	send  func([]bound)
-	mu    sync.Mutex
-	next  map[string]tenancy.Record
-	known []tenancy.ProxyID
-	limit []tenancy.Sentence // not nil: to be kept
-	bound []bound
-	look  int // orders at which those of sessions that ended are left out
-	err   error
-	wake  chan struct{}
-	stop  chan struct{}
-	done  chan struct{}
+// storeWriter writes the records of the mover's steps to the store, in order and in batches. A write that fails is retried
+// every second, and no order is sent before the records of its step and of all earlier steps are written.
+type storeWriter struct {
+	store   *store.Store
+	log     *slog.Logger
+	send    func([]sessionOrder)
+	mu      sync.Mutex
+	records map[string]tenancy.Record
+	known   []tenancy.ProxyID
+	limits  []tenancy.Sentence // limits to be stored; nil: unchanged
+	orders  []sessionOrder
+	pruneAt int // number of orders at which those of ended sessions are removed
+	err     error
+	wake    chan struct{}
+	stop    chan struct{}
+	done    chan struct{}
 }
 
-const mostLook = 1 << 16
+// minPruneAt is the lowest value of storeWriter.pruneAt.
+const minPruneAt = 1 << 16
 
-func startDisk(s *store.Store, log *slog.Logger, send func([]bound)) *disk {
-	d := &disk{store: s, log: log, send: send, look: mostLook, next: map[string]tenancy.Record{}, wake: make(chan struct{}, 1), stop: make(chan struct{}), done: make(chan struct{})}
+// startStoreWriter starts the goroutine that writes to the store. It calls send with the orders whose records are written.
+func startStoreWriter(s *store.Store, log *slog.Logger, send func([]sessionOrder)) *storeWriter {
+	d := &storeWriter{store: s, log: log, send: send, pruneAt: minPruneAt, records: map[string]tenancy.Record{},
+		wake: make(chan struct{}, 1), stop: make(chan struct{}), done: make(chan struct{})}
 	go d.run()
 	return d
 }
 
-// keep takes in a step. While the disk fails no more is held than the newest record of each tenant and the orders of the
-// sessions that there are.
-func (d *disk) keep(done tenancy.Done, orders []bound, there func(bound) bool) {
+// add queues the result of a step. While writes fail, memory is bounded by one record per tenant and the orders of current
+// sessions, for which isCurrent reports true.
+func (d *storeWriter) add(result tenancy.Done, orders []sessionOrder, isCurrent func(sessionOrder) bool) {
 	d.mu.Lock()
-	for _, r := range done.Records {
-		d.next[r.Tenant] = r
+	for _, r := range result.Records {
+		d.records[r.Tenant] = r
 	}
-	if done.Known != nil {
-		d.known = done.Known
+	if result.Known != nil {
+		d.known = result.Known
 	}
-	if d.bound = append(d.bound, orders...); len(d.bound) > d.look {
-		d.bound = slices.DeleteFunc(d.bound, func(b bound) bool { return !there(b) })
-		d.look = max(mostLook, 2*len(d.bound))
+	if d.orders = append(d.orders, orders...); len(d.orders) > d.pruneAt {
+		d.orders = slices.DeleteFunc(d.orders, func(b sessionOrder) bool { return !isCurrent(b) })
+		d.pruneAt = max(minPruneAt, 2*len(d.orders))
 	}
 	d.mu.Unlock()
-	d.poke()
+	d.wakeUp()
 }
 
-// poke has what was taken in written.
-func (d *disk) poke() {
+// wakeUp starts writing what is queued. It does not block.
+func (d *storeWriter) wakeUp() {
 	select {
 	case d.wake <- struct{}{}:
 	default:
 	}
 }
 
-// sentences takes in the limits that stand.
-func (d *disk) sentences(all []tenancy.Sentence) {
+// setLimits queues all current limits of tenants to be stored.
+func (d *storeWriter) setLimits(all []tenancy.Sentence) {
 	d.mu.Lock()
-	if d.limit = all; all == nil {
-		d.limit = []tenancy.Sentence{}
+	if d.limits = all; all == nil {
+		d.limits = []tenancy.Sentence{}
 	}
 	d.mu.Unlock()
-	d.poke()
+	d.wakeUp()
 }
 
-func (d *disk) run() {
+// run writes what is queued until stop is closed, and then once more. Orders of that last write are not sent.
+func (d *storeWriter) run() {
 	defer close(d.done)
 	for {
 		ending := false
@@ -254,18 +264,18 @@
 		case <-d.wake:
 		}
 		d.mu.Lock()
-		next, limits, orders := tenancy.Done{Records: slices.Collect(maps.Values(d.next)), Known: d.known}, d.limit, d.bound
-		d.next, d.known, d.limit, d.bound = map[string]tenancy.Record{}, nil, nil, nil
+		step, limits, orders := tenancy.Done{Records: slices.Collect(maps.Values(d.records)), Known: d.known}, d.limits, d.orders
+		d.records, d.known, d.limits, d.orders = map[string]tenancy.Record{}, nil, nil, nil
 		d.mu.Unlock()
 		for {
-			err := d.store.Keep(next, limits)
+			err := d.store.Keep(step, limits)
 			d.mu.Lock()
 			d.err = err
 			d.mu.Unlock()
 			if err == nil {
 				break
 			}
-			d.log.Error("tenants' places could not be kept; moves wait", "error", err)
+			d.log.Error("store of tenants not written; moves wait until it is", "error", err)
 			if ending {
 				return
 			}
@@ -284,79 +294,91 @@
 	}
 }
 
-// fault is what keeps it from writing, if anything.
-func (d *disk) fault() error {
+// lastError returns the error of the last write; nil if it succeeded.
+func (d *storeWriter) lastError() error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.err
 }
 
+// close writes what is queued, once, and closes the store.
 func (m *mover) close() {
-	close(m.disk.stop)
-	<-m.disk.done
+	close(m.writer.stop)
+	<-m.writer.done
 	m.wake.Stop()
 	m.store.Close()
 }
 
-// tenantCommands are those of the socket for people that concern tenants.
-func (p *Pilot) tenantCommands(inLoop func(func(io.Writer, []string) error) func(io.Writer, runtime.Command) error) []sessions.Command {
+// tenantCommands returns the admin commands that concern tenants. onLoop runs a command's function on the loop.
+func (p *Pilot) tenantCommands(
+	onLoop func(func(io.Writer, []string) error) func(io.Writer, runtime.Command) error,
+) []sessions.Command {
 	one := func(f func(name string) tenancy.Event) func(io.Writer, []string) error {
 		return func(w io.Writer, words []string) error {
 			if len(words) != 3 {
-				return fmt.Errorf("a tenant's name is to follow, and no more")
+				return fmt.Errorf("expected a tenant's name and nothing else")
 			}
-			return p.asked(f(runtime.TenantName(words[2])))
+			return p.applyCommand(f(runtime.TenantName(words[2])))
 		}
 	}
 	return []sessions.Command{
-		{Prefix: "show tenant", Help: "[NAME]: tenants with a limit or a seat of their own, or all of one", Do: inLoop(p.showTenant)},
-		{Prefix: "set tenant", Help: "NAME subset home|draw N|size N|pods ZONE.PACK,...: move it there", Do: inLoop(p.setTenant)},
-		{Prefix: "move tenant", Help: "NAME [draw N|size N|pods ZONE.PACK,...] [wait]: move it, to a new draw where nothing is said", Do: inLoop(p.moveTenant)},
-		{Prefix: "show move", Help: "moves under way, what each waits for, and the last that ended", Do: inLoop(p.showMove)},
-		{Prefix: "cancel move", Help: "NAME: the move ends where it began", Do: inLoop(one(func(n string) tenancy.Event { return tenancy.Event{Cancel: &n} }))},
-		{Prefix: "open move", Help: "NAME: a move that waits to be told ends", Do: inLoop(one(func(n string) tenancy.Event { return tenancy.Event{Open: &n} }))},
-		{Prefix: "forget proxy", Help: "N: one that is gone for good; moves wait for it no longer", Do: inLoop(p.forgetProxy)},
+		{Prefix: "show tenant", Help: "[NAME]: tenants that have a limit or were moved, or the one named", Do: onLoop(p.showTenant)},
+		{Prefix: "set tenant", Help: "NAME subset home|draw N|size N|pods ZONE.PACK,...: move the tenant to that subset",
+			Do: onLoop(p.setTenant)},
+		{Prefix: "move tenant", Help: "NAME [draw N|size N|pods ZONE.PACK,...] [wait]: move the tenant, by default to a new draw",
+			Do: onLoop(p.moveTenant)},
+		{Prefix: "show move", Help: "moves in progress, the proxies each waits for, and the latest ended moves",
+			Do: onLoop(p.showMove)},
+		{Prefix: "cancel move", Help: "NAME: cancel the tenant's move; it stays where it was",
+			Do: onLoop(one(func(n string) tenancy.Event { return tenancy.Event{Cancel: &n} }))},
+		{Prefix: "open move", Help: "NAME: complete a move that was started with wait",
+			Do: onLoop(one(func(n string) tenancy.Event { return tenancy.Event{Open: &n} }))},
+		{Prefix: "forget proxy", Help: "N: forget a proxy that will not come back; moves no longer wait for it",
+			Do: onLoop(p.forgetProxy)},
 	}
 }
 
-func (p *Pilot) asked(e tenancy.Event) error {
+// applyCommand passes an event from an admin command to the mover and returns the reason if it is refused.
+func (p *Pilot) applyCommand(e tenancy.Event) error {
 	if p.mover == nil {
-		return fmt.Errorf("this pilot moves no tenants: its file has no moves")
+		return fmt.Errorf("moves of tenants are not configured: the pilot's file has no moves")
 	}
-	if refused := p.move(e); len(refused) > 0 {
+	if refused := p.stepMover(e); len(refused) > 0 {
 		return refused[0]
 	}
 	return nil
 }
 
+// setTenant is the command "set tenant".
 func (p *Pilot) setTenant(w io.Writer, words []string) error {
 	if len(words) < 5 || words[3] != "subset" {
 		return fmt.Errorf("set tenant NAME subset home|draw N|size N|pods ZONE.PACK[,ZONE.PACK]")
 	}
-	return p.askFor(words[2], words[4:], false, false)
+	return p.requestMove(words[2], words[4:], false, false)
 }
 
+// moveTenant is the command "move tenant".
 func (p *Pilot) moveTenant(w io.Writer, words []string) error {
 	if len(words) < 3 {
-		return fmt.Errorf("a tenant's name is to follow")
+		return fmt.Errorf("a tenant's name is required")
 	}
 	where := words[3:]
-	waits := len(where) > 0 && where[len(where)-1] == "wait"
-	if waits {
+	waitForOpen := len(where) > 0 && where[len(where)-1] == "wait"
+	if waitForOpen {
 		where = where[:len(where)-1]
 	}
-	return p.askFor(words[2], where, len(where) == 0, waits)
+	return p.requestMove(words[2], where, len(where) == 0, waitForOpen)
 }
 
-// askFor asks for a move to a seat, told as changes to the present one, or to a new draw.
-func (p *Pilot) askFor(name string, where []string, fresh, waits bool) error {
+// requestMove requests a move of a tenant to a seat, given as changes to its present seat, or to a new draw.
+func (p *Pilot) requestMove(name string, where []string, newDraw, waitForOpen bool) error {
 	if p.mover == nil {
-		return p.asked(tenancy.Event{})
+		return p.applyCommand(tenancy.Event{})
 	}
 	name = runtime.TenantName(name)
 	r, _ := p.mover.Of(name)
 	seat := r.Seat
-	if fresh {
+	if newDraw {
 		seat.Draw++
 		seat.Pods = nil
 	} else {
@@ -370,10 +392,10 @@
 			return fmt.Errorf("pod %s has no server on the list", tenancy.AppendPods(nil, []tenancy.PodID{pod}))
 		}
 	}
-	return p.asked(tenancy.Event{Ask: &tenancy.Ask{Tenant: name, To: seat, Waits: waits}})
+	return p.applyCommand(tenancy.Event{Ask: &tenancy.Ask{Tenant: name, To: seat, Waits: waitForOpen}})
 }
 
-// hasPod tells whether the list has a server of a pod.
+// hasPod reports whether the list has a server of a pod.
 func (p *Pilot) hasPod(pod tenancy.PodID) bool {
 	for _, e := range p.list {
 		if e.Mode != "gone" && tenancy.PodOf(p.file.Service.ZoneIndex(e.Zone), e.Pack) == pod {
@@ -383,21 +405,23 @@
 	return false
 }
 
+// forgetProxy is the command "forget proxy".
 func (p *Pilot) forgetProxy(w io.Writer, words []string) error {
 	if len(words) != 3 {
-		return fmt.Errorf("a proxy's number is to follow")
+		return fmt.Errorf("a proxy's number is required")
 	}
 	n, err := strconv.ParseUint(words[2], 10, 16)
 	if err != nil {
-		return fmt.Errorf("%q is no proxy", words[2])
+		return fmt.Errorf("%q is not a proxy number", words[2])
 	}
 	if p.sessions[control.ProxyID(n)] != nil {
-		return fmt.Errorf("proxy %d is joined", n)
+		return fmt.Errorf("proxy %d is joined and cannot be forgotten", n)
 	}
 	id := tenancy.ProxyID(n)
-	return p.asked(tenancy.Event{Forgotten: &id})
+	return p.applyCommand(tenancy.Event{Forgotten: &id})
 }
 
+// showTenant is the command "show tenant". Rates of ops are per second, averaged over periods.
 func (p *Pilot) showTenant(w io.Writer, words []string) error {
 	names := slices.Collect(maps.Keys(p.desired.limits))
 	if p.mover != nil {
@@ -424,29 +448,33 @@
 			u = p.quarantine.Met(name)
 		}
 		per := p.facts.ReportEvery.Seconds()
-		fmt.Fprintf(w, "%s,%g,%g,%g,%t,%g,%s,%s,%d,%.3g,%.3g,%.3g,\n", runtime.Quote("="+name), l.Rate, l.Tries, l.Hand, l.Fenced, l.Room, r.Seat, r.Phase, r.Number,
+		fmt.Fprintf(w, "%s,%g,%g,%g,%t,%g,%s,%s,%d,%.3g,%.3g,%.3g,\n", runtime.Quote("="+name), l.Rate, l.Tries, l.Hand, l.Fenced,
+			l.Room, r.Seat, r.Phase, r.Number,
 			u.Ops/per, u.Failed/per, u.Busy.Seconds()/per)
 	}
 	return nil
 }
 
+// showMove is the command "show move".
 func (p *Pilot) showMove(w io.Writer, _ []string) error {
 	if p.mover == nil {
-		return p.asked(tenancy.Event{})
+		return p.applyCommand(tenancy.Event{})
 	}
 	moving, waiting := p.mover.Moving(p.host.Now())
 	fmt.Fprintln(w, "# tenant,phase,from,to,held_ms,left_ms,awaited,away,")
 	for _, m := range moving {
-		fmt.Fprintf(w, "%s,%s,%s,%s,%d,%d,%s,%s,\n", runtime.Quote("="+m.Tenant), m.Phase, m.Seat, m.To, m.Held.Milliseconds(), m.Left.Milliseconds(),
-			someIDs(m.Awaited), someIDs(m.Away))
+		fmt.Fprintf(w, "%s,%s,%s,%s,%d,%d,%s,%s,\n", runtime.Quote("="+m.Tenant), m.Phase, m.Seat, m.To, m.Held.Milliseconds(),
+			m.Left.Milliseconds(), formatProxyIDs(m.Awaited), formatProxyIDs(m.Away))
 	}
 	joined, away := p.mover.Known()
-	fmt.Fprintf(w, "Moving: %d\nWaiting: %d\nMoved: %d\nCancelled: %d\nOrders_waiting: %d\nProxies_joined: %d\nProxies_away: %s\n", len(moving), waiting,
-		p.mover.moved, p.mover.undone, p.mover.waiting(), len(joined), someIDs(away))
-	if err := p.mover.disk.fault(); err != nil {
+	fmt.Fprintf(w,
+		"Moving: %d\nWaiting: %d\nMoved: %d\nCancelled: %d\nOrders_waiting: %d\nProxies_joined: %d\nProxies_away: %s\n",
+		len(moving), waiting,
+		p.mover.moved, p.mover.cancelled, p.mover.waitingOrders(), len(joined), formatProxyIDs(away))
+	if err := p.mover.writer.lastError(); err != nil {
 		fmt.Fprintf(w, "Store: %v\n", err)
 	}
-	for _, e := range p.mover.last {
+	for _, e := range p.mover.recentEnds {
 		how := "cancelled"
 		if e.Moved {
 			how = "moved"
@@ -456,13 +484,13 @@
 	return nil
 }
 
-// someIDs writes the first few proxies of many.
-func someIDs(ids []tenancy.ProxyID) string {
-	const most = 8
+// formatProxyIDs formats the ids of at most eight proxies and the number of the others.
+func formatProxyIDs(ids []tenancy.ProxyID) string {
+	const maxIDs = 8
 	s := ""
 	for i, id := range ids {
-		if i == most {
-			return s + fmt.Sprintf(" and %d more", len(ids)-most)
+		if i == maxIDs {
+			return s + fmt.Sprintf(" and %d more", len(ids)-maxIDs)
 		}
 		if i > 0 {
 			s += " "
--- a/pilot/moves_test.go
+++ b/pilot/moves_test.go
@@ -18,7 +18,7 @@
 	"vetchdoor/tenancy"
 )
 
-// movesRig is a pilot that moves tenants, with proxies that keep their bindings.
+// movesRig is a rig whose pilot can move tenants and whose proxies store their bindings.
 type movesRig struct {
 	*rig
 	dir  string
@@ -28,7 +28,7 @@
 func newMovesRig(t *testing.T, change func(*files.Pilot)) *movesRig {
 	t.Helper()
 	r := &movesRig{dir: t.TempDir()}
-	r.rig = newRigOf(t, func(f *files.Pilot) {
+	r.rig = newRigWith(t, func(f *files.Pilot) {
 		f.Service = movesService()
 		f.Resume = files.Duration(20 * time.Millisecond)
 		f.Moves = &files.Moves{Store: filepath.Join(r.dir, "tenants.db"), Most: files.Duration(time.Minute)}
@@ -43,8 +43,10 @@
 
 func movesService() files.Service {
 	s := service()
-	s.OpTypes = append(s.OpTypes, files.OpType{Name: "w", Match: files.Match{Method: "POST"}, TargetLatency: files.Duration(20 * time.Millisecond),
-		OpTimeout: files.Duration(50 * time.Millisecond), Repeat: "deduplicated", Group: "zone", DedupWindow: files.Duration(100 * time.Millisecond), Writes: true})
+	s.OpTypes = append(s.OpTypes, files.OpType{Name: "w", Match: files.Match{Method: "POST"},
+		TargetLatency: files.Duration(20 * time.Millisecond),
+		OpTimeout:     files.Duration(50 * time.Millisecond), Repeat: "deduplicated", Group: "zone",
+		DedupWindow: files.Duration(100 * time.Millisecond), Writes: true})
 	s.OpTypes[0].Match.Method = "GET"
 	return s
 }
@@ -56,22 +58,31 @@
 	return f
 }
 
-// two starts two proxies; the second one's messages stall while the function returned says so.
-func (r *movesRig) two() (x, y *proxy.Proxy, stall func(time.Duration)) {
+// twoProxies starts two proxies. The returned function sets how long the second one delays each message.
+func (r *movesRig) twoProxies() (x, y *proxy.Proxy, stall func(time.Duration)) {
 	var mu sync.Mutex
 	d := time.Duration(0)
 	x = startProxy(r.t, r.proxyFile(1, r.p.Address()), nil)
-	y = startProxy(r.t, r.proxyFile(2, r.p.Address()), func(*runtime.Message) time.Duration { mu.Lock(); defer mu.Unlock(); return d })
-	r.joined(2)
-	return x, y, func(to time.Duration) { mu.Lock(); d = to; mu.Unlock() }
+	y = startProxy(r.t, r.proxyFile(2, r.p.Address()), func(*runtime.Message) time.Duration {
+		mu.Lock()
+		defer mu.Unlock()
+		return d
+	})
+	r.waitJoined(2)
+	return x, y, func(to time.Duration) {
+		mu.Lock()
+		d = to
+		mu.Unlock()
+	}
 }
 
-func (r *movesRig) says(cmd, want string) func() bool {
-	return func() bool { return strings.Contains(r.ask(cmd), want) }
+// replyContains returns a condition that holds once the reply of a command contains a text.
+func (r *movesRig) replyContains(cmd, want string) func() bool {
+	return func() bool { return strings.Contains(r.command(cmd), want) }
 }
 
-// seat is how a proxy has a tenant.
-func seat(p *proxy.Proxy, name string) string {
+// tenantSeat returns a proxy's line for a tenant; empty if it has none.
+func tenantSeat(p *proxy.Proxy, name string) string {
 	for line := range strings.Lines(p.Tenants(name)) {
 		if strings.HasPrefix(line, "="+name+",") {
 			return strings.TrimSpace(line)
@@ -80,17 +91,21 @@
 	return ""
 }
 
-func (r *movesRig) seated(want string, ps ...*proxy.Proxy) {
+// waitSeated waits until proxies have the tenant delo at a seat, with its writes permitted.
+func (r *movesRig) waitSeated(want string, ps ...*proxy.Proxy) {
 	r.t.Helper()
 	for _, p := range ps {
-		r.until(want, func() bool { s := seat(p, "delo"); return strings.Contains(s, want) && strings.HasSuffix(s, ",open,") })
+		r.waitFor(want, func() bool {
+			s := tenantSeat(p, "delo")
+			return strings.Contains(s, want) && strings.HasSuffix(s, ",open,")
+		})
 	}
 }
 
-// post asks a proxy for a write of the tenant and returns the status.
-func post(t *testing.T, p *proxy.Proxy) (int, string) {
+// postWrite sends a write of the tenant delo to a proxy and returns the status of the answer, and its Retry-After and body.
+func postWrite(t *testing.T, p *proxy.Proxy) (int, string) {
 	t.Helper()
-	c, in := dial(t, p.Address())
+	c, in := dialRaw(t, p.Address())
 	defer c.Close()
 	_, _ = io.WriteString(c, "POST / HTTP/1.1\r\nHost: h\r\nNewsroom: delo\r\nIdempotency-Key: k\r\nContent-Length: 0\r\n\r\n")
 	a, err := http.ReadResponse(in, nil)
@@ -101,147 +116,158 @@
 	return a.StatusCode, a.Header.Get("Retry-After") + " " + string(text)
 }
 
-// A tenant moves, back home too; a proxy that joins anew is told, one that starts anew knows from its disk.
+// A tenant is moved several times, at last to its home seat. A proxy that starts without a pilot has the seat from its file,
+// and a proxy without a file gets it when it joins.
 func TestMove(t *testing.T) {
 	r := newMovesRig(t, nil)
-	x, y, _ := r.two()
-	if got := r.ask("move tenant delo"); strings.TrimSpace(got) != "" {
+	x, y, _ := r.twoProxies()
+	if got := r.command("move tenant delo"); strings.TrimSpace(got) != "" {
 		t.Fatal(got)
 	}
-	r.seated("draw 1 size 0 pods *", x, y)
-	r.until("ended", r.says("show move", "Moved: 1\n"))
-	r.ask("set tenant =delo subset size 3 pods 0.0")
-	r.seated("draw 1 size 3 pods 0.0", x, y)
+	r.waitSeated("draw 1 size 0 pods *", x, y)
+	r.waitFor("ended", r.replyContains("show move", "Moved: 1\n"))
+	r.command("set tenant =delo subset size 3 pods 0.0")
+	r.waitSeated("draw 1 size 3 pods 0.0", x, y)
 	y.Kill()
-	f := r.proxyFile(2, "127.0.0.1:1") // no pilot is there
+	f := r.proxyFile(2, "127.0.0.1:1") // no pilot listens there
 	alone := startProxy(t, f, nil)
-	if s := seat(alone, "delo"); !strings.Contains(s, "draw 1 size 3 pods 0.0") || !strings.HasSuffix(s, ",open,") {
-		t.Errorf("a proxy that starts anew alone has %q", s)
+	if s := tenantSeat(alone, "delo"); !strings.Contains(s, "draw 1 size 3 pods 0.0") || !strings.HasSuffix(s, ",open,") {
+		t.Errorf("a proxy restarted without a pilot has %q", s)
 	}
 	alone.Kill()
 	f = r.proxyFile(2, r.p.Address())
 	f.Tenants.Bindings = filepath.Join(r.dir, "new")
 	y2 := startProxy(t, f, nil)
-	r.seated("draw 1 size 3 pods 0.0", y2)
-	r.ask("set tenant delo subset home")
-	r.until("home", r.says("show move", "Moved: 3\n"))
-	r.until("forgotten by the proxies", func() bool {
+	r.waitSeated("draw 1 size 3 pods 0.0", y2)
+	r.command("set tenant delo subset home")
+	r.waitFor("home", r.replyContains("show move", "Moved: 3\n"))
+	r.waitFor("the proxies to remove the binding", func() bool {
 		return strings.Contains(x.Info()+y2.Info(), "\nBindings: 0\n") && !strings.Contains(x.Info()+y2.Info(), "\nBindings: 1\n")
 	})
 }
 
-// Commands that ask for what cannot be are answered with why, and change nothing.
+// Commands with invalid arguments are answered with the reason and change nothing.
 func TestMoveCommands(t *testing.T) {
 	r := newMovesRig(t, nil)
 	for cmd, want := range map[string]string{
-		"move tenant": "name", "set tenant delo": "subset", "set tenant delo subset": "subset", "set tenant delo subset pods 9.9": "no server on the list",
-		"set tenant delo subset pods x": "no list of pods", "set tenant delo subset home": "there already", "cancel move delo": "does not move",
-		"open move delo": "no move that is ready", "forget proxy 9": "not known", "forget proxy x": "no proxy", "cancel move": "name",
-		"move tenant delo size -1": "no whole number", "move tenant delo nowhere": "none of draw", "move tenant " + strings.Repeat("x", 300): "no tenant's name",
-		"move tenant delo size 2000": "no whole number", "set tenant delo subset pods 0.0,": "no list of pods",
+		"move tenant": "name", "set tenant delo": "subset", "set tenant delo subset": "subset",
+		"set tenant delo subset pods 9.9": "no server on the list",
+		"set tenant delo subset pods x":   "no list of pods", "set tenant delo subset home": "there already",
+		"cancel move delo": "does not move",
+		"open move delo":   "no move that is ready", "forget proxy 9": "not known", "forget proxy x": "not a proxy number",
+		"cancel move":              "name",
+		"move tenant delo size -1": "no whole number", "move tenant delo nowhere": "none of draw",
+		"move tenant " + strings.Repeat("x", 300): "no tenant's name",
+		"move tenant delo size 2000":              "no whole number", "set tenant delo subset pods 0.0,": "no list of pods",
 	} {
-		if got := r.ask(cmd); !strings.Contains(got, want) || strings.Count(got, "\n") != 2 {
+		if got := r.command(cmd); !strings.Contains(got, want) || strings.Count(got, "\n") != 2 {
 			t.Errorf("%s: %q", cmd, got)
 		}
 	}
-	if got := r.ask("show tenant"); strings.Count(got, "\n") != 2 {
+	if got := r.command("show tenant"); strings.Count(got, "\n") != 2 {
 		t.Error(got)
 	}
 }
 
-// A proxy that does not confirm holds the move up, which names it; the tenant's writes are refused meanwhile, with a time
-// to come back, its reads are not; a cancel opens it where it was, and a second move asked for meanwhile begins then.
-func TestMoveHeldUp(t *testing.T) {
+// A proxy that does not confirm delays a move, and show move names that proxy. In the meantime the tenant's writes are
+// answered 503 with a Retry-After. Cancelling the move starts the next one that was requested.
+func TestMoveWaitsForProxy(t *testing.T) {
 	r := newMovesRig(t, nil)
-	x, y, stall := r.two()
+	x, y, stall := r.twoProxies()
 	stall(time.Hour)
-	r.ask("move tenant delo")
-	held := func() bool { return strings.HasSuffix(seat(x, "delo"), ",held,") }
-	r.until("held", held)
-	r.until("names it", r.says("show move", "=delo,holding,draw 0 size 0 pods *,draw 1 size 0 pods *,"))
-	r.until("awaits it alone", func() bool { return strings.Contains(r.ask("show move"), ",2,,\n") })
-	if status, text := post(t, x); status != 503 || !strings.HasPrefix(text, "1 the tenant is being moved") {
+	r.command("move tenant delo")
+	held := func() bool { return strings.HasSuffix(tenantSeat(x, "delo"), ",held,") }
+	r.waitFor("held", held)
+	r.waitFor("show move to name the held tenant", r.replyContains("show move",
+		"=delo,holding,draw 0 size 0 pods *,draw 1 size 0 pods *,"))
+	r.waitFor("show move to name the awaited proxy", func() bool { return strings.Contains(r.command("show move"), ",2,,\n") })
+	if status, text := postWrite(t, x); status != 503 || !strings.HasPrefix(text, "1 the tenant is being moved") {
 		t.Errorf("%d %s", status, text)
 	}
-	r.ask("move tenant delo draw 7") // meanwhile
-	r.until("waits", r.says("show move", "Waiting: 1\n"))
-	r.ask("cancel move delo")
-	r.until("cancelled", r.says("show move", "Cancelled: 1\n"))
-	r.until("begins", r.says("show move", "pods *,draw 7 size 0 pods *,"))
+	r.command("move tenant delo draw 7") // while the first move is held up
+	r.waitFor("waits", r.replyContains("show move", "Waiting: 1\n"))
+	r.command("cancel move delo")
+	r.waitFor("cancelled", r.replyContains("show move", "Cancelled: 1\n"))
+	r.waitFor("begins", r.replyContains("show move", "pods *,draw 7 size 0 pods *,"))
 	stall(0)
-	y.Kill() // it comes back with what it kept
+	y.Kill() // it restarts with the bindings in its file
 	again := startProxy(t, r.proxyFile(2, r.p.Address()), nil)
-	r.seated("draw 7 size 0 pods *", x, again)
+	r.waitSeated("draw 7 size 0 pods *", x, again)
 }
 
-// A pilot that dies in any phase comes back with its store and ends the move; a proxy that is gone for good is forgotten.
-func TestMovePilotDies(t *testing.T) {
+// A pilot that is killed in any phase of a move completes the move after its restart, from its store. A move does not wait
+// for a proxy that an operator has declared lost with forget proxy.
+func TestMovePilotRestarts(t *testing.T) {
 	for _, phase := range []string{"holding", "ready"} {
 		t.Run(phase, func(t *testing.T) {
 			r := newMovesRig(t, nil)
-			x, y, stall := r.two()
+			x, y, stall := r.twoProxies()
 			if phase == "holding" {
 				stall(time.Hour)
 			}
-			r.ask("move tenant delo wait")
-			r.until(phase, r.says("show move", "=delo,"+phase+","))
+			r.command("move tenant delo wait")
+			r.waitFor(phase, r.replyContains("show move", "=delo,"+phase+","))
 			r.p.Kill()
 			if phase == "holding" {
 				y.Kill()
 			}
-			if !strings.HasSuffix(seat(x, "delo"), ",held,") && phase == "ready" {
-				t.Error("open though its pilot died")
+			if !strings.HasSuffix(tenantSeat(x, "delo"), ",held,") && phase == "ready" {
+				t.Error("writes permitted although the pilot was killed during the move")
 			}
 			r.start(r.file)
-			r.until("goes on", r.says("show move", "=delo,"))
+			r.waitFor("the move after the restart", r.replyContains("show move", "=delo,"))
 			if phase == "holding" {
-				r.until("awaits the dead one", func() bool { return strings.Contains(r.ask("show move"), ",2,2,\n") })
-				if got := r.ask("forget proxy 2"); strings.TrimSpace(got) != "" {
+				r.waitFor("show move to name the lost proxy", func() bool { return strings.Contains(r.command("show move"), ",2,2,\n") })
+				if got := r.command("forget proxy 2"); strings.TrimSpace(got) != "" {
 					t.Error(got)
 				}
 			}
-			r.until("ready", r.says("show move", "=delo,ready,"))
-			if got := r.ask("open move delo"); strings.TrimSpace(got) != "" {
+			r.waitFor("ready", r.replyContains("show move", "=delo,ready,"))
+			if got := r.command("open move delo"); strings.TrimSpace(got) != "" {
 				t.Error(got)
 			}
-			r.seated("draw 1 size 0 pods *", x)
+			r.waitSeated("draw 1 size 0 pods *", x)
 		})
 	}
 }
 
-// A move that takes longer than a tenant may be held is cancelled by itself.
-func TestMoveTakesTooLong(t *testing.T) {
+// A move that holds a tenant's writes for longer than the configured maximum is cancelled.
+func TestMoveTimesOut(t *testing.T) {
 	r := newMovesRig(t, func(f *files.Pilot) { f.Moves.Most = files.Duration(300 * time.Millisecond) })
-	x, _, stall := r.two()
+	x, _, stall := r.twoProxies()
 	stall(time.Hour)
-	r.ask("move tenant delo")
-	r.until("cancelled", r.says("show move", "Cancelled: 1\n"))
-	r.until("open where it was", func() bool { s := seat(x, "delo"); return !strings.HasSuffix(s, ",held,") })
+	r.command("move tenant delo")
+	r.waitFor("cancelled", r.replyContains("show move", "Cancelled: 1\n"))
+	r.waitFor("the writes to be permitted at the old seat", func() bool {
+		s := tenantSeat(x,
+			"delo")
+		return !strings.HasSuffix(s, ",held,")
+	})
 }
 
-// A proxy that goes to a pilot with another view of a tenant takes that view, and lets writes go there only after a wait of
-// its own.
+// A proxy that joins another pilot, whose store places a tenant elsewhere, takes over that placement. It permits writes there
+// only after a wait.
 func TestMoveTwoPilots(t *testing.T) {
 	r := newMovesRig(t, nil)
 	other := *r.file
 	other.Name, other.Listen, other.Moves = "q", "127.0.0.1:0", &files.Moves{Store: filepath.Join(r.dir, "other.db")}
-	q := begin(t, newPilot(t, &other), &script{})
+	q := startPilot(t, newPilot(t, &other), &scriptedModule{})
 	t.Cleanup(q.Stop)
 	f := r.proxyFile(1, r.p.Address(), q.Address())
 	f.Pilots[1].Zone = "far"
 	x := startProxy(t, f, nil)
-	r.joined(1)
-	r.ask("move tenant delo")
-	r.seated("draw 1 size 0 pods *", x)
+	r.waitJoined(1)
+	r.command("move tenant delo")
+	r.waitSeated("draw 1 size 0 pods *", x)
 	r.p.Kill()
-	r.until("goes home, after a wait", func() bool {
+	r.waitFor("the proxy to take over the other pilot's bindings", func() bool {
 		return strings.Contains(x.Info(), "\nPilot: q\n") && strings.Contains(x.Info(), "\nBindings: 0\n")
 	})
 	r.start(r.file)
 }
 
-// Limits of tenants outlive a pilot with a store.
-func TestLimitsOutlive(t *testing.T) {
+// Limits of tenants are stored and survive a restart of the pilot.
+func TestLimitsSurviveRestart(t *testing.T) {
 	r := newMovesRig(t, func(f *files.Pilot) { f.Tenants = true })
 	r.p.post(func() {
 		for i := range 10 {
@@ -249,33 +275,33 @@
 			if i == 3 {
 				x.Ops, x.Failed, x.Busy = 1000, 900, time.Minute
 			}
-			r.p.uses = append(r.p.uses, x)
+			r.p.tenantUses = append(r.p.tenantUses, x)
 		}
 		for range 2 {
-			uses := r.p.uses
+			uses := r.p.tenantUses
 			r.p.limitTenants()
-			r.p.uses = uses
+			r.p.tenantUses = uses
 		}
 	})
-	r.until("limited", r.says("show tenant", "=t3,"))
-	before := r.ask("show tenant t3")
-	r.until("kept", func() bool {
-		r.p.mover.disk.mu.Lock()
-		defer r.p.mover.disk.mu.Unlock()
-		return r.p.mover.disk.limit == nil
+	r.waitFor("limited", r.replyContains("show tenant", "=t3,"))
+	before := r.command("show tenant t3")
+	r.waitFor("kept", func() bool {
+		r.p.mover.writer.mu.Lock()
+		defer r.p.mover.writer.mu.Unlock()
+		return r.p.mover.writer.limits == nil
 	})
 	r.p.Stop()
 	r.start(r.file)
-	if got := r.ask("show tenant t3"); strings.Split(got, ",draw")[0] != strings.Split(before, ",draw")[0] {
+	if got := r.command("show tenant t3"); strings.Split(got, ",draw")[0] != strings.Split(before, ",draw")[0] {
 		t.Errorf("%s\n%s", before, got)
 	}
 	x := startProxy(t, r.proxyFile(1, r.p.Address()), nil)
-	r.until("a proxy is told", func() bool {
+	r.waitFor("the limit at a proxy that joins after the restart", func() bool {
 		return strings.Contains(x.Tenants("t3"), "=t3,") && !strings.Contains(x.Tenants("t3"), "=t3,-1,")
 	})
 }
 
-// A store that cannot be read keeps a pilot from starting; one that another pilot has open too.
+// A pilot does not start with a store that is corrupt or open in another process, nor a proxy with a corrupt file of bindings.
 func TestMoveStoreRefused(t *testing.T) {
 	r := newMovesRig(t, nil)
 	f := *r.file
@@ -297,7 +323,8 @@
 	if err := os.WriteFile(b, []byte("half\n{"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := proxy.New(r.proxyFile(4), slog.New(slog.DiscardHandler)); err == nil || !strings.Contains(err.Error(), "bindings-4:1:") {
+	if _, err := proxy.New(r.proxyFile(4), slog.New(slog.DiscardHandler)); err == nil || !strings.Contains(err.Error(),
+		"bindings-4:1:") {
 		t.Error(err)
 	}
 }
--- a/pilot/notices.go
+++ b/pilot/notices.go
@@ -11,134 +11,136 @@
 	"vetchdoor/tenancy"
 )
 
-// The pilot writes some lines by itself: new addresses of endpoints that moved, and limits of tenants. The module, which fills the
-// channel by a count of its own orders, knows nothing of them, so they keep to a part of the channel that it is not told of. What
-// has no room there waits as a mark, not as a line: an endpoint that moves again meanwhile takes no second line.
+// Notices are lines that the pilot sends without an order of the module: new places of endpoints that moved, and limits of
+// tenants. The module fills the channel by counting only the lines that it ordered, so notices are confined to a part of the
+// channel that is withheld from the module. A notice that does not fit is kept as a mark, not as a line: an endpoint that
+// moves again before the notice is sent takes only one line.
 
-// notices are what one proxy is yet to be told by the pilot itself.
+// notices are the pending notices of one proxy.
 type notices struct {
-	moved       map[control.EndpointID]bool // endpoints whose place
-	limits      map[string]bool             // tenants whose limit
-	unconfirmed int                         // lines on their way to it
-	next        time.Duration               // no message of notices alone before
+	movedEndpoints   map[control.EndpointID]bool // endpoints whose new place is not sent
+	changedLimits    map[string]bool             // tenants whose changed limit is not sent
+	unconfirmedLines int                         // lines sent to the proxy and not confirmed
+	notBefore        time.Duration               // earliest time of the next message that consists of notices alone
 }
 
 func newNotices() notices {
-	return notices{moved: map[control.EndpointID]bool{}, limits: map[string]bool{}}
+	return notices{movedEndpoints: map[control.EndpointID]bool{}, changedLimits: map[string]bool{}}
 }
 
-// noticeBudget bounds the lines of notices that are written and not confirmed, and how often a message of notices alone goes to a
-// proxy.
+// noticeBudget bounds the lines of notices that are queued or sent but not confirmed, over all proxies, and the rate of
+// messages that consist of notices alone to one proxy.
 type noticeBudget struct {
-	most, used int
-	gap        time.Duration // between two such messages; 0: none
+	maxLines, usedLines int
+	minInterval         time.Duration // between two such messages to one proxy; 0: no bound
 }
 
-func (n noticeBudget) room() int { return n.most - n.used }
+// freeLines returns the number of lines left in the budget.
+func (n noticeBudget) freeLines() int { return n.maxLines - n.usedLines }
 
-// moved marks endpoints' new places for all who hold them in a table.
-func (ds *desiredState) moved(endpoints []control.EndpointID) {
+// markMoved marks endpoints whose place changed for all proxies that have them in a table.
+func (ds *desiredState) markMoved(endpoints []control.EndpointID) {
 	for id, h := range ds.proxies {
 		for _, e := range endpoints {
-			if slices.ContainsFunc(h.bound, func(t *sheet) bool { return t != nil && t.lines[e] > 0 }) {
-				h.notices.moved[e] = true
-				ds.due[id] = true
+			if slices.ContainsFunc(h.bound, func(t *tableState) bool { return t != nil && t.lines[e] > 0 }) {
+				h.notices.movedEndpoints[e] = true
+				ds.pendingNotices[id] = true
 			}
 		}
 	}
 }
 
-// limit marks changed limits for all.
-func (ds *desiredState) limit(limits []runtime.Change) {
+// markLimits stores changed limits of tenants and marks them for all proxies.
+func (ds *desiredState) markLimits(limits []runtime.Change) {
 	for _, c := range limits {
 		if ds.limits[c.Tenant] = c; c.Limit().Free() {
 			delete(ds.limits, c.Tenant)
 		}
 		for id, h := range ds.proxies {
-			h.notices.limits[c.Tenant] = true
-			ds.due[id] = true
+			h.notices.changedLimits[c.Tenant] = true
+			ds.pendingNotices[id] = true
 		}
 	}
 }
 
-// notify returns messages of notices, as many as have room, each proxy in its turn; and how long it is until one may have its next
-// message, below 0 if none waits for that.
-func (ds *desiredState) notify(now time.Duration) (messages []outgoing, wait time.Duration) {
+// noticeMessages returns messages of pending notices as far as the budget allows, serving the proxies in turn. wait is the time
+// until minInterval permits the next message to one of the others; it is negative if none waits for that.
+func (ds *desiredState) noticeMessages(now time.Duration) (messages []outgoing, wait time.Duration) {
 	wait = -1
-	if len(ds.due) == 0 || ds.budget.room() <= ds.head {
+	if len(ds.pendingNotices) == 0 || ds.budget.freeLines() <= ds.headLines {
 		return nil, wait
 	}
-	ids := slices.Sorted(maps.Keys(ds.due))
-	next, _ := slices.BinarySearch(ids, ds.turn)
+	ids := slices.Sorted(maps.Keys(ds.pendingNotices))
+	next, _ := slices.BinarySearch(ids, ds.nextTurn)
 	for _, id := range append(ids[next:len(ids):len(ids)], ids[:next]...) {
-		if ds.budget.room() <= ds.head {
+		if ds.budget.freeLines() <= ds.headLines {
 			break
 		}
 		h := ds.proxies[id]
-		if left := h.notices.next - now; left > 0 {
+		if left := h.notices.notBefore - now; left > 0 {
 			if wait < 0 || left < wait {
 				wait = left
 			}
 			continue
 		}
-		ds.spend(h, ds.head)
+		ds.spendBudget(h, ds.headLines)
 		lines := ds.addNotices(h)
 		if lines == 0 {
-			ds.spend(h, -ds.head)
+			ds.spendBudget(h, -ds.headLines)
 			continue
 		}
-		messages = append(messages, ds.finish(h, -1, ds.head+lines))
-		h.notices.next = now + ds.budget.gap
-		ds.turn = id + 1
+		messages = append(messages, ds.finishMessage(h, -1, ds.headLines+lines))
+		h.notices.notBefore = now + ds.budget.minInterval
+		ds.nextTurn = id + 1
 	}
 	return messages, wait
 }
 
-// addNotices adds what has room to the message being written for a proxy, and returns how many lines that are.
-func (ds *desiredState) addNotices(h *holder) (lines int) {
-	if !ds.due[h.id] {
+// addNotices adds a proxy's pending notices to its message as far as the budget allows, and returns the number of lines added.
+func (ds *desiredState) addNotices(h *proxyState) (lines int) {
+	if !ds.pendingNotices[h.id] {
 		return 0
 	}
 	add := func(changes ...runtime.Change) bool {
-		if len(changes) > ds.budget.room() {
+		if len(changes) > ds.budget.freeLines() {
 			return false
 		}
 		h.changes = append(h.changes, changes...)
-		ds.spend(h, len(changes))
+		ds.spendBudget(h, len(changes))
 		lines += len(changes)
 		return true
 	}
-	for _, e := range slices.Sorted(maps.Keys(h.notices.moved)) {
-		if !add(ds.place(h, e)...) {
+	for _, e := range slices.Sorted(maps.Keys(h.notices.movedEndpoints)) {
+		if !add(ds.serverChanges(h, e)...) {
 			return lines
 		}
-		delete(h.notices.moved, e)
+		delete(h.notices.movedEndpoints, e)
 	}
-	for _, name := range slices.Sorted(maps.Keys(h.notices.limits)) {
-		if !add(ds.share(ds.limitOf(name))) {
+	for _, name := range slices.Sorted(maps.Keys(h.notices.changedLimits)) {
+		if !add(ds.perProxyLimit(ds.limitOf(name))) {
 			return lines
 		}
-		delete(h.notices.limits, name)
+		delete(h.notices.changedLimits, name)
 	}
-	delete(ds.due, h.id)
+	delete(ds.pendingNotices, h.id)
 	return lines
 }
 
-// place is where an endpoint is, for each table that a proxy is on and that names it.
-func (ds *desiredState) place(h *holder, e control.EndpointID) (changes []runtime.Change) {
-	at, ok := ds.where(e)
+// serverChanges returns changes that give a proxy the present place of an endpoint in each of its tables that contain it.
+func (ds *desiredState) serverChanges(h *proxyState, e control.EndpointID) (changes []runtime.Change) {
+	at, ok := ds.serverOf(e)
 	if !ok {
 		return nil
 	}
 	for _, id := range slices.Sorted(maps.Keys(ds.tables)) {
-		if t := ds.tables[id]; t.lines[e] > 0 && h.on(t) {
+		if t := ds.tables[id]; t.lines[e] > 0 && h.isBoundTo(t) {
 			changes = append(changes, runtime.Change{Verb: runtime.AddServer, Table: id, Endpoint: e, Server: at, Weight: t.lines[e]})
 		}
 	}
 	return changes
 }
 
-// limitOf is the limit of a tenant that stands.
+// limitOf returns the current limit of a tenant.
 func (ds *desiredState) limitOf(name string) runtime.Change {
 	if c, ok := ds.limits[name]; ok {
 		return c
@@ -146,8 +148,8 @@
 	return runtime.LimitOf(tenancy.Unlimited(name))
 }
 
-// share is a tenant's limit as one of the joined proxies keeps it.
-func (ds *desiredState) share(c runtime.Change) runtime.Change {
+// perProxyLimit returns a tenant's limit with its rate and its ops in flight divided evenly among the joined proxies.
+func (ds *desiredState) perProxyLimit(c runtime.Change) runtime.Change {
 	n := float64(max(1, len(ds.proxies)))
 	if c.Rate > 0 {
 		c.Rate /= n
@@ -158,18 +160,18 @@
 	return c
 }
 
-// spend counts lines of notices to a proxy against the budget.
-func (ds *desiredState) spend(h *holder, lines int) {
-	h.notices.unconfirmed += lines
-	ds.budget.used += lines
+// spendBudget charges lines of notices to a proxy to the budget; a negative number returns lines to it.
+func (ds *desiredState) spendBudget(h *proxyState, lines int) {
+	h.notices.unconfirmedLines += lines
+	ds.budget.usedLines += lines
 }
 
-// confirmed takes the word that a message is in force.
-func (ds *desiredState) confirmed(m outgoing) {
+// confirmNotices returns the notice lines of a confirmed message to the budget.
+func (ds *desiredState) confirmNotices(m outgoing) {
 	if h := ds.proxies[m.proxy]; h != nil {
-		ds.spend(h, -m.notices)
+		ds.spendBudget(h, -m.noticeLines)
 	}
 }
 
-// unbounded is the budget where the channel is not known.
-const unbounded = math.MaxInt
+// unlimitedLines is the budget of a desiredState for which no bound has been set.
+const unlimitedLines = math.MaxInt
--- a/pilot/peer_notes.go
+++ b/pilot/peer_notes.go
@@ -11,7 +11,7 @@
 	"vetchdoor/stream"
 )
 
-// handleNote takes a note of another pilot, one that the file names, and closes its stream.
+// handleNote passes a note from a configured peer to the module and ends the stream.
 func (p *Pilot) handleNote(c *connection, n runtime.Note) {
 	if !slices.ContainsFunc(p.file.Peers, func(x files.Peer) bool { return x.Instance == n.From }) {
 		p.reject(c, fmt.Sprintf("a note of instance %d, which is no peer", n.From))
@@ -22,13 +22,14 @@
 	c.stream.End()
 }
 
-// maxPendingNotes bounds the notes under way.
+// maxPendingNotes bounds the number of notes being sent.
 const maxPendingNotes = 64
 
-// publish writes a note to one peer, or to all.
+// publish sends a note to one peer, or to all if o.To is negative. Notes that cannot be delivered, or exceed maxPendingNotes,
+// are dropped.
 func (p *Pilot) publish(o control.Publish) {
 	if len(o.Data) > runtime.MaxNoteBytes {
-		p.log.Warn("a note is too long", "bytes", len(o.Data))
+		p.log.Warn("note to peers too long; not sent", "bytes", len(o.Data))
 		return
 	}
 	note := runtime.Note{From: p.facts.Instance, Data: o.Data}.Append(nil)
@@ -37,7 +38,7 @@
 			continue
 		}
 		p.pendingNotes.Add(1)
-		p.done.Go(func() {
+		p.background.Go(func() {
 			defer p.pendingNotes.Add(-1)
 			if c, err := stream.Dial(p.Net, peer.Address, time.Second, ignoreData{}); err == nil {
 				_ = c.Send(note)
@@ -47,7 +48,7 @@
 	}
 }
 
-// ignoreData handles a stream on which nothing is awaited.
+// ignoreData is the handler of a stream on which no data is expected.
 type ignoreData struct{}
 
 func (ignoreData) Data(*stream.Conn, []byte) {}
--- a/pilot/pilot.go
+++ b/pilot/pilot.go
@@ -1,6 +1,6 @@
-// Package pilot is the daemon that hosts the decision module: it tells one policy.Assigner what happens and carries out
-// what that orders, and decides nothing itself. New and Start are the way in. One goroutine owns all state; sockets and
-// timers post to it.
+// Package pilot is the control-plane daemon. It passes events to one policy.Assigner, the decision module, and executes the
+// orders that the module returns; it makes no control decisions itself. New and Start are the entry points. One goroutine,
+// the loop of package host, owns all state; sockets and timers post functions to it.
 package pilot
 
 import (
@@ -28,162 +28,163 @@
 	"vetchdoor/upstream"
 )
 
-// Pilot is a running pilot.
+// Pilot is one instance of the daemon.
 type Pilot struct {
 	file  *files.Pilot
 	log   *slog.Logger
 	facts control.Facts
 	host  *host.Host
 
-	// Records, if not nil at Start, gets a record of each decision; it must not hold up who logs.
+	// Records, if not nil at Start, gets a record of each decision. Its handler must not block.
 	Records *slog.Logger
 
-	// OnStuck, if not nil at Start, is called once when the module has not come back for half of the time after which proxies
-	// take the pilot for silent. Nothing in this process can mend that; the program ends, and a new one starts over.
+	// OnStuck, if not nil at Start, is called once when a call of the module has lasted for half of the time after which
+	// proxies consider the pilot dead. The process cannot recover from that: it must exit and be started again.
 	OnStuck func()
 
-	// WriteInfo, if not nil at Start, adds lines to show info.
+	// WriteInfo, if not nil at Start, writes additional lines of the show info command.
 	WriteInfo func(io.Writer)
 
-	// Net, if not nil at Start, is what connections to proxies, servers, peers and the list run over; else sockets.
+	// Net, if not nil at Start, replaces the sockets for connections to proxies, servers, peers and the list service.
 	Net stream.Net
 
-	ending       sync.Once
-	cancel       context.CancelFunc
-	done         sync.WaitGroup
-	ln           *stream.Listener
-	admin        *sessions.Listener
-	probes       *upstream.Pool
-	members      *members.Members            // nil: this pilot hears of no others
-	self         atomic.Pointer[members.Who] // what the other pilots hear of this one
-	probing      atomic.Int64
-	pendingNotes atomic.Int64
+	stopOnce      sync.Once
+	cancel        context.CancelFunc
+	background    sync.WaitGroup
+	ln            *stream.Listener
+	admin         *sessions.Listener
+	probePool     *upstream.Pool
+	members       *members.Members            // nil if gossip with other pilots is not configured
+	advertised    atomic.Pointer[members.Who] // gossiped to the other pilots
+	pendingProbes atomic.Int64
+	pendingNotes  atomic.Int64
 
-	// What follows is the loop's own.
-	run          uint64
-	desired      *desiredState
-	channel      *channel
-	intake       *intake
-	quarantine   *tenancy.Quarantine // nil: tenants are not limited
-	uses         []tenancy.Use
-	loads        map[tenancy.PodID]*[2]float64 // what servers said since the last look: sum and number
-	mover        *mover                        // nil: tenants are not moved
-	records      *recorder
-	fresher      string      // where the list is from: list, cache, or nowhere
-	given        bool        // the module has had a list with servers on it
-	leaving      bool        // it ends: proxies are sent to others
-	redirected   uint64      // hellos that were sent elsewhere
-	outran       time.Time   // when a proxy last held a later run than this one
-	pace         *time.Timer // set while a message waits for its time
-	sessions     map[control.ProxyID]*session
-	connections  map[*connection]bool
-	numbers      map[control.ProxyID]uint64 // last message of this run, of proxies that left
-	list         map[control.EndpointID]roster.Entry
-	goneAt       map[control.EndpointID]time.Duration // since when the list has an endpoint as gone
-	keep         time.Duration                        // keepFor
-	waits        bool                                 // proxies are to be told something by the pilot itself, later
-	version      uint64
-	source       *roster.Client
-	saver        *saver
-	silent       time.Duration
-	resumeWithin time.Duration
-	messages     uint64
-	lines        uint64
-	resumed      uint64
-	refused      uint64
-	overflows    uint64
+	// The fields below are used only on the loop.
+	run            uint64
+	desired        *desiredState
+	channel        *channel
+	intake         *intake
+	quarantine     *tenancy.Quarantine // nil if tenants are not limited
+	tenantUses     []tenancy.Use
+	podLoadSums    map[tenancy.PodID]*[2]float64 // sum and number of the load reports of the current period
+	mover          *mover                        // nil if tenants are not moved
+	records        *recorder
+	listOrigin     string      // where the list came from: "list", "cache", or "" without a list
+	listDelivered  bool        // the module was given a list that is not empty
+	leaving        bool        // shutting down: proxies are redirected to peers
+	redirected     uint64      // number of hellos answered with a redirect
+	lastRunAdopted time.Time   // when this pilot last moved past a later run that a proxy reported
+	sendTimer      *time.Timer // fires when the channel may send its next message
+	sessions       map[control.ProxyID]*session
+	connections    map[*connection]bool
+	lastNumbers    map[control.ProxyID]uint64 // number of the last message of this run to each proxy that left
+	list           map[control.EndpointID]roster.Entry
+	goneAt         map[control.EndpointID]time.Duration // when an endpoint was first seen as gone
+	keepGone       time.Duration                        // how long a gone endpoint is kept; keepGoneFor, except in tests
+	noticeTimerSet bool                                 // a timer for the next notices is set
+	listVersion    uint64
+	source         *roster.Client
+	listCache      *listCache
+	silenceTimeout time.Duration
+	resumeWithin   time.Duration
+	messages       uint64
+	lines          uint64
+	resumed        uint64
+	refused        uint64
+	overflows      uint64
 }
 
-// New makes a pilot from its file.
+// New returns a pilot with the settings of its file. It opens nothing; the error is always nil.
 func New(file *files.Pilot, log *slog.Logger) (*Pilot, error) {
 	seed := file.Seed
 	if seed == 0 {
 		seed = rand.Uint64()
 	}
 	p := &Pilot{file: file, log: log.With("pilot", file.Name),
-		list: map[control.EndpointID]roster.Entry{}, goneAt: map[control.EndpointID]time.Duration{}, keep: keepFor,
-		connections: map[*connection]bool{},
-		silent:      file.Silent.Span(), resumeWithin: file.Resume.Span(), probes: &upstream.Pool{}}
+		list: map[control.EndpointID]roster.Entry{}, goneAt: map[control.EndpointID]time.Duration{}, keepGone: keepGoneFor,
+		connections:    map[*connection]bool{},
+		silenceTimeout: file.Silent.Span(), resumeWithin: file.Resume.Span(), probePool: &upstream.Pool{}}
 	p.host = host.New(file.Facts(), seed, p.log)
 	p.host.Callbacks, p.facts = p, p.host.Facts
-	if p.silent <= 0 {
-		p.silent = 10 * time.Second
+	if p.silenceTimeout <= 0 {
+		p.silenceTimeout = 10 * time.Second
 	}
 	if p.resumeWithin <= 0 {
 		p.resumeWithin = 2 * time.Second
 	}
-	p.host.SilenceTimeout = p.silent
+	p.host.SilenceTimeout = p.silenceTimeout
 	p.run = uint64(p.host.Epoch().UnixMicro())
 	return p, nil
 }
 
-// post has the loop run f; false if the pilot has ended.
+// post queues f to run on the loop. It reports false if the pilot has ended.
 func (p *Pilot) post(f func()) bool { return p.host.Post(f) }
 
-// InitialEvents starts the desired state anew, with the list as it is known and nothing else.
+// InitialEvents resets all state that depends on the module and returns the known list as the first event of the new module.
+// Limits of tenants are kept.
 func (p *Pilot) InitialEvents() (events []control.Event) {
-	p.desired = newDesiredState(len(p.facts.OpTypes), int(p.facts.MessageLines), p.where)
-	if p.desired.budget.most = p.file.NoticeLines(); p.facts.MessageCap > 0 {
-		p.desired.budget.gap = p.facts.MessageCapOver
+	p.desired = newDesiredState(len(p.facts.OpTypes), int(p.facts.MessageLines), p.serverOf)
+	if p.desired.budget.maxLines = p.file.NoticeLines(); p.facts.MessageCap > 0 {
+		p.desired.budget.minInterval = p.facts.MessageCapOver
 	}
 	p.channel = newChannel(p.facts.LinesPerSecond, float64(p.file.Channel.MostWaiting))
 	p.intake = newIntake(p.facts.ReportLinesPerS, len(p.facts.Measures))
-	p.intake.types = len(p.facts.OpTypes)
-	p.intake.known = func(id control.EndpointID) bool { _, ok := p.list[id]; return ok }
-	if p.uses, p.loads = nil, map[tenancy.PodID]*[2]float64{}; p.file.Tenants {
-		var kept []tenancy.Sentence
+	p.intake.opTypeCount = len(p.facts.OpTypes)
+	p.intake.isKnown = func(id control.EndpointID) bool { _, ok := p.list[id]; return ok }
+	if p.tenantUses, p.podLoadSums = nil, map[tenancy.PodID]*[2]float64{}; p.file.Tenants {
+		var sentences []tenancy.Sentence
 		if p.quarantine != nil {
-			kept = p.quarantine.Sentences()
+			sentences = p.quarantine.Sentences()
 		} else if p.mover != nil {
-			kept = p.mover.kept
+			sentences = p.mover.restoredLimits
 		}
 		p.quarantine = tenancy.NewQuarantine(p.facts.ReportEvery)
-		p.quarantine.Restore(kept)
-		for _, s := range kept {
+		p.quarantine.Restore(sentences)
+		for _, s := range sentences {
 			p.desired.limits[s.Tenant] = runtime.LimitOf(s.Limit)
 		}
 	}
-	p.sessions, p.numbers = map[control.ProxyID]*session{}, map[control.ProxyID]uint64{}
+	p.sessions, p.lastNumbers = map[control.ProxyID]*session{}, map[control.ProxyID]uint64{}
 	list := p.sortedList()
-	if p.given = len(list) > 0; p.given { // the module lays out its cells by the first list, which must not be empty
-		events = append(events, control.Listing{Kind: control.Cached, Entries: p.entries(list)})
+	if p.listDelivered = len(list) > 0; p.listDelivered { // the module sizes its cells by its first list, which must not be empty
+		events = append(events, control.Listing{Kind: control.Cached, Entries: p.controlEntries(list)})
 	}
 	return events
 }
 
-// Execute carries out what the module orders.
+// Execute carries out the orders of one reply of the module.
 func (p *Pilot) Execute(now time.Duration, orders []control.Order) {
-	messages, rest := p.desired.write(orders)
-	p.records.ordered(orders)
-	p.records.sent(orders, messages)
-	p.queue(now, messages)
-	for _, o := range rest {
-		p.do(o)
+	messages, others := p.desired.translate(orders)
+	p.records.recordOrders(orders)
+	p.records.recordSent(orders, messages)
+	p.enqueueMessages(now, messages)
+	for _, o := range others {
+		p.executeOrder(o)
 	}
 	p.pump()
 }
 
-// HandlePanic goes on with a new module.
+// HandlePanic starts a new run with a new module.
 func (p *Pilot) HandlePanic() { p.restart("panic") }
 
-// restart goes on as a new run, after a panic or where this one is too old: the streams are closed, the proxies keep their
-// tables and join again.
-func (p *Pilot) restart(why control.Reason) {
+// restart starts a new run with a new module, after a panic or when a proxy has seen a later run. All streams are closed; the
+// proxies keep their tables and join again.
+func (p *Pilot) restart(reason control.Reason) {
 	p.run++
 	for id := range p.sessions {
-		p.away(id)
+		p.markAway(id)
 	}
 	for c := range p.connections {
 		c.stream.Close()
 		delete(p.connections, c)
 	}
-	p.records.began(p.run, why)
+	p.records.recordStart(p.run, reason)
 	p.host.StartModule()
 }
 
-// queue gives messages to the channel. One that has no room there would be lost in the midst of its proxy's others, so
-// that proxy's session ends instead and it joins anew.
-func (p *Pilot) queue(now time.Duration, messages []outgoing) {
+// enqueueMessages adds messages to the channel. A message that does not fit would leave a gap in its proxy's sequence, so the
+// proxy's session ends instead and the proxy has to join again.
+func (p *Pilot) enqueueMessages(now time.Duration, messages []outgoing) {
 	for _, m := range messages {
 		s := p.sessions[m.proxy]
 		if s == nil {
@@ -192,143 +193,145 @@
 		m.Pilot, m.Run, m.At = p.file.Name, p.run, now
 		if !p.channel.push(m) {
 			p.overflows++
-			p.log.Error("the channel is full; a proxy joins anew", "proxy", s.id, "lines", m.Lines, "waiting", p.channel.waiting)
+			p.log.Error("channel full; session of the proxy dropped, it must join again", "proxy", s.id, "lines", m.Lines, "waiting",
+				p.channel.waitingLines)
 			p.drop(s)
 		}
 	}
 }
 
-// pump sends what the channel lets out now.
+// pump sends the messages that the channel may send now, and sets the timer for the next one.
 func (p *Pilot) pump() {
-	p.notify()
+	p.sendNotices()
 	for {
 		m, ok, wait := p.channel.next(p.host.Now(), func(id control.ProxyID, lines int) bool {
 			s := p.sessions[id]
-			return s != nil && s.conn != nil && (s.unconfirmed == 0 || s.unconfirmed+lines <= s.window)
+			return s != nil && s.conn != nil && (s.unconfirmedLines == 0 || s.unconfirmedLines+lines <= s.windowLines)
 		})
 		if !ok && wait < 0 && p.sendBindings() {
 			continue
 		}
 		if !ok {
 			if wait >= 0 {
-				p.pace.Reset(max(wait, 100*time.Microsecond))
+				p.sendTimer.Reset(max(wait, 100*time.Microsecond))
 			}
 			return
 		}
 		s := p.sessions[m.proxy]
-		s.sent = append(s.sent, m)
-		s.unconfirmed += m.Lines
+		s.unconfirmed = append(s.unconfirmed, m)
+		s.unconfirmedLines += m.Lines
 		p.messages++
 		p.lines += uint64(m.Lines)
 		_ = s.conn.stream.Send(m.Append(nil))
 	}
 }
 
-// limitTenants has the quarantine look at a period and sends what it says. Where the channel is half full it waits a period:
-// the module's lines go first.
+// limitTenants evaluates the tenants' sums of one period and sends the limits that change. It skips a period when the channel
+// is more than half full, because the module's lines take precedence.
 func (p *Pilot) limitTenants() {
-	if p.quarantine == nil || p.channel.waiting > p.channel.most/2 {
+	if p.quarantine == nil || p.channel.waitingLines > p.channel.maxLines/2 {
 		return
 	}
-	limits := p.quarantine.Step(p.uses, p.podLoads())
-	p.uses = nil
+	limits := p.quarantine.Step(p.tenantUses, p.meanPodLoads())
+	p.tenantUses = nil
 	for _, l := range limits {
-		p.records.limited(l)
-		p.log.Warn("a tenant's limit changed", "tenant", l.Tenant, "rate", l.Rate, "hand", l.Hand, "fenced", l.Fenced, "room", l.Room)
+		p.records.recordLimit(l)
+		p.log.Warn("tenant limit changed", "tenant", l.Tenant, "rate", l.Rate, "hand", l.Hand, "fenced", l.Fenced, "room", l.Room)
 	}
 	if len(limits) > 0 {
 		if p.mover != nil {
-			p.mover.disk.sentences(p.quarantine.Sentences())
+			p.mover.writer.setLimits(p.quarantine.Sentences())
 		}
 		p.sendLimits(limits)
 	}
 }
 
-// sendLimits has proxies told of limits.
+// sendLimits marks changed limits for all proxies and sends what fits.
 func (p *Pilot) sendLimits(limits []tenancy.Limit) {
 	var changes []runtime.Change
 	for _, l := range limits {
 		changes = append(changes, runtime.LimitOf(l))
 	}
-	p.desired.limit(changes)
+	p.desired.markLimits(changes)
 	p.pump()
 }
 
-// notify tells proxies what they are yet to be told by the pilot itself, as far as there is room. Where messages are capped that is
-// at most one message to each within the cap's span, for which files.Facts leaves room beside the module's.
-func (p *Pilot) notify() {
-	messages, wait := p.desired.notify(p.host.Now())
-	p.queue(p.host.Now(), messages)
-	if wait < 0 || p.waits {
+// sendNotices enqueues pending notices as far as the notice budget allows. Where messages per proxy are capped, each proxy gets
+// at most one message of notices within the cap's span; files.Facts reserves room for it beside the module's messages.
+func (p *Pilot) sendNotices() {
+	messages, wait := p.desired.noticeMessages(p.host.Now())
+	p.enqueueMessages(p.host.Now(), messages)
+	if wait < 0 || p.noticeTimerSet {
 		return
 	}
-	p.waits = true
+	p.noticeTimerSet = true
 	time.AfterFunc(wait, func() {
 		p.post(func() {
-			p.waits = false
+			p.noticeTimerSet = false
 			p.pump()
 		})
 	})
 }
 
-// podLoads returns how busy pods said they are over the period, the mean of their servers.
-func (p *Pilot) podLoads() (out []tenancy.Health) {
-	for pod, l := range p.loads {
+// meanPodLoads returns each pod's mean load, as reported by its servers over the period, and starts a new period.
+func (p *Pilot) meanPodLoads() (out []tenancy.Health) {
+	for pod, l := range p.podLoadSums {
 		out = append(out, tenancy.Health{Pod: pod, Load: l[0] / l[1]})
 	}
-	clear(p.loads)
+	clear(p.podLoadSums)
 	slices.SortFunc(out, func(a, b tenancy.Health) int { return cmp.Compare(a.Pod, b.Pod) })
 	return out
 }
 
-// mostUses bounds what is kept of a period's sums by tenant.
-const mostUses = 1 << 16
+// maxTenantUses bounds the number of per-tenant sums kept for one period.
+const maxTenantUses = 1 << 16
 
-// used takes in what a proxy met of tenants, and how busy servers said they are.
-func (p *Pilot) used(s *runtime.Sums) {
+// addTenantSums adds the per-tenant sums and the server loads that a proxy reported to the current period.
+func (p *Pilot) addTenantSums(s *runtime.Sums) {
 	if p.quarantine == nil {
 		return
 	}
 	if busy := slices.Index(p.file.Service.Measures, "cpu_utilization"); busy >= 0 {
 		for _, e := range s.Servers {
-			at, ok := p.where(e.Endpoint)
+			at, ok := p.serverOf(e.Endpoint)
 			if !ok || len(e.Load) <= busy {
 				continue
 			}
 			pod := tenancy.PodOf(at.Zone, at.Pack)
-			if p.loads[pod] == nil {
-				p.loads[pod] = &[2]float64{}
+			if p.podLoadSums[pod] == nil {
+				p.podLoadSums[pod] = &[2]float64{}
 			}
-			p.loads[pod][0] += e.Load[busy]
-			p.loads[pod][1]++
+			p.podLoadSums[pod][0] += e.Load[busy]
+			p.podLoadSums[pod][1]++
 		}
 	}
 	for _, t := range s.Tenants {
-		if len(p.uses) < mostUses {
-			p.uses = append(p.uses, tenancy.Use{Tenant: t.Tenant, Pod: tenancy.PodID(t.Pod), Ops: float64(t.Ops), Failed: float64(t.Failed), Busy: t.Busy})
+		if len(p.tenantUses) < maxTenantUses {
+			p.tenantUses = append(p.tenantUses, tenancy.Use{Tenant: t.Tenant, Pod: tenancy.PodID(t.Pod), Ops: float64(t.Ops),
+				Failed: float64(t.Failed), Busy: t.Busy})
 		}
 	}
 }
 
-// do carries out an order that is not for proxies.
-func (p *Pilot) do(o control.Order) {
+// executeOrder carries out an order that is not translated to messages for proxies.
+func (p *Pilot) executeOrder(o control.Order) {
 	switch o := o.(type) {
 	case control.Probe:
-		p.probe(o.Endpoint)
+		p.startProbe(o.Endpoint)
 	case control.Publish:
 		p.publish(o)
 	case control.FetchList:
 		p.source.Fetch()
 	case control.Note:
-		p.log.Info("note of the module", "text", o.Text)
-	case control.WatchList: // the list is always followed
-	default: // there is none today
-		p.log.Warn("an order that this pilot has no way to carry out", "order", fmt.Sprintf("%T", o))
+		p.log.Info("note from the decision module", "text", o.Text)
+	case control.WatchList: // nothing to do: the list is always followed
+	default: // not reached by the orders that exist today
+		p.log.Warn("unsupported order from the decision module", "order", fmt.Sprintf("%T", o))
 	}
 }
 
-// where tells what a proxy must know of an endpoint.
-func (p *Pilot) where(id control.EndpointID) (runtime.Server, bool) {
+// serverOf returns the address, zone and pack of a listed endpoint. It reports false if the address is not known.
+func (p *Pilot) serverOf(id control.EndpointID) (runtime.Server, bool) {
 	e, ok := p.list[id]
 	if !ok || e.Address == (netip.AddrPort{}) {
 		return runtime.Server{}, false
--- a/pilot/pilot_test.go
+++ b/pilot/pilot_test.go
@@ -32,31 +32,32 @@
 
 func TestMain(m *testing.M) { leak.Main(m) }
 
-// script is a module that orders what a test says and remembers what it was told.
-type script struct {
-	mu     sync.Mutex
-	events []control.Event
-	next   [][]control.Order
+// scriptedModule is a decision module that returns the orders set by a test and records the events that it gets. A Ring event
+// with label 666 makes it panic.
+type scriptedModule struct {
+	mu         sync.Mutex
+	events     []control.Event
+	nextOrders [][]control.Order
 }
 
-func (s *script) Decide(now time.Duration, events []control.Event) (out []control.Order) {
+func (s *scriptedModule) Decide(now time.Duration, events []control.Event) (out []control.Order) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.events = append(s.events, events...)
 	for _, e := range events {
 		if r, ok := e.(control.Ring); ok && r.Label == 666 {
-			panic("as the test asked")
+			panic("panic requested by the test")
 		}
 	}
-	for _, orders := range s.next {
+	for _, orders := range s.nextOrders {
 		out = append(out, orders...)
 	}
-	s.next = nil
+	s.nextOrders = nil
 	return out
 }
 
-// heard is the events of one type so far, the oldest first.
-func heard[T any](s *script) (out []T) {
+// eventsOf returns the events of one type that the module has got, oldest first.
+func eventsOf[T any](s *scriptedModule) (out []T) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, e := range s.events {
@@ -67,65 +68,70 @@
 	return out
 }
 
-func count[T any](s *script) int { return len(heard[T](s)) }
+func countEvents[T any](s *scriptedModule) int { return len(eventsOf[T](s)) }
 
-// order has the pilot order something at once.
+// order makes the module return orders on its next call, and waits for that call.
 func (r *rig) order(orders ...control.Order) {
 	r.module.mu.Lock()
-	r.module.next = append(r.module.next, orders)
+	r.module.nextOrders = append(r.module.nextOrders, orders)
 	r.module.mu.Unlock()
 	r.p.post(func() { r.p.host.Enqueue(control.Ring{}) })
-	r.until("ordered", func() bool { r.module.mu.Lock(); defer r.module.mu.Unlock(); return len(r.module.next) == 0 })
+	r.waitFor("ordered", func() bool { r.module.mu.Lock(); defer r.module.mu.Unlock(); return len(r.module.nextOrders) == 0 })
 }
 
-// rig is a pilot with a scripted module behind a relay.
+// rig is a pilot with a scripted module, its list service and, with newRig, a relay before its stream listener.
 type rig struct {
 	t      *testing.T
-	module *script
+	module *scriptedModule
 	p      *Pilot
 	list   *stand.Server
 	tap    *link.Tap
 	link   *link.Link
 }
 
-func quick() time.Duration { return 0 }
+// noDelay is the delay of the relay.
+func noDelay() time.Duration { return 0 }
 
+// entries returns the server list: four servers in zone z.
 func entries() []roster.Entry {
 	var out []roster.Entry
 	for i := range control.EndpointID(4) {
-		s, _ := at(i)
+		s, _ := serverAt(i)
 		out = append(out, roster.Entry{Endpoint: i, Address: s.Address, Zone: "z", Weight: 1, Mode: "ready"})
 	}
 	return out
 }
 
 func service() files.Service {
-	return files.Service{Zones: []string{"z"}, Bootstrap: 2, ReportEvery: files.Duration(50 * time.Millisecond), OpTypes: []files.OpType{
-		{Name: "a", TargetLatency: files.Duration(time.Second), OpTimeout: files.Duration(2 * time.Second), Repeat: "retryable"}}}
+	return files.Service{Zones: []string{"z"}, Bootstrap: 2, ReportEvery: files.Duration(50 * time.Millisecond),
+		OpTypes: []files.OpType{
+			{Name: "a", TargetLatency: files.Duration(time.Second), OpTimeout: files.Duration(2 * time.Second), Repeat: "retryable"}}}
 }
 
 func pilotFile(listAt string) *files.Pilot {
-	return &files.Pilot{Kind: "pilot", Name: "p", Zone: "z", Proxies: 2, Listen: "127.0.0.1:0", Admin: "127.0.0.1:0", Tick: files.Duration(200 * time.Microsecond), Roster: listAt,
+	return &files.Pilot{Kind: "pilot", Name: "p", Zone: "z", Proxies: 2, Listen: "127.0.0.1:0", Admin: "127.0.0.1:0",
+		Tick: files.Duration(200 * time.Microsecond), Roster: listAt,
 		Seed: 1, Service: service(), Resume: files.Duration(5 * time.Second), Silent: files.Duration(20 * time.Second),
-		Limits: files.Limits{EmptyFor: 1, DrainGrace: 1}, Channel: files.Channel{LinesPerSecond: 1e6, MessageLines: 3, MostWaiting: 8000, ReportLinesPerSecond: 1000}}
+		Limits: files.Limits{EmptyFor: 1, DrainGrace: 1}, Channel: files.Channel{LinesPerSecond: 1e6, MessageLines: 3,
+			MostWaiting: 8000, ReportLinesPerSecond: 1000}}
 }
 
-// newRig is a rig with the relay before its pilot.
+// newRig returns a rig whose relay forwards to the pilot; tests use it to break and delay the stream.
 func newRig(t *testing.T) *rig {
-	r := newRigOf(t, func(*files.Pilot) {})
+	r := newRigWith(t, func(*files.Pilot) {})
 	r.tap = link.NewTap(time.Now())
 	var err error
-	if r.link, err = link.Open("stream 1 0", r.p.Address(), r.tap, quick, quick); err != nil {
+	if r.link, err = link.Open("stream 1 0", r.p.Address(), r.tap, noDelay, noDelay); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { r.p.Stop(); r.link.Close() })
 	return r
 }
 
-// newRigOf is a rig without the relay, whose pilot has its list.
-func newRigOf(t *testing.T, change func(*files.Pilot)) *rig {
+// newRigWith returns a rig without a relay, after its pilot got the list. change modifies the pilot's file.
+func newRigWith(t *testing.T, change func(*files.Pilot)) *rig {
 	t.Helper()
-	r := &rig{t: t, module: &script{}}
+	r := &rig{t: t, module: &scriptedModule{}}
 	var err error
 	if r.list, err = stand.Start("127.0.0.1:0", entries()); err != nil {
 		t.Fatal(err)
@@ -134,13 +140,13 @@
 	change(f)
 	r.start(f)
 	t.Cleanup(func() { r.p.Stop(); r.list.Close() })
-	r.until("the list came", func() bool { return count[control.Listing](r.module) == 1 })
+	r.waitFor("the list", func() bool { return countEvents[control.Listing](r.module) == 1 })
 	return r
 }
 
 func (r *rig) start(f *files.Pilot) {
 	r.t.Helper()
-	r.p = begin(r.t, newPilot(r.t, f), r.module)
+	r.p = startPilot(r.t, newPilot(r.t, f), r.module)
 }
 
 func newPilot(t testing.TB, f *files.Pilot) *Pilot {
@@ -152,8 +158,8 @@
 	return p
 }
 
-// begin starts a pilot; its own module decides where none is given.
-func begin(t testing.TB, p *Pilot, module host.Decider) *Pilot {
+// startPilot starts a pilot with the given module, or with the real one if it is nil.
+func startPilot(t testing.TB, p *Pilot, module host.Decider) *Pilot {
 	t.Helper()
 	if module != nil {
 		p.host.NewDecider = func() host.Decider { return module }
@@ -164,70 +170,71 @@
 	return p
 }
 
-// until waits for something that must come, however slow the machine.
-func (r *rig) until(what string, ok func() bool) {
+// waitFor waits for a condition, with a timeout that allows for a slow machine.
+func (r *rig) waitFor(what string, ok func() bool) {
 	r.t.Helper()
-	until(r.t, 200*time.Microsecond, what, ok)
+	waitFor(r.t, 200*time.Microsecond, what, ok)
 }
 
-// until looks again and again, at this pace.
-func until(t testing.TB, pace time.Duration, what string, ok func() bool) {
+// waitFor checks a condition at an interval until it holds, and fails the test after 20 s.
+func waitFor(t testing.TB, pace time.Duration, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); !ok(); time.Sleep(pace) {
 		if time.Now().After(end) {
-			t.Fatalf("never: %s", what)
+			t.Fatalf("timed out waiting for %s", what)
 		}
 	}
 }
 
-// joined waits until proxies have joined so often.
-func (r *rig) joined(n int) {
+// waitJoined waits until the module has got n Joined events.
+func (r *rig) waitJoined(n int) {
 	r.t.Helper()
-	r.until("joined", func() bool { return count[control.Joined](r.module) == n })
+	r.waitFor("joined", func() bool { return countEvents[control.Joined](r.module) == n })
 }
 
-// inForce waits until so many messages have been confirmed.
-func (r *rig) inForce(n int) {
+// waitInForce waits until the module has got n InForce events.
+func (r *rig) waitInForce(n int) {
 	r.t.Helper()
-	r.until("in force", func() bool { return count[control.InForce](r.module) == n })
+	r.waitFor("InForce events", func() bool { return countEvents[control.InForce](r.module) == n })
 }
 
-// loop runs f on the pilot's loop and waits for it.
-func (r *rig) loop(f func()) {
+// onLoop runs f on the pilot's loop and waits for it.
+func (r *rig) onLoop(f func()) {
 	r.t.Helper()
 	done := make(chan bool)
 	if !r.p.post(func() { f(); close(done) }) {
-		r.t.Fatal("the loop has ended")
+		r.t.Fatal("the pilot's loop has ended")
 	}
 	<-done
 }
 
-// proxy joins at an address; stall, if not nil, holds up its messages.
+// proxy starts a proxy that dials an address. stall, if not nil, returns how long the proxy delays each message.
 func (r *rig) proxy(id uint16, address string, stall func(*runtime.Message) time.Duration) *proxy.Proxy {
 	r.t.Helper()
 	return startProxy(r.t, proxyFile(id, address), stall)
 }
 
-// bound is a proxy that has joined through the relay and confirmed a table of two servers.
-func (r *rig) bound(stall func(*runtime.Message) time.Duration) *proxy.Proxy {
+// boundProxy returns a proxy that has joined through the relay and confirmed a table of two servers.
+func (r *rig) boundProxy(stall func(*runtime.Message) time.Duration) *proxy.Proxy {
 	r.t.Helper()
 	x := r.proxy(1, r.link.Address(), stall)
-	r.joined(1)
+	r.waitJoined(1)
 	r.order(append(table(1, 2), control.Bind{Proxy: 1}, control.Checkpoint{Number: 1})...)
-	r.inForce(1)
+	r.waitInForce(1)
 	return x
 }
 
 func proxyFile(id uint16, pilots ...string) *files.Proxy {
-	f := &files.Proxy{Kind: "proxy", ID: id, Zone: "z", Listen: "127.0.0.1:0", Redial: files.Duration(10 * time.Millisecond), Service: service(),
-		Silent: files.Duration(20 * time.Second)}
+	f := &files.Proxy{Kind: "proxy", ID: id, Zone: "z", Listen: "127.0.0.1:0", Redial: files.Duration(10 * time.Millisecond),
+		Service: service(),
+		Silent:  files.Duration(20 * time.Second)}
 	for _, at := range pilots {
 		f.Pilots = append(f.Pilots, files.PilotAddress{Address: at, Zone: "z"})
 	}
 	return f
 }
 
-// startProxy runs a proxy until the test ends, or kills it before.
+// startProxy starts a proxy, which is killed when the test ends.
 func startProxy(t testing.TB, f *files.Proxy, stall func(*runtime.Message) time.Duration) *proxy.Proxy {
 	t.Helper()
 	x, err := proxy.New(f, slog.New(slog.DiscardHandler))
@@ -242,6 +249,7 @@
 	return x
 }
 
+// table returns orders that give endpoints 0, 1, ... of table 0 the given weights.
 func table(weights ...float64) (out []control.Order) {
 	for i, w := range weights {
 		out = append(out, control.PutLine{Table: 0, Endpoint: control.EndpointID(i), Weight: w})
@@ -249,66 +257,70 @@
 	return out
 }
 
-// The module's first list is one with servers on it, for it lays out its cells by that.
+// The module does not get an empty list at first, because it sizes its cells by its first list.
 func TestNoEmptyFirstList(t *testing.T) {
 	r := newRig(t)
-	for _, l := range heard[control.Listing](r.module) {
+	for _, l := range eventsOf[control.Listing](r.module) {
 		if len(l.Entries) == 0 {
 			t.Errorf("%+v", l)
 		}
 	}
 }
 
-// A message resent across a cut in each phase takes effect once, the module sees one confirmation and no leaving.
-func TestResentAcrossACut(t *testing.T) {
+// A message takes effect once, and the module sees one confirmation and no Left event, if the stream breaks before the message
+// arrives, while it is applied, after it is applied, or while it is confirmed.
+func TestResendAfterDisconnect(t *testing.T) {
 	for _, phase := range []string{"before", "during", "after", "confirm lost"} {
 		t.Run(phase, func(t *testing.T) {
 			r := newRig(t)
 			var mu sync.Mutex
 			stall := time.Duration(0)
-			x := r.bound(func(*runtime.Message) time.Duration { mu.Lock(); defer mu.Unlock(); return stall })
+			x := r.boundProxy(func(*runtime.Message) time.Duration { mu.Lock(); defer mu.Unlock(); return stall })
 			has := func(s string) func() bool { return func() bool { return strings.Contains(x.Stat(), s) } }
 			change := []control.Order{control.PutLine{Table: 0, Endpoint: 0, Weight: 9}, control.Checkpoint{Number: 2}}
 			switch phase {
 			case "before":
 				r.link.Lose(link.Down)
 				r.order(change...)
-				r.until("sent", func() bool { return strings.Contains(r.ask("show info"), "\nMessages: 2\n") })
+				r.waitFor("sent", func() bool { return strings.Contains(r.command("show info"), "\nMessages: 2\n") })
 				r.link.Heal()
 			case "during":
 				mu.Lock()
 				stall = time.Hour
 				mu.Unlock()
 				r.order(change...)
-				r.until("taken in", func() bool { return strings.Contains(passed(r.tap, link.Down), "apply p "+fmt.Sprint(r.p.run)+" 2 ") })
+				r.waitFor("arrival of the message", func() bool {
+					return strings.Contains(passedData(r.tap, link.Down), "apply p "+fmt.Sprint(r.p.run)+" 2 ")
+				})
 				mu.Lock()
 				stall = 0
 				mu.Unlock()
 				r.link.Break()
 			case "after":
 				r.order(change...)
-				r.until("applied", has("e0,UP,9"))
+				r.waitFor("applied", has("e0,UP,9"))
 				r.link.Break()
 			case "confirm lost":
 				r.link.Lose(link.Up)
 				r.order(change...)
-				r.until("applied", has("e0,UP,9"))
+				r.waitFor("applied", has("e0,UP,9"))
 				r.link.Heal()
 			}
-			r.inForce(2)
+			r.waitInForce(2)
 			r.order(control.PutLine{Table: 0, Endpoint: 1, Weight: 7}, control.Checkpoint{Number: 3})
-			r.inForce(3)
+			r.waitInForce(3)
 			if !has("e0,UP,9")() || !has("e1,UP,7")() || !strings.Contains(x.Info(), "\nApplied: 3\n") {
 				t.Errorf("%s\n%s", x.Info(), x.Stat())
 			}
-			if n := count[control.Left](r.module); n != 0 {
-				t.Errorf("%d left", n)
+			if n := countEvents[control.Left](r.module); n != 0 {
+				t.Errorf("%d Left events", n)
 			}
 		})
 	}
 }
 
-func (r *rig) ask(cmd string) string {
+// command runs an admin command and returns the reply.
+func (r *rig) command(cmd string) string {
 	s, err := sessions.Query(r.p.AdminAddress(), cmd, 10*time.Second)
 	if err != nil {
 		r.t.Fatal(err)
@@ -316,7 +328,8 @@
 	return s
 }
 
-func passed(tap *link.Tap, d link.Direction) string {
+// passedData returns the bytes that the relay forwarded in one direction.
+func passedData(tap *link.Tap, d link.Direction) string {
 	var b strings.Builder
 	for _, p := range tap.All() {
 		if p.Direction == d {
@@ -326,8 +339,8 @@
 	return b.String()
 }
 
-// Lines that come while a proxy stalls wait in order, in the pilot beyond the proxy's window, and hold up nobody else.
-func TestStall(t *testing.T) {
+// Messages to a proxy that stalls are kept in order, in the pilot once the proxy's window is full, and delay no other proxy.
+func TestStalledProxy(t *testing.T) {
 	r := newRig(t)
 	release := make(chan struct{})
 	free := sync.OnceFunc(func() { close(release) })
@@ -339,55 +352,55 @@
 		return 0
 	})
 	y := r.proxy(2, r.p.Address(), nil)
-	r.joined(2)
+	r.waitJoined(2)
 	r.order(append(table(1, 2), control.Bind{Proxy: 1}, control.Bind{Proxy: 2}, control.Checkpoint{Number: 1})...)
-	const more = 1500 // of five lines each: more than a window
+	const more = 1500 // messages of five lines each, which exceed the window
 	for i := range more {
 		r.order(control.PutLine{Table: 0, Endpoint: 0, Weight: float64(i + 2)}, control.Checkpoint{Number: i + 2})
 	}
 	last := fmt.Sprintf("e0,UP,%d,", more+1)
-	r.until("the other has it all", func() bool { return strings.Contains(y.Stat(), last) })
-	info := r.ask("show info")
+	r.waitFor("all messages at the other proxy", func() bool { return strings.Contains(y.Stat(), last) })
+	info := r.command("show info")
 	if strings.Contains(info, "\nLines_waiting: 0\n") || !strings.Contains(info, "\nOverflows: 0\n") {
-		t.Errorf("nothing waits in the channel though a proxy stalls:\n%s", info)
+		t.Errorf("no lines wait in the channel although a proxy stalls:\n%s", info)
 	}
-	if got := strings.Count(passed(r.tap, link.Down), "apply "); got*5 > 4096+50 {
-		t.Errorf("%d messages went to a proxy that stalls, past its window", got)
+	if got := strings.Count(passedData(r.tap, link.Down), "apply "); got*5 > 4096+50 {
+		t.Errorf("%d messages were sent to a stalled proxy, which exceeds its window", got)
 	}
 	if x.Stat() != "# pxname,svname,status,weight,addr,\n" {
-		t.Errorf("applied while it stalled: %s", x.Stat())
+		t.Errorf("changes applied by a stalled proxy: %s", x.Stat())
 	}
 	free()
-	r.until("it catches up", func() bool { return strings.Contains(x.Stat(), last) })
-	r.inForce(2 * (more + 1))
+	r.waitFor("the stalled proxy to catch up", func() bool { return strings.Contains(x.Stat(), last) })
+	r.waitInForce(2 * (more + 1))
 }
 
-// A channel that is full ends the session of the proxy concerned, which joins anew with its tables; its bound holds.
-func TestOverflow(t *testing.T) {
+// A message that does not fit into the channel ends its proxy's session. The proxy joins again, and the channel's bound holds.
+func TestChannelOverflow(t *testing.T) {
 	r := newRig(t)
 	release := make(chan struct{})
 	free := sync.OnceFunc(func() { close(release) })
 	defer free()
 	r.proxy(1, r.link.Address(), func(*runtime.Message) time.Duration { <-release; return 0 })
-	r.joined(1)
+	r.waitJoined(1)
 	r.order(append(table(1, 2), control.Bind{Proxy: 1})...)
 	for i := range 4000 {
 		r.order(control.PutLine{Table: 0, Endpoint: 0, Weight: float64(i + 2)})
 	}
-	r.until("its session ended", func() bool { return count[control.Left](r.module) >= 1 })
+	r.waitFor("the end of the session", func() bool { return countEvents[control.Left](r.module) >= 1 })
 	free()
-	r.until("joined anew", func() bool { return count[control.Joined](r.module) >= 2 })
+	r.waitFor("the proxy to join again", func() bool { return countEvents[control.Joined](r.module) >= 2 })
 	var peak int
-	for _, line := range strings.Split(r.ask("show info"), "\n") {
+	for _, line := range strings.Split(r.command("show info"), "\n") {
 		fmt.Sscanf(line, "Lines_waiting_peak: %d", &peak)
 	}
 	if peak > 8000 || peak < 4000 {
-		t.Errorf("%d lines waited at most", peak)
+		t.Errorf("peak of %d lines waiting, want 4000 to 8000", peak)
 	}
 }
 
-// dial is a peer that speaks the stream by hand.
-func dial(t *testing.T, address string) (net.Conn, *bufio.Reader) {
+// dialRaw opens a plain connection, on which the test writes the protocol itself.
+func dialRaw(t *testing.T, address string) (net.Conn, *bufio.Reader) {
 	c, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
@@ -397,73 +410,77 @@
 	return c, bufio.NewReader(c)
 }
 
-// readUntil reads lines until one of them bears a text, and returns them all.
+// readUntil reads lines until they contain a text, and returns them.
 func readUntil(t *testing.T, in *bufio.Reader, text string) (all string) {
 	t.Helper()
 	for !strings.Contains(all, text) {
 		line, err := in.ReadString('\n')
 		if err != nil {
-			t.Fatalf("%q did not come: %v", text, err)
+			t.Fatalf("%q not received: %v", text, err)
 		}
 		all += line
 	}
 	return all
 }
 
-const hello = "hello %d token %s zone 0 rate 1 holds - 0 0 window 100 standing -\n\n"
+// helloFormat is a hello block with a proxy's id and token.
+const helloFormat = "hello %d token %s zone 0 rate 1 holds - 0 0 window 100 standing -\n\n"
 
-// Rubbish, another's number, a zone that is not there: refused, and the others are not touched. A stream that is half
-// open gives way to the same proxy's new one.
-func TestStrangers(t *testing.T) {
+// Streams with malformed data, another proxy's id or an unknown zone are closed, and other streams are not affected. A new
+// stream of a proxy replaces its half-open one.
+func TestInvalidStreams(t *testing.T) {
 	r := newRig(t)
-	good, in := dial(t, r.p.Address())
-	fmt.Fprintf(good, hello, 1, "x")
+	good, in := dialRaw(t, r.p.Address())
+	fmt.Fprintf(good, helloFormat, 1, "x")
 	if s, err := in.ReadString('\n'); err != nil || !strings.HasPrefix(s, "welcome p ") {
 		t.Fatal(s, err)
 	}
-	for _, text := range []string{"rubbish\n\n", "\x00\xff\n\n", "GET / HTTP/1.1\r\n\n\n", "sums 1000\n\n", fmt.Sprintf(hello, 1, "y"),
-		"hello 2 token x zone 9 rate 1 holds - 0 0 window 1 standing -\n\n", fmt.Sprintf(hello, 5, "z") + fmt.Sprintf(hello, 5, "z"),
+	for _, text := range []string{"rubbish\n\n", "\x00\xff\n\n", "GET / HTTP/1.1\r\n\n\n", "sums 1000\n\n",
+		fmt.Sprintf(helloFormat, 1, "y"),
+		"hello 2 token x zone 9 rate 1 holds - 0 0 window 1 standing -\n\n",
+		fmt.Sprintf(helloFormat, 5, "z") + fmt.Sprintf(helloFormat, 5, "z"),
 		strings.Repeat("a", maxBlockBytes+1)} {
-		c, _ := dial(t, r.p.Address())
+		c, _ := dialRaw(t, r.p.Address())
 		_, _ = io.WriteString(c, text)
 		if _, err := io.ReadAll(c); err != nil && !strings.Contains(err.Error(), "reset") {
-			t.Errorf("%.40q: not closed: %v", text, err)
+			t.Errorf("%.40q: stream not closed: %v", text, err)
 		}
 	}
 	r.order(append(table(1), control.Bind{Proxy: 1})...)
-	readUntil(t, in, "set map op-types") // the good proxy has its stream still
-	again, in2 := dial(t, r.p.Address())
-	fmt.Fprintf(again, hello, 1, "x")
+	readUntil(t, in, "set map op-types") // the valid proxy's stream is still open
+	again, in2 := dialRaw(t, r.p.Address())
+	fmt.Fprintf(again, helloFormat, 1, "x")
 	if s, err := in2.ReadString('\n'); err != nil || !strings.HasSuffix(s, " fresh wire 1\n") {
 		t.Fatal(s, err)
 	}
 	if _, err := io.ReadAll(in); err != nil {
-		t.Errorf("the old stream is not closed: %v", err)
+		t.Errorf("the half-open stream is not closed: %v", err)
 	}
 }
 
-// A pilot that finds no list service goes by the list that it kept, even one killed outright; a torn copy is not used.
+// A pilot that cannot reach the list service uses the cached list of its earlier process, even if that was killed. A
+// truncated or modified cache file is not used.
 func TestCachedList(t *testing.T) {
 	r := newRig(t)
 	f := pilotFile(r.list.Address())
 	f.Cache = filepath.Join(t.TempDir(), "list.json")
-	first := &rig{t: t, module: &script{}}
+	first := &rig{t: t, module: &scriptedModule{}}
 	first.start(f)
-	first.until("kept", func() bool { _, l, err := roster.Load(f.Cache, f.Name); return err == nil && len(l) == 4 })
+	first.waitFor("kept", func() bool { _, l, err := roster.Load(f.Cache, f.Name); return err == nil && len(l) == 4 })
 	first.p.Kill()
 	f.Roster = "127.0.0.1:1"
 	listing := func() (n int) {
-		second := &rig{t: t, module: &script{}}
+		second := &rig{t: t, module: &scriptedModule{}}
 		second.start(f)
 		defer second.p.Stop()
-		second.until("started", func() bool { return count[control.Start](second.module) == 1 })
-		if lists := heard[control.Listing](second.module); len(lists) > 0 {
+		second.waitFor("started", func() bool { return countEvents[control.Start](second.module) == 1 })
+		if lists := eventsOf[control.Listing](second.module); len(lists) > 0 {
 			return len(lists[0].Entries)
 		}
 		return 0
 	}
 	if n := listing(); n != 4 {
-		t.Errorf("%d entries", n)
+		t.Errorf("%d entries in the cached list, want 4", n)
 	}
 	data, err := os.ReadFile(f.Cache)
 	if err != nil {
@@ -474,36 +491,42 @@
 			t.Fatal(err)
 		}
 		if n := listing(); n != 0 {
-			t.Errorf("a torn copy gave %d entries", n)
+			t.Errorf("a corrupt cache file gave %d entries", n)
 		}
 	}
 }
 
-// A panic of the module starts it afresh with the list; proxies keep their tables and join the new run, which may order.
+// After a panic a new module is started with the list. Proxies keep their tables, join the new run and follow its orders.
 func TestPanic(t *testing.T) {
 	r := newRig(t)
-	x := r.bound(nil)
+	x := r.boundProxy(nil)
 	r.p.post(func() { r.p.host.Enqueue(control.Ring{Label: 666}) })
-	r.until("started afresh", func() bool { return count[control.Start](r.module) == 2 && count[control.Joined](r.module) == 2 })
+	r.waitFor("a second module with the proxy joined", func() bool {
+		return countEvents[control.Start](r.module) == 2 && countEvents[control.Joined](r.module) == 2
+	})
 	if !strings.Contains(x.Stat(), "e1,UP,2") {
-		t.Errorf("tables are gone: %s", x.Stat())
+		t.Errorf("the proxy lost its tables: %s", x.Stat())
 	}
 	r.order(append(table(3), control.Bind{Proxy: 1}, control.Checkpoint{Number: 1})...)
-	r.until("the new run orders", func() bool { return strings.Contains(x.Stat(), "e0,UP,3") && !strings.Contains(x.Stat(), "e1,") })
+	r.waitFor("the table of the new run", func() bool {
+		return strings.Contains(x.Stat(),
+			"e0,UP,3") && !strings.Contains(x.Stat(), "e1,")
+	})
 }
 
-// A pilot that starts by a clock that was set back goes on beyond the run that its proxies hold: they refuse an older one.
+// A pilot whose clock was set back starts with a lower run number than the one its proxies have seen, which they refuse. It
+// moves to a higher run number, and the proxies join.
 func TestClockSetBack(t *testing.T) {
 	r := newRig(t)
-	x := r.bound(nil)
+	x := r.boundProxy(nil)
 	f, run := *r.p.file, r.p.run
 	f.Listen = r.p.Address()
 	r.p.Kill()
 	r.p = newPilot(t, &f)
 	r.p.run = run - 3_600_000_000
-	begin(t, r.p, r.module)
+	startPilot(t, r.p, r.module)
 	ordered := time.Time{}
-	r.until("in force by the new run", func() bool {
+	r.waitFor("in force by the new run", func() bool {
 		if strings.Contains(x.Info(), "Joined: true") && time.Since(ordered) > 100*time.Millisecond {
 			ordered = time.Now()
 			r.order(append(table(1, 7), control.Bind{Proxy: 1}, control.Checkpoint{Number: 2})...)
@@ -512,19 +535,21 @@
 	})
 }
 
-// People may ask at any time, by hand or by script.
+// Admin commands are answered, on one line or in an interactive session.
 func TestSession(t *testing.T) {
 	r := newRig(t)
-	if s := r.ask("help"); !strings.Contains(s, "show servers state") || !strings.HasSuffix(s, "\n\n") {
+	if s := r.command("help"); !strings.Contains(s, "show servers state") || !strings.HasSuffix(s, "\n\n") {
 		t.Errorf("%q", s)
 	}
-	if s := r.ask("show servers state;show nothing"); !strings.Contains(s, "e3 127.0.0.1 8003 1 ready z 0 false") || !strings.Contains(s, "Unknown command") {
+	if s := r.command("show servers state;show nothing"); !strings.Contains(s,
+		"e3 127.0.0.1 8003 1 ready z 0 false") || !strings.Contains(s, "Unknown command") {
 		t.Errorf("%q", s)
 	}
-	if s := r.ask("show info typed"); !strings.Contains(s, "\n1.Role.1:POS:str:pilot\n") || !strings.Contains(s, ".Servers.1:POS:u64:4\n") {
+	if s := r.command("show info typed"); !strings.Contains(s, "\n1.Role.1:POS:str:pilot\n") || !strings.Contains(s,
+		".Servers.1:POS:u64:4\n") {
 		t.Errorf("%q", s)
 	}
-	c, in := dial(t, r.p.AdminAddress())
+	c, in := dialRaw(t, r.p.AdminAddress())
 	_, _ = io.WriteString(c, "prompt\nshow info\nquit\n")
 	all, err := io.ReadAll(in)
 	if err != nil || strings.Count(string(all), "> ") != 2 || !strings.Contains(string(all), "Role: pilot") {
@@ -532,31 +557,31 @@
 	}
 }
 
-// What one pilot publishes reaches its peers as the file names them, and nobody else may write.
-func TestNotes(t *testing.T) {
+// A published note reaches the peers in the pilot's file. A note from an instance that is not a peer is refused.
+func TestPeerNotes(t *testing.T) {
 	r := newRig(t)
 	f := pilotFile(r.list.Address())
 	f.Instance, f.Instances, f.Name = 1, 2, "q"
 	f.Peers = []files.Peer{{Instance: 0, Address: r.p.Address()}}
 	r.p.post(func() { r.p.file.Peers = []files.Peer{{Instance: 1, Address: "127.0.0.1:1"}} })
-	q := &rig{t: t, module: &script{}}
+	q := &rig{t: t, module: &scriptedModule{}}
 	q.start(f)
 	defer q.p.Stop()
-	c, _ := dial(t, r.p.Address())
+	c, _ := dialRaw(t, r.p.Address())
 	_, _ = c.Write(runtime.Note{From: 2, Data: []byte("stranger")}.Append(nil))
 	if _, err := io.ReadAll(c); err != nil {
 		t.Error(err)
 	}
 	q.order(control.Publish{To: -1, Data: []byte("a\n\nb")}, control.Publish{To: 7, Data: []byte("nobody")})
-	r.until("heard", func() bool { return count[control.PeerNote](r.module) == 1 })
-	for _, n := range heard[control.PeerNote](r.module) {
+	r.waitFor("heard", func() bool { return countEvents[control.PeerNote](r.module) == 1 })
+	for _, n := range eventsOf[control.PeerNote](r.module) {
 		if n.From != 1 || string(n.Data) != "a\n\nb" {
 			t.Errorf("%+v", n)
 		}
 	}
 }
 
-// A probe says what it met: an answer with a load, a refusal, nobody there.
+// The outcome of a probe distinguishes an answer with a load report, a rejection, an error and an unreachable server.
 func TestProbe(t *testing.T) {
 	r := newRig(t)
 	var status atomic.Int64
@@ -577,13 +602,15 @@
 		status int64
 		probe  control.EndpointID
 		want   control.ProbeOutcome
-	}{{200, 9, control.ProbeAnswered}, {503, 9, control.ProbeRejected}, {500, 9, control.ProbeErrored}, {0, 10, control.ProbeUnreached}, {0, 77, control.ProbeOther}} {
+	}{{200, 9, control.ProbeAnswered}, {503, 9, control.ProbeRejected}, {500, 9, control.ProbeErrored},
+		{0, 10, control.ProbeUnreached}, {0, 77, control.ProbeOther}} {
 		status.Store(c.status)
 		r.order(control.Probe{Endpoint: c.probe})
-		r.until("probed", func() bool { return count[control.Probed](r.module) == i+1 })
+		r.waitFor("probed", func() bool { return countEvents[control.Probed](r.module) == i+1 })
 		r.module.mu.Lock()
 		for _, e := range r.module.events[len(r.module.events)-1:] {
-			if p, ok := e.(control.Probed); !ok || p.Endpoint != c.probe || p.Outcome != c.want || c.status > 0 && (len(p.Load) != 1 || p.Load[0] != 0.5) {
+			if p, ok := e.(control.Probed); !ok || p.Endpoint != c.probe || p.Outcome != c.want ||
+				c.status > 0 && (len(p.Load) != 1 || p.Load[0] != 0.5) {
 				t.Errorf("%+v", e)
 			}
 		}
@@ -591,15 +618,15 @@
 	}
 }
 
-// What proxies meet of tenants comes back as limits on the one that harms the others, and a name of any kind passes.
+// Sums by tenant lead to a limit on the one tenant that harms the others. A tenant's name may contain a space.
 func TestTenantLimits(t *testing.T) {
 	f := pilotFile("127.0.0.1:1")
 	f.Tenants = true
-	r := &rig{t: t, module: &script{}}
+	r := &rig{t: t, module: &scriptedModule{}}
 	r.start(f)
 	defer r.p.Stop()
-	c, in := dial(t, r.p.Address())
-	fmt.Fprintf(c, hello, 1, "x")
+	c, in := dialRaw(t, r.p.Address())
+	fmt.Fprintf(c, helloFormat, 1, "x")
 	done := make(chan struct{})
 	defer func() { c.Close(); <-done }()
 	go func() {
@@ -625,7 +652,7 @@
 			t.Fatal(err)
 		}
 		if strings.HasPrefix(line, "set tenant ") && !strings.HasPrefix(line, `set tenant =t\ 3 rate `) {
-			t.Fatalf("limited a bystander: %s", line)
+			t.Fatalf("a tenant that does no harm was limited: %s", line)
 		}
 		if strings.Contains(line, " fence on hand ") {
 			return
@@ -633,16 +660,16 @@
 	}
 }
 
-// A pilot that closes more streams at once than its loop's inbox has room for, as after a panic of the module, goes on: each stream's
-// end must not be posted to the loop by the loop itself, which would wait for itself without end.
+// Closing more streams at once than the loop's inbox has room for, as after a panic of the module, must not block the pilot.
+// If the loop itself posted the end of each stream to its inbox, it would deadlock.
 func TestRestartOfManyStreams(t *testing.T) {
 	r := newRig(t)
 	const streams = 1200
 	for range streams {
-		dial(t, r.p.Address())
+		dialRaw(t, r.p.Address())
 	}
-	r.until("all are there", func() (there bool) {
-		r.loop(func() { there = len(r.p.connections) == streams })
+	r.waitFor("all connections", func() (there bool) {
+		r.onLoop(func() { there = len(r.p.connections) == streams })
 		return there
 	})
 	done := make(chan bool)
@@ -650,7 +677,7 @@
 	select {
 	case <-done:
 	case <-time.After(20 * time.Second):
-		fmt.Fprintln(os.Stderr, "TestRestartOfManyStreams: the loop waits for itself")
-		os.Exit(1) // the pilot cannot be stopped, so the test's cleanup would never end
+		fmt.Fprintln(os.Stderr, "TestRestartOfManyStreams: the loop is deadlocked")
+		os.Exit(1) // the pilot cannot be stopped, so the test's cleanup would hang
 	}
 }
--- a/pilot/probe.go
+++ b/pilot/probe.go
@@ -6,25 +6,26 @@
 	"vetchdoor/pilot/host"
 )
 
-// mostProbes bounds the probes under way.
-const mostProbes = 64
+// maxPendingProbes bounds the number of probes in progress.
+const maxPendingProbes = 64
 
-// probe asks an endpoint whether it is well.
-func (p *Pilot) probe(id control.EndpointID) {
+// startProbe probes an endpoint in the background and queues the outcome for the module. The outcome is ProbeOther at once if
+// the endpoint is not listed or too many probes are in progress.
+func (p *Pilot) startProbe(id control.EndpointID) {
 	e, ok := p.list[id]
-	if !ok || p.probing.Load() >= mostProbes {
+	if !ok || p.pendingProbes.Load() >= maxPendingProbes {
 		p.host.Enqueue(control.Probed{Endpoint: id, Outcome: control.ProbeOther})
 		return
 	}
-	p.probing.Add(1)
+	p.pendingProbes.Add(1)
 	go func() {
-		defer p.probing.Add(-1)
-		probed := host.Probe(p.probes, id, e.Address.String(), "/probe", p.silent/4, p.loadOf)
+		defer p.pendingProbes.Add(-1)
+		probed := host.Probe(p.probePool, id, e.Address.String(), "/probe", p.silenceTimeout/4, p.loadOf)
 		p.post(func() { p.host.Enqueue(probed) })
 	}()
 }
 
-// loadOf is what an answer says of its endpoint's load, by the measures of the settings; nil if it says nothing.
+// loadOf returns the load report of an answer, in the order of the configured measures; nil if the answer has none.
 func (p *Pilot) loadOf(answer *http1.Message) (load []float64) {
 	said := http1.ParseLoad(answer.Get(http1.LoadHeader))
 	if said == nil {
--- a/pilot/push_bench_test.go
+++ b/pilot/push_bench_test.go
@@ -12,19 +12,20 @@
 	"vetchdoor/roster"
 )
 
-// BenchmarkPush is the change of one server's weight in a table of 300 to in force at 500 proxies, over sockets, all in
-// this process; bench/xds does the same over go-control-plane's delta xDS.
+// BenchmarkPush measures the time from a change of one server's weight, in a table of 300 servers, until 500 proxies have
+// confirmed it, over sockets within this process. bench/xds measures the same for go-control-plane's delta xDS.
 func BenchmarkPush(b *testing.B) {
 	const servers, proxies = 300, 500
-	module := &script{}
+	module := &scriptedModule{}
 	f := pilotFile("127.0.0.1:1")
 	f.Proxies = proxies
 	f.Channel.LinesPerSecond, f.Channel.MostWaiting = 1e9, 1<<30
 	p := newPilot(b, f)
 	for i := range control.EndpointID(servers) {
-		p.list[i] = roster.Entry{Endpoint: i, Address: netip.MustParseAddrPort(fmt.Sprintf("127.0.0.1:%d", 10000+i)), Zone: "z", Weight: 1, Mode: "ready"}
+		p.list[i] = roster.Entry{Endpoint: i, Address: netip.MustParseAddrPort(fmt.Sprintf("127.0.0.1:%d", 10000+i)), Zone: "z",
+			Weight: 1, Mode: "ready"}
 	}
-	begin(b, p, module)
+	startPilot(b, p, module)
 	b.Cleanup(p.Stop)
 	for i := range proxies {
 		f := proxyFile(uint16(i), p.Address())
@@ -34,17 +35,17 @@
 	wait := func(what string, ok func() bool) {
 		for end := time.Now().Add(60 * time.Second); !ok(); time.Sleep(50 * time.Microsecond) {
 			if time.Now().After(end) {
-				b.Fatal("never: ", what)
+				b.Fatal("timed out waiting for ", what)
 			}
 		}
 	}
 	order := func(orders ...control.Order) {
 		module.mu.Lock()
-		module.next = append(module.next, orders)
+		module.nextOrders = append(module.nextOrders, orders)
 		module.mu.Unlock()
 		p.post(func() { p.host.Enqueue(control.Ring{}) })
 	}
-	wait("joined", func() bool { return count[control.Joined](module) == proxies })
+	wait("joined", func() bool { return countEvents[control.Joined](module) == proxies })
 	var first []control.Order
 	for i := range control.EndpointID(servers) {
 		first = append(first, control.PutLine{Table: 0, Endpoint: i, Weight: 1})
@@ -53,7 +54,7 @@
 		first = append(first, control.Bind{Table: 0, Proxy: i})
 	}
 	order(append(first, control.Checkpoint{Number: 1})...)
-	wait("bound", func() bool { return count[control.InForce](module) == proxies })
+	wait("bound", func() bool { return countEvents[control.InForce](module) == proxies })
 	var took, whole []time.Duration
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
@@ -64,9 +65,9 @@
 		module.mu.Unlock()
 		begin := time.Now()
 		order(control.PutLine{Table: 0, Endpoint: 7, Weight: float64(i%9 + 2)}, control.Checkpoint{Number: i & 0xffff})
-		wait("in force", func() bool { return count[control.InForce](module) == proxies })
+		wait("in force", func() bool { return countEvents[control.InForce](module) == proxies })
 		whole = append(whole, time.Since(begin))
-		for _, f := range heard[control.InForce](module) {
+		for _, f := range eventsOf[control.InForce](module) {
 			took = append(took, f.Took)
 		}
 	}
