--- a/pilot/records.go
+++ b/pilot/records.go
@@ -15,116 +15,122 @@
 	"vetchdoor/tenancy"
 )
 
-// recorder writes a record of each thing that the pilot orders, with the reason that it was given. The loop hands over what
-// happened and goes on; writing is a goroutine's own, and where that is far behind, what happened is counted and left out.
+// recorder writes a log record of each order of the module, with its reason, and of other changes of the pilot's state.
+// Records are written on a goroutine of their own so that the loop never waits for the log; when its queue is full, records
+// are dropped and counted. A nil recorder writes nothing.
 type recorder struct {
-	log   *slog.Logger
-	now   func() time.Duration
-	jobs  chan job
-	ended chan struct{}
-	over  atomic.Uint64 // records, about, that there was no room for
-
-	// What follows is the writer's own.
-	at       time.Duration // of what is being written
-	pilot    string
-	types    []string
-	run      uint64
-	sequence uint64
-	versions map[control.TableID]uint64
-	open     []*checkpoint // sent, not confirmed by all, the oldest first
+	log     *slog.Logger
+	now     func() time.Duration
+	jobs    chan job
+	done    chan struct{}
+	dropped atomic.Uint64 // approximate number of records dropped because the queue was full
+
+	// The fields below are used only on the writing goroutine.
+	eventTime       time.Duration // time of the event being written
+	pilot           string
+	types           []string
+	run             uint64
+	sequence        uint64
+	versions        map[control.TableID]uint64
+	openCheckpoints []*checkpoint // sent and not confirmed by all proxies, oldest first
 }
 
-// job is something that happened.
+// job is an event to be written as one or more records.
 type job struct {
 	at      time.Duration
-	records int // that it will make, about
-	do      func()
+	records int // approximate number of records that write makes
+	write   func()
 }
 
-// mostJobs bounds what waits to be written.
-const mostJobs = 4096
+// maxQueuedJobs bounds the queue of the writing goroutine.
+const maxQueuedJobs = 4096
 
-// checkpoint is what became of one.
+// checkpoint tracks which proxies have confirmed a checkpoint.
 type checkpoint struct {
 	number  int
 	at      time.Duration
-	sent    map[control.ProxyID]bool // true: confirmed
-	left    int
+	sent    map[control.ProxyID]bool // proxies that it was sent to; true once confirmed
+	missing int
 	slowest time.Duration
 }
 
-// patience is how long a checkpoint is waited for before its record is written without those that are missing; mostOpen how
-// many are kept.
+// checkpointTimeout is how long confirmations of a checkpoint are awaited before its record is written without the missing
+// ones. maxOpenCheckpoints bounds the checkpoints awaited at a time, and maxListedProxies the missing proxies named in a
+// record.
 const (
-	patience = 5 * time.Second
-	mostOpen = 256
-	mostSaid = 16
+	checkpointTimeout  = 5 * time.Second
+	maxOpenCheckpoints = 256
+	maxListedProxies   = 16
 )
 
+// newRecorder starts a recorder that writes to log; it returns nil if log is nil. now returns the time of an event.
 func newRecorder(log *slog.Logger, pilot string, types []string, run uint64, now func() time.Duration) *recorder {
 	if log == nil {
 		return nil
 	}
 	r := &recorder{log: log, pilot: pilot, types: types, run: run, now: now, versions: map[control.TableID]uint64{},
-		jobs: make(chan job, mostJobs), ended: make(chan struct{})}
+		jobs: make(chan job, maxQueuedJobs), done: make(chan struct{})}
 	go func() {
-		defer close(r.ended)
+		defer close(r.done)
 		for j := range r.jobs {
-			r.sequence += r.over.Swap(0) // left out, and a reader sees that they are missing
-			r.at = j.at
-			j.do()
+			r.sequence += r.dropped.Swap(0) // leaves a gap, from which a reader sees that records are missing
+			r.eventTime = j.at
+			j.write()
 		}
 	}()
 	return r
 }
 
-// post has something written, or counts it.
-func (r *recorder) post(records int, do func()) {
+// enqueue queues a job of about that many records, or counts them as dropped if the queue is full.
+func (r *recorder) enqueue(records int, write func()) {
 	if r == nil {
 		return
 	}
 	select {
-	case r.jobs <- job{r.now(), records, do}:
+	case r.jobs <- job{r.now(), records, write}:
 	default:
-		r.over.Add(uint64(records))
+		r.dropped.Add(uint64(records))
 	}
 }
 
-// close waits until all is written.
+// close waits until all queued jobs are written. No job may be queued after it.
 func (r *recorder) close() {
 	if r != nil {
 		close(r.jobs)
-		<-r.ended
+		<-r.done
 	}
 }
 
-// write writes one record. Its number is taken even if the log keeps it back, so that a reader sees what is missing.
+// write writes one record. The record takes a sequence number even if the log suppresses it, so that a reader sees the gap.
 func (r *recorder) write(level slog.Level, kind string, reason control.Reason, text string, attrs ...slog.Attr) {
 	r.sequence++
 	all := make([]slog.Attr, 0, len(attrs)+5)
 	all = append(all, slog.String(record.Pilot, r.pilot), slog.Uint64(record.Run, r.run), slog.Uint64(record.Sequence, r.sequence),
-		slog.Int64(record.At, r.at.Microseconds()))
+		slog.Int64(record.At, r.eventTime.Microseconds()))
 	if reason != "" {
 		all = append(all, syslog.Reason(string(reason)))
 	}
 	all = append(all, attrs...)
-	r.log.LogAttrs(context.Background(), level, text, syslog.Kind(kind), slog.Attr{Key: record.Element, Value: slog.GroupValue(all...)})
+	r.log.LogAttrs(context.Background(), level, text, syslog.Kind(kind),
+		slog.Attr{Key: record.Element, Value: slog.GroupValue(all...)})
 }
 
-func figures(w control.Why) []slog.Attr {
+// figureAttrs returns the attributes of the figure behind an order and its limit; nil if there is none.
+func figureAttrs(w control.Why) []slog.Attr {
 	if w.Value == 0 && w.Limit == 0 {
 		return nil
 	}
-	return []slog.Attr{slog.String(record.Value, round(w.Value)), slog.String(record.Past, round(w.Limit))}
+	return []slog.Attr{slog.String(record.Value, formatFigure(w.Value)), slog.String(record.Past, formatFigure(w.Limit))}
 }
 
-func round(x float64) string { return strconv.FormatFloat(x, 'g', 4, 64) }
+func formatFigure(x float64) string { return strconv.FormatFloat(x, 'g', 4, 64) }
 
 func nodeName(e control.EndpointID) string { return "e" + strconv.FormatUint(uint64(e), 10) }
 
 func proxyName(p control.ProxyID) string { return "p" + strconv.FormatUint(uint64(p), 10) }
 
-func (r *recorder) table(id control.TableID, changed bool) []slog.Attr {
+// tableAttrs returns the attributes that name a table and its version, which is incremented if the table changed.
+func (r *recorder) tableAttrs(id control.TableID, changed bool) []slog.Attr {
 	if id == control.Everywhere {
 		return []slog.Attr{slog.String(record.Table, "*")}
 	}
@@ -134,7 +140,8 @@
 	return []slog.Attr{slog.String(record.Table, "t"+strconv.Itoa(int(id))), slog.Uint64(record.Version, r.versions[id])}
 }
 
-func (r *recorder) opTypes(mask uint16) slog.Attr {
+// opTypesAttr returns the attribute that lists the op types of a bit mask; * stands for all.
+func (r *recorder) opTypesAttr(mask uint16) slog.Attr {
 	var names []string
 	for i, name := range r.types {
 		if mask&(1<<i) != 0 {
@@ -147,10 +154,10 @@
 	return slog.String(record.OpType, strings.Join(names, ","))
 }
 
-// ordered writes the records of one reply of the module.
-func (r *recorder) ordered(orders []control.Order) {
+// recordOrders queues the records of one reply of the module.
+func (r *recorder) recordOrders(orders []control.Order) {
 	if len(orders) > 0 {
-		r.post(len(orders), func() { r.writeOrders(orders) })
+		r.enqueue(len(orders), func() { r.writeOrders(orders) })
 	}
 }
 
@@ -164,31 +171,33 @@
 	for _, o := range orders {
 		switch o := o.(type) {
 		case control.PutLine:
-			a := append(r.table(o.Table, true), slog.String(record.Node, nodeName(o.Endpoint)), slog.String(record.Weight, round(o.Weight)))
-			r.write(slog.LevelInfo, record.Line, o.Why.Reason, "line of a table", slices.Concat(a, figures(o.Why), mark)...)
+			a := append(r.tableAttrs(o.Table, true), slog.String(record.Node, nodeName(o.Endpoint)),
+				slog.String(record.Weight, formatFigure(o.Weight)))
+			r.write(slog.LevelInfo, record.Line, o.Why.Reason, "table line set", slices.Concat(a, figureAttrs(o.Why), mark)...)
 		case control.Blank:
-			r.write(slog.LevelInfo, record.Blank, "", "table emptied", append(r.table(o.Table, true), mark...)...)
+			r.write(slog.LevelInfo, record.Blank, "", "table cleared", append(r.tableAttrs(o.Table, true), mark...)...)
 		case control.Bind:
-			a := append(r.table(o.Table, false), slog.String(record.Proxy, proxyName(o.Proxy)), r.opTypes(o.OpTypes))
-			r.write(slog.LevelInfo, record.Bind, o.Why.Reason, "proxy put on a table", slices.Concat(a, figures(o.Why), mark)...)
+			a := append(r.tableAttrs(o.Table, false), slog.String(record.Proxy, proxyName(o.Proxy)), r.opTypesAttr(o.OpTypes))
+			r.write(slog.LevelInfo, record.Bind, o.Why.Reason, "proxy bound to a table", slices.Concat(a, figureAttrs(o.Why), mark)...)
 		case control.SetLevel:
-			a := append(r.table(o.Table, false), r.opTypes(o.OpTypes), slog.String(record.Share, round(o.Level)))
-			r.write(slog.LevelInfo+2, record.Level, o.Why.Reason, "level changed", slices.Concat(a, figures(o.Why), mark)...)
+			a := append(r.tableAttrs(o.Table, false), r.opTypesAttr(o.OpTypes), slog.String(record.Share, formatFigure(o.Level)))
+			r.write(slog.LevelInfo+2, record.Level, o.Why.Reason, "level changed", slices.Concat(a, figureAttrs(o.Why), mark)...)
 		case control.Suspend:
-			text := "server back in"
+			text := "server restored"
 			if o.Out {
 				text = "server withdrawn"
 			}
 			a := []slog.Attr{slog.String(record.Node, nodeName(o.Endpoint)), slog.Bool(record.Out, o.Out)}
-			r.write(slog.LevelWarn, record.Withdrawal, o.Why.Reason, text, slices.Concat(a, figures(o.Why), mark)...)
+			r.write(slog.LevelWarn, record.Withdrawal, o.Why.Reason, text, slices.Concat(a, figureAttrs(o.Why), mark)...)
 		case control.Note:
 			r.write(slog.LevelInfo, record.Note, "", o.Text)
 		}
 	}
 }
 
-// sent notes the messages that carry a reply's checkpoint; it may concern no proxy that is there.
-func (r *recorder) sent(orders []control.Order, messages []outgoing) {
+// recordSent starts tracking the checkpoint of one reply, if it has one, at the proxies whose messages carry it. There may be
+// none.
+func (r *recorder) recordSent(orders []control.Order, messages []outgoing) {
 	if r == nil {
 		return
 	}
@@ -203,57 +212,60 @@
 		}
 	}
 	number := orders[at].(control.Checkpoint).Number
-	r.post(0, func() { r.begin(number, to) })
+	r.enqueue(0, func() { r.openCheckpoint(number, to) })
 }
 
-func (r *recorder) begin(number int, to []control.ProxyID) {
-	c := &checkpoint{number: number, at: r.at, sent: map[control.ProxyID]bool{}, left: len(to)}
+// openCheckpoint starts tracking a checkpoint. If too many are open it closes the oldest.
+func (r *recorder) openCheckpoint(number int, to []control.ProxyID) {
+	c := &checkpoint{number: number, at: r.eventTime, sent: map[control.ProxyID]bool{}, missing: len(to)}
 	for _, id := range to {
 		c.sent[id] = false
 	}
-	if r.open = append(r.open, c); c.left == 0 {
-		r.end(len(r.open) - 1)
+	if r.openCheckpoints = append(r.openCheckpoints, c); c.missing == 0 {
+		r.closeCheckpoint(len(r.openCheckpoints) - 1)
 	}
-	if len(r.open) > mostOpen {
-		r.end(0)
+	if len(r.openCheckpoints) > maxOpenCheckpoints {
+		r.closeCheckpoint(0)
 	}
 }
 
-// inForce takes a proxy's confirmation.
-func (r *recorder) inForce(id control.ProxyID, number int, took time.Duration) {
-	r.post(0, func() { r.confirmed(id, number, took) })
+// recordInForce queues a proxy's confirmation of a checkpoint, with the time it took.
+func (r *recorder) recordInForce(id control.ProxyID, number int, took time.Duration) {
+	r.enqueue(0, func() { r.confirmCheckpoint(id, number, took) })
 }
 
-func (r *recorder) confirmed(id control.ProxyID, number int, took time.Duration) {
-	for i, c := range r.open {
+// confirmCheckpoint marks the oldest open checkpoint with that number as confirmed by a proxy, and closes it once all have.
+func (r *recorder) confirmCheckpoint(id control.ProxyID, number int, took time.Duration) {
+	for i, c := range r.openCheckpoints {
 		if confirmed, there := c.sent[id]; there && !confirmed && c.number == number {
 			c.sent[id] = true
-			c.left--
-			if c.slowest = max(c.slowest, took); c.left == 0 {
-				r.end(i)
+			c.missing--
+			if c.slowest = max(c.slowest, took); c.missing == 0 {
+				r.closeCheckpoint(i)
 			}
 			return
 		}
 	}
 }
 
-// look writes the records of checkpoints that were waited for long enough.
-func (r *recorder) look() {
-	r.post(0, func() {
-		for len(r.open) > 0 && r.at-r.open[0].at > patience {
-			r.end(0)
+// expireCheckpoints writes the records of checkpoints that have been open for longer than checkpointTimeout.
+func (r *recorder) expireCheckpoints() {
+	r.enqueue(0, func() {
+		for len(r.openCheckpoints) > 0 && r.eventTime-r.openCheckpoints[0].at > checkpointTimeout {
+			r.closeCheckpoint(0)
 		}
 	})
 }
 
-// end writes a checkpoint's record.
-func (r *recorder) end(i int) {
-	c := r.open[i]
-	r.open = slices.Delete(r.open, i, i+1)
-	a := []slog.Attr{slog.Int(record.Checkpoint, c.number), slog.Int(record.Of, len(c.sent)), slog.Int(record.Confirmed, len(c.sent)-c.left),
+// closeCheckpoint writes the record of the i-th open checkpoint and stops tracking it.
+func (r *recorder) closeCheckpoint(i int) {
+	c := r.openCheckpoints[i]
+	r.openCheckpoints = slices.Delete(r.openCheckpoints, i, i+1)
+	a := []slog.Attr{slog.Int(record.Checkpoint, c.number), slog.Int(record.Of, len(c.sent)),
+		slog.Int(record.Confirmed, len(c.sent)-c.missing),
 		slog.Int64(record.Slowest, c.slowest.Microseconds())}
 	level := slog.LevelInfo
-	if c.left > 0 {
+	if c.missing > 0 {
 		var missing []string
 		for id, confirmed := range c.sent {
 			if !confirmed {
@@ -261,57 +273,61 @@
 			}
 		}
 		slices.Sort(missing)
-		a = append(a, slog.String(record.Missing, strings.Join(missing[:min(len(missing), mostSaid)], " ")))
+		a = append(a, slog.String(record.Missing, strings.Join(missing[:min(len(missing), maxListedProxies)], " ")))
 		level = slog.LevelWarn
 	}
 	r.write(level, record.InForce, "", "checkpoint", a...)
 }
 
-func (r *recorder) joined(s *session, resumed bool) {
+func (r *recorder) recordJoined(s *session, resumed bool) {
 	id := s.id
-	r.post(1, func() {
-		r.write(slog.LevelInfo, record.Joined, "", "proxy joined", slog.String(record.Proxy, proxyName(id)), slog.Bool("resumed", resumed))
+	r.enqueue(1, func() {
+		r.write(slog.LevelInfo, record.Joined, "", "proxy joined", slog.String(record.Proxy, proxyName(id)),
+			slog.Bool("resumed", resumed))
 	})
 }
 
-func (r *recorder) left(id control.ProxyID) {
-	r.post(1, func() {
-		r.write(slog.LevelInfo+2, record.Left, "", "proxy gone", slog.String(record.Proxy, proxyName(id)))
+func (r *recorder) recordLeft(id control.ProxyID) {
+	r.enqueue(1, func() {
+		r.write(slog.LevelInfo+2, record.Left, "", "proxy left", slog.String(record.Proxy, proxyName(id)))
 	})
 }
 
-func (r *recorder) refused(id control.ProxyID, why string) {
-	r.post(1, func() { r.write(slog.LevelWarn, record.Refusal, "", why, slog.String(record.Proxy, proxyName(id))) })
+func (r *recorder) recordRefused(id control.ProxyID, why string) {
+	r.enqueue(1, func() { r.write(slog.LevelWarn, record.Refusal, "", why, slog.String(record.Proxy, proxyName(id))) })
 }
 
-// began is the first record of a run.
-func (r *recorder) began(run uint64, why control.Reason) {
-	r.post(1, func() {
-		r.run, r.sequence, r.open = run, 0, nil
+// recordStart writes the first record of a run, and resets the sequence and version numbers.
+func (r *recorder) recordStart(run uint64, why control.Reason) {
+	r.enqueue(1, func() {
+		r.run, r.sequence, r.openCheckpoints = run, 0, nil
 		clear(r.versions)
-		r.write(slog.LevelInfo+2, record.Restart, why, "a run begins")
+		r.write(slog.LevelInfo+2, record.Restart, why, "pilot run started")
 	})
 }
 
-func (r *recorder) limited(l tenancy.Limit) {
-	r.post(1, func() {
-		r.write(slog.LevelWarn, record.Limit, "", "a tenant's limit changed", slog.String(record.Tenant, l.Tenant), slog.String("rate", round(l.Rate)),
-			slog.String("hand", round(l.Hand)), slog.Bool("fenced", l.Fenced), slog.String("room", round(l.Room)))
+func (r *recorder) recordLimit(l tenancy.Limit) {
+	r.enqueue(1, func() {
+		r.write(slog.LevelWarn, record.Limit, "", "tenant limit changed", slog.String(record.Tenant, l.Tenant),
+			slog.String("rate", formatFigure(l.Rate)),
+			slog.String("hand", formatFigure(l.Hand)), slog.Bool("fenced", l.Fenced), slog.String("room", formatFigure(l.Room)))
 	})
 }
 
-func (r *recorder) movesAsked(a tenancy.Ask) {
-	r.post(1, func() {
-		r.write(slog.LevelInfo+2, record.Move, "asked", "a move is asked for", slog.String(record.Tenant, a.Tenant), slog.String("to", a.To.String()))
+func (r *recorder) recordMoveRequest(a tenancy.Ask) {
+	r.enqueue(1, func() {
+		r.write(slog.LevelInfo+2, record.Move, "asked", "tenant move requested", slog.String(record.Tenant, a.Tenant),
+			slog.String("to", a.To.String()))
 	})
 }
 
-func (r *recorder) moved(e tenancy.End) {
+func (r *recorder) recordMoveEnd(e tenancy.End) {
 	reason := control.Reason("cancelled")
 	if e.Moved {
 		reason = "moved"
 	}
-	r.post(1, func() {
-		r.write(slog.LevelInfo+2, record.Move, reason, "a move ended", slog.String(record.Tenant, e.Tenant), slog.Int64("held", e.Held.Microseconds()))
+	r.enqueue(1, func() {
+		r.write(slog.LevelInfo+2, record.Move, reason, "tenant move ended", slog.String(record.Tenant, e.Tenant),
+			slog.Int64("held", e.Held.Microseconds()))
 	})
 }
--- a/pilot/records_test.go
+++ b/pilot/records_test.go
@@ -21,8 +21,8 @@
 	"vetchdoor/syslog"
 )
 
-// receive is a receiver of records.
-func receive(t *testing.T) *receiver.Receiver {
+// startReceiver starts a syslog receiver that records are sent to.
+func startReceiver(t *testing.T) *receiver.Receiver {
 	t.Helper()
 	got, err := receiver.Listen("tcp", "127.0.0.1:0", nil)
 	if err != nil {
@@ -32,43 +32,48 @@
 	return got
 }
 
-// closeAt closes a receiver once it has so many records, of which some are on their way still.
-func closeAt(t *testing.T, got *receiver.Receiver, n int) {
+// closeAfter waits until a receiver has n records, some of which may still be in transit, and closes it.
+func closeAfter(t *testing.T, got *receiver.Receiver, n int) {
 	t.Helper()
-	until(t, time.Millisecond, "the records came", func() bool { m, _, _ := got.Got(); return len(m) == n })
+	waitFor(t, time.Millisecond, "the records", func() bool { m, _, _ := got.Got(); return len(m) == n })
 	got.Close()
 }
 
-// Each order has its record with its reason, numbered without a gap; a checkpoint's tells who confirmed it and who did not.
+// Each order gets a record with its reason, and the records are numbered without gaps. A checkpoint's record names the
+// proxies that did not confirm it.
 func TestRecords(t *testing.T) {
-	got := receive(t)
+	got := startReceiver(t)
 	out, err := syslog.Start(syslog.Route{Network: "tcp", Address: got.Address()}, slog.New(slog.DiscardHandler), 1, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	now := time.Duration(0)
-	r := newRecorder(slog.New(syslog.NewHandler(out, syslog.Identity{App: "a"})), "p", []string{"read", "write"}, 7, func() time.Duration { return now })
-	r.began(7, "start")
+	r := newRecorder(slog.New(syslog.NewHandler(out, syslog.Identity{App: "a"})), "p", []string{"read", "write"}, 7,
+		func() time.Duration { return now })
+	r.recordStart(7, "start")
 	orders := []control.Order{
 		control.PutLine{Table: 2, Endpoint: 17, Weight: 1.5, Why: control.Why{Reason: control.Eased, Value: 92.71, Limit: 89}},
 		control.Blank{Table: 2}, control.Bind{Table: 2, Proxy: 3, OpTypes: 2, Why: control.Why{Reason: control.Home}},
-		control.SetLevel{Table: control.Everywhere, OpTypes: 1, Level: 0.5, Why: control.Why{Reason: control.Distress, Value: 81, Limit: 80}},
-		control.Suspend{Endpoint: 17, Out: true, Why: control.Why{Reason: control.Sick, Value: 0.9, Limit: 0.3}}, control.Note{Text: "n"}, control.Checkpoint{Number: 5}}
-	r.ordered(orders)
-	r.sent(orders, []outgoing{{proxy: 3, Message: message(5)}, {proxy: 4, Message: message(5)}})
-	r.inForce(3, 5, time.Second)
-	r.inForce(3, 5, time.Second)
-	r.inForce(9, 5, time.Second)
-	now = patience + 1
-	r.look()
+		control.SetLevel{Table: control.Everywhere, OpTypes: 1, Level: 0.5,
+			Why: control.Why{Reason: control.Distress, Value: 81, Limit: 80}},
+		control.Suspend{Endpoint: 17, Out: true, Why: control.Why{Reason: control.Sick, Value: 0.9, Limit: 0.3}},
+		control.Note{Text: "n"}, control.Checkpoint{Number: 5}}
+	r.recordOrders(orders)
+	r.recordSent(orders, []outgoing{{proxy: 3, Message: messageWithCheckpoint(5)}, {proxy: 4, Message: messageWithCheckpoint(5)}})
+	r.recordInForce(3, 5, time.Second)
+	r.recordInForce(3, 5, time.Second)
+	r.recordInForce(9, 5, time.Second)
+	now = checkpointTimeout + 1
+	r.expireCheckpoints()
 	orders = []control.Order{control.Checkpoint{Number: 6}}
-	r.sent(orders, []outgoing{{proxy: 3, Message: message(6)}})
-	r.inForce(3, 6, time.Second)
+	r.recordSent(orders, []outgoing{{proxy: 3, Message: messageWithCheckpoint(6)}})
+	r.recordInForce(3, 6, time.Second)
 	r.close()
 	out.Close()
-	closeAt(t, got, 9)
+	closeAfter(t, got, 9)
 	m, bad, _ := got.Got()
-	want := []string{record.Restart, record.Line, record.Blank, record.Bind, record.Level, record.Withdrawal, record.Note, record.InForce, record.InForce}
+	want := []string{record.Restart, record.Line, record.Blank, record.Bind, record.Level, record.Withdrawal, record.Note,
+		record.InForce, record.InForce}
 	if len(m) != len(want) || len(bad) > 0 {
 		t.Fatalf("%d records, %v", len(m), bad)
 	}
@@ -88,8 +93,10 @@
 	for _, c := range []struct {
 		at         int
 		name, want string
-	}{{1, record.Why, "eased"}, {1, record.Value, "92.71"}, {1, record.Version, "1"}, {2, record.Version, "2"}, {3, record.OpType, "write"}, {4, record.Table, "*"},
-		{5, record.Node, "e17"}, {5, record.Out, "true"}, {5, record.Checkpoint, "5"}, {7, record.Confirmed, "1"}, {7, record.Of, "2"}, {7, record.Missing, "p4"},
+	}{{1, record.Why, "eased"}, {1, record.Value, "92.71"}, {1, record.Version, "1"}, {2, record.Version, "2"},
+		{3, record.OpType, "write"}, {4, record.Table, "*"},
+		{5, record.Node, "e17"}, {5, record.Out, "true"}, {5, record.Checkpoint, "5"}, {7, record.Confirmed, "1"},
+		{7, record.Of, "2"}, {7, record.Missing, "p4"},
 		{8, record.Confirmed, "1"}, {8, record.Missing, ""}} {
 		if got := get(c.at, c.name); got != c.want {
 			t.Errorf("record %d, %s: %q, not %q", c.at, c.name, got, c.want)
@@ -97,9 +104,9 @@
 	}
 }
 
-// Two pilots that write to one receiver are told apart, each with its own numbers, whatever comes first.
+// The records of two pilots at one receiver can be told apart, and each pilot's are numbered without gaps.
 func TestTwoPilotsOneReceiver(t *testing.T) {
-	got := receive(t)
+	got := startReceiver(t)
 	var all sync.WaitGroup
 	for i := range 2 {
 		all.Go(func() {
@@ -108,16 +115,17 @@
 				t.Error(err)
 				return
 			}
-			r := newRecorder(slog.New(syslog.NewHandler(out, syslog.Identity{App: "a", Rate: 1e6})), fmt.Sprint("p", i), nil, 7, func() time.Duration { return 0 })
+			r := newRecorder(slog.New(syslog.NewHandler(out, syslog.Identity{App: "a", Rate: 1e6})), fmt.Sprint("p", i), nil, 7,
+				func() time.Duration { return 0 })
 			for n := range 500 {
-				r.ordered([]control.Order{control.PutLine{Endpoint: control.EndpointID(n), Weight: 1}})
+				r.recordOrders([]control.Order{control.PutLine{Endpoint: control.EndpointID(n), Weight: 1}})
 			}
 			r.close()
 			out.Close()
 		})
 	}
 	all.Wait()
-	closeAt(t, got, 1000)
+	closeAfter(t, got, 1000)
 	m, bad, torn := got.Got()
 	if len(m) != 1000 || len(bad) > 0 || torn > 0 {
 		t.Fatalf("%d records, %v, %d torn", len(m), bad, torn)
@@ -139,33 +147,37 @@
 	}
 }
 
-func message(checkpoint int) *runtime.Message { return &runtime.Message{Checkpoint: checkpoint} }
+func messageWithCheckpoint(checkpoint int) *runtime.Message {
+	return &runtime.Message{Checkpoint: checkpoint}
+}
 
-// BenchmarkDecide is a beat of the module at 200 servers and 100 proxies, some of which fail by turns, with records off, on,
-// and on with a receiver that is stuck. The figure that counts is the 99th of a hundred beats.
+// BenchmarkDecide measures one report period of the module at 200 servers and 100 proxies, with groups of ten servers failing
+// in turn, and with records off, written to a file, and sent to a receiver that does not read. The relevant figure is the
+// 99th percentile.
 func BenchmarkDecide(b *testing.B) {
 	for _, how := range []string{"off", "on", "stuck"} {
-		b.Run(how, func(b *testing.B) { beats(b, how, 200, 100) })
+		b.Run(how, func(b *testing.B) { benchmarkDecide(b, how, 200, 100) })
 	}
 }
 
-// BenchmarkGrowth is the same without records, at as many servers as proxies.
+// BenchmarkGrowth measures the same without records, for growing numbers of servers and as many proxies.
 func BenchmarkGrowth(b *testing.B) {
 	for _, n := range []int{50, 100, 200, 400, 800} {
-		b.Run(fmt.Sprint(n), func(b *testing.B) { beats(b, "off", n, n) })
+		b.Run(fmt.Sprint(n), func(b *testing.B) { benchmarkDecide(b, "off", n, n) })
 	}
 }
 
-// beats has the module look at so many beats and reports how long each took.
-func beats(b *testing.B, how string, servers, proxies int) {
+// benchmarkDecide reports how long the module, the translation of its orders and the hand-over of the records take per report
+// period.
+func benchmarkDecide(b *testing.B, logging string, servers, proxies int) {
 	f := pilotFile("127.0.0.1:1")
 	f.Proxies, f.Service.Measures, f.Channel.MostWaiting = proxies, []string{"cpu_utilization"}, 1e6
 	f.Service.ReportEvery, f.Service.Bootstrap = files.Duration(time.Second), 8
 	p := newPilot(b, f)
 	p.host.NewDecider = func() host.Decider { return &policy.Assigner{} }
-	if how != "off" {
+	if logging != "off" {
 		route := syslog.Route{Network: "file", Address: filepath.Join(b.TempDir(), "log"), Buffer: 1 << 16}
-		if how == "stuck" {
+		if logging == "stuck" {
 			ln, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
 				b.Fatal(err)
@@ -185,7 +197,8 @@
 	p.host.StartModule()
 	var entries []control.Entry
 	for i := range servers {
-		entries = append(entries, control.Entry{Endpoint: control.EndpointID(i), Weight: 4, Mode: control.Ready, Started: control.LongAgo})
+		entries = append(entries, control.Entry{Endpoint: control.EndpointID(i), Weight: 4, Mode: control.Ready,
+			Started: control.LongAgo})
 	}
 	events := append(p.host.Pending(), control.Listing{Kind: control.Full, Entries: entries})
 	for i := range control.ProxyID(proxies) {
@@ -198,7 +211,8 @@
 		now += time.Second
 		sick := rng.IntN(servers)
 		for i := range servers {
-			d := control.Digest{Endpoint: control.EndpointID(i), Tries: 50, Failed: rng.IntN(2), Latency: 50 * time.Millisecond, Window: time.Second, Load: []float64{0.5 + 0.3*rng.Float64()}}
+			d := control.Digest{Endpoint: control.EndpointID(i), Tries: 50, Failed: rng.IntN(2), Latency: 50 * time.Millisecond,
+				Window: time.Second, Load: []float64{0.5 + 0.3*rng.Float64()}}
 			if i/10 == sick/10 {
 				d.Failed, d.Load[0] = 45, 0.1
 			}
@@ -210,9 +224,9 @@
 		events = append(events, control.Ring{Label: 1})
 		begin := time.Now()
 		orders, _ := p.host.CallModule(now, events)
-		messages, _ := p.desired.write(orders)
-		p.records.ordered(orders)
-		p.records.sent(orders, messages)
+		messages, _ := p.desired.translate(orders)
+		p.records.recordOrders(orders)
+		p.records.recordSent(orders, messages)
 		took = append(took, time.Since(begin))
 		events = events[:0]
 		for _, m := range messages {
@@ -223,11 +237,11 @@
 	slices.Sort(took)
 	b.ReportMetric(float64(took[len(took)/2].Microseconds()), "p50-µs")
 	b.ReportMetric(float64(took[len(took)*99/100].Microseconds()), "p99-µs")
-	b.ReportMetric(float64(p.records.count())/float64(len(took)), "records/beat")
+	b.ReportMetric(float64(p.records.recordCount())/float64(len(took)), "records/beat")
 }
 
-// count is how many records were made in this run; only once it is closed.
-func (r *recorder) count() uint64 {
+// recordCount returns the number of records written in this run. It may be called only after close.
+func (r *recorder) recordCount() uint64 {
 	if r == nil {
 		return 0
 	}
--- a/pilot/session.go
+++ b/pilot/session.go
@@ -8,48 +8,50 @@
 	"vetchdoor/tenancy"
 )
 
-// session is one proxy's standing with this run of the pilot. It outlives a break of its stream by a while, so that a
-// proxy that comes straight back goes on where it was.
+// session is the state of one joined proxy within the pilot's current run. It is kept for resumeWithin after the proxy's stream
+// breaks, so that a proxy that reconnects in time resumes it.
 type session struct {
-	id          control.ProxyID
-	token       string
-	zone        int
-	rate        float64
-	window      int
-	conn        *connection // nil while away
-	generation  int         // counts joins and breaks, so that a timer of an earlier break does nothing
-	sent        []outgoing
-	unconfirmed int             // lines of sent
-	digests     []uint64        // of the tables that it joined with
-	standing    bool            // it joined with its standing tables alone
-	announced   bool            // the module was told that it joined
-	bindings    []tenancy.Order // of tenants, to be sent
+	id               control.ProxyID
+	token            string
+	zone             int
+	rate             float64
+	windowLines      int
+	conn             *connection // nil while the proxy is disconnected
+	generation       int         // number of connects and disconnects, so that the timer of an earlier disconnect is ignored
+	unconfirmed      []outgoing
+	unconfirmedLines int             // total of the lines in unconfirmed
+	digests          []uint64        // of the tables that the proxy held when it joined
+	standing         bool            // the proxy held only its standing tables when it joined
+	announced        bool            // control.Joined was queued for the module
+	bindings         []tenancy.Order // orders of the mover that are stored but not sent
 }
 
-// newSession begins a proxy's session with the tables that it holds.
+// newSession starts a session with the tables that the proxy reports in its hello.
 func (p *Pilot) newSession(h *runtime.Hello) *session {
 	standing := h.Pilot == runtime.NoPilot
-	s := &session{id: h.Proxy, token: h.Token, zone: h.Zone, rate: h.Rate, window: max(h.Window, 1), digests: h.Digests, standing: standing}
+	s := &session{id: h.Proxy, token: h.Token, zone: h.Zone, rate: h.Rate, windowLines: max(h.Window, 1), digests: h.Digests,
+		standing: standing}
 	p.sessions[h.Proxy] = s
-	last := p.numbers[h.Proxy]
+	last := p.lastNumbers[h.Proxy]
 	if p.holdsThisRun(h) {
 		last = max(last, h.Number)
 	}
 	p.desired.join(h.Proxy, h.Standing, !standing, last)
-	p.desired.proxies[h.Proxy].held = h.Digests
+	p.desired.proxies[h.Proxy].heldDigests = h.Digests
 	return s
 }
 
-// reconcileShare is the part of the drains' grace for which a proxy's tables are waited for before it counts as joined: it is told
-// of no drain meanwhile. One that does not send them is laid its tables whole.
+// reconcileShare is the share of the drain grace that the pilot waits for a proxy to send the contents of its tables. The proxy
+// is not announced to the module, and so gets no withdrawals, in that time. A proxy that does not send them gets whole tables.
 const reconcileShare = 0.25
 
-// reconcile asks a proxy for what it holds, if nobody has told it yet, and has the module told of it.
+// reconcile asks a proxy for those of its tables whose contents are not known, and announces it to the module once they are
+// known or the wait is over.
 func (p *Pilot) reconcile(s *session) {
-	if s.conn == nil { // its channel overflowed while it was welcomed
+	if s.conn == nil { // the session was dropped in welcome because the channel overflowed
 		return
 	}
-	unknown := p.desired.unknown(s.digests)
+	unknown := p.desired.unknownDigests(s.digests)
 	if len(unknown) == 0 {
 		p.announce(s)
 		return
@@ -59,7 +61,7 @@
 	time.AfterFunc(wait, func() { p.post(func() { p.announce(s) }) })
 }
 
-// announce tells the module that a proxy joined.
+// announce queues control.Joined for the module, once per session.
 func (p *Pilot) announce(s *session) {
 	if s.announced || p.sessions[s.id] != s {
 		return
@@ -68,44 +70,46 @@
 	p.host.Enqueue(control.Joined{Proxy: s.id, Zone: s.zone, Rate: s.rate, Standing: s.standing})
 }
 
-// resume puts what the proxy has not applied back into the channel; false if it cannot go on where it was.
+// resume confirms the messages up to applied and puts the later ones back into the channel. It reports false if messages are
+// missing or do not fit, so that the session cannot be resumed.
 func (p *Pilot) resume(s *session, applied uint64) bool {
-	for len(s.sent) > 0 && s.sent[0].Number <= applied {
-		p.confirm(s, s.sent[0]) // applied; the word of it was lost
+	for len(s.unconfirmed) > 0 && s.unconfirmed[0].Number <= applied {
+		p.confirm(s, s.unconfirmed[0]) // applied, but the confirmation was lost with the stream
 	}
-	if len(s.sent) > 0 && s.sent[0].Number != applied+1 {
+	if len(s.unconfirmed) > 0 && s.unconfirmed[0].Number != applied+1 {
 		return false
 	}
-	if !p.channel.again(s.sent) {
+	if !p.channel.requeue(s.unconfirmed) {
 		return false
 	}
-	s.sent, s.unconfirmed = nil, 0
+	s.unconfirmed, s.unconfirmedLines = nil, 0
 	return true
 }
 
-// confirm takes the first message sent as in force.
+// confirm records that m, the oldest unconfirmed message, is in force at the proxy.
 func (p *Pilot) confirm(s *session, m outgoing) {
-	s.sent = s.sent[1:]
-	s.unconfirmed -= m.Lines
-	p.desired.confirmed(m)
-	p.placed(s, m)
+	s.unconfirmed = s.unconfirmed[1:]
+	s.unconfirmedLines -= m.Lines
+	p.desired.confirmNotices(m)
+	p.confirmBindings(s, m)
 	if m.Checkpoint >= 0 {
-		p.records.inForce(s.id, m.Checkpoint, p.host.Now()-m.At)
+		p.records.recordInForce(s.id, m.Checkpoint, p.host.Now()-m.At)
 		p.host.Enqueue(control.InForce{Proxy: s.id, Checkpoint: m.Checkpoint, Took: p.host.Now() - m.At})
 	}
 }
 
+// handleInForce confirms all messages up to the number that a proxy reports as in force.
 func (p *Pilot) handleInForce(s *session, f runtime.InForce) {
 	if f.Run != p.run {
 		return
 	}
-	for len(s.sent) > 0 && s.sent[0].Number <= f.Number {
-		p.confirm(s, s.sent[0])
+	for len(s.unconfirmed) > 0 && s.unconfirmed[0].Number <= f.Number {
+		p.confirm(s, s.unconfirmed[0])
 	}
 	p.pump()
 }
 
-// disconnected notes that a stream ended. The proxy has a while to come back before it counts as gone.
+// disconnected handles the end of a stream. The session is dropped unless the proxy reconnects within resumeWithin.
 func (p *Pilot) disconnected(c *connection) {
 	delete(p.connections, c)
 	s := p.sessions[c.id]
@@ -115,7 +119,7 @@
 	s.conn = nil
 	s.generation++
 	run, generation := p.run, s.generation
-	p.log.Info("stream of a proxy broke", "proxy", s.id)
+	p.log.Info("stream of a proxy ended", "proxy", s.id)
 	time.AfterFunc(p.resumeWithin, func() {
 		p.post(func() {
 			if p.run == run && p.sessions[s.id] == s && s.conn == nil && s.generation == generation {
@@ -125,7 +129,7 @@
 	})
 }
 
-// drop ends a proxy's session: its messages are lost, and it counts as gone until it joins anew.
+// drop ends a proxy's session and discards its queued messages. The module gets control.Left if the proxy was announced.
 func (p *Pilot) drop(s *session) {
 	if p.sessions[s.id] != s {
 		return
@@ -136,18 +140,18 @@
 		s.conn.stream.Close()
 		s.conn = nil
 	}
-	p.channel.drop(s.id)
-	p.numbers[s.id] = p.desired.leave(s.id)
-	p.intake.forget(s.id)
-	p.away(s.id)
-	p.records.left(s.id)
+	p.channel.dropProxy(s.id)
+	p.lastNumbers[s.id] = p.desired.leave(s.id)
+	p.intake.dropProxy(s.id)
+	p.markAway(s.id)
+	p.records.recordLeft(s.id)
 	if s.announced {
 		p.host.Enqueue(control.Left{Proxy: s.id})
 	}
 }
 
-// away tells the mover that a proxy cannot be told anything now.
-func (p *Pilot) away(id control.ProxyID) {
+// markAway reports to the mover that a proxy cannot be reached.
+func (p *Pilot) markAway(id control.ProxyID) {
 	if p.mover != nil {
 		p.mover.Left(tenancy.ProxyID(id))
 	}
--- a/pilot/start_test.go
+++ b/pilot/start_test.go
@@ -14,12 +14,10 @@
 	"vetchdoor/tenancy/store"
 )
 
-// A pilot that could not start could not be stopped: CI stood still for more than eight minutes, its trace in
-// fleet.close, pilot.(*Pilot).Stop, at the receive from "ended". Start had returned an error before the loop ran; Stop posted
-// to that loop, which took the post, and waited for it to be carried out.
+// Stop must return if Start failed. It once posted to a loop that never ran, and waited for the post forever.
 //
-// Here each step of the start fails in turn. The pilot is stopped twice and killed then, and nothing of it is left: its
-// address, its store of tenants and its session's address can be had again, and no goroutine stays (goleak, for the package).
+// Each step of Start is made to fail in turn, and the pilot is then stopped twice and killed. Its listening address, its admin
+// address and its store of tenants must be free again, and no goroutine may remain (checked by goleak for the package).
 func TestStartFails(t *testing.T) {
 	at := loopback.Host()
 	taken, err := stream.Listen(nil, net.JoinHostPort(at, "0"), func(*stream.Conn) stream.Handler { return nil })
@@ -49,9 +47,9 @@
 			intact := f.Moves.Store
 			spoil(f)
 			p := newPilot(t, f)
-			p.host.NewDecider = func() host.Decider { return &script{} }
+			p.host.NewDecider = func() host.Decider { return &scriptedModule{} }
 			if err := p.Start(); err == nil {
-				t.Error("it started")
+				t.Error("Start succeeded")
 			}
 			stopped := make(chan struct{})
 			go func() {
@@ -63,7 +61,7 @@
 			select {
 			case <-stopped:
 			case <-time.After(20 * time.Second):
-				t.Fatal("a pilot that could not start cannot be stopped")
+				t.Fatal("Stop does not return after Start failed")
 			}
 			for _, address := range []string{listen, admin} {
 				ln, err := net.Listen("tcp", address)
@@ -82,7 +80,7 @@
 	}
 }
 
-// One that was never started is stopped too.
+// Stop and Kill return if Start was never called.
 func TestStopBeforeStart(t *testing.T) {
 	p := newPilot(t, pilotFile("127.0.0.1:1"))
 	p.Stop()
--- a/pilot/streams.go
+++ b/pilot/streams.go
@@ -10,21 +10,22 @@
 	"vetchdoor/stream"
 )
 
-// connection is one connection of a proxy, before and after its hello.
+// connection is one accepted connection, from a proxy or, before any hello, from a peer pilot.
 type connection struct {
 	pilot        *Pilot
 	stream       *stream.Conn
 	blocks       *runtime.Blocks
-	refused      bool // it sent what cannot be read: nothing more is; its reader's
+	refused      bool // it sent a malformed block, so its data is ignored; used only by Data
 	id           control.ProxyID
-	joined       bool // it has said hello and was welcomed; set by the loop
+	joined       bool // its hello was answered with a welcome; set on the loop
 	opened       time.Time
-	lastReceived time.Time // set by the loop
+	lastReceived time.Time // set on the loop
 }
 
-// maxBlockBytes bounds what a proxy may send as one block.
+// maxBlockBytes bounds the size of one received block, in bytes.
 const maxBlockBytes = 8 << 20
 
+// accept registers a new connection. It returns nil, which closes the connection, if the pilot has ended.
 func (p *Pilot) accept(conn *stream.Conn) stream.Handler {
 	c := &connection{pilot: p, stream: conn, blocks: runtime.NewBlocks(maxBlockBytes), opened: time.Now(), lastReceived: time.Now()}
 	if !p.post(func() { p.connections[c] = true }) {
@@ -33,7 +34,8 @@
 	return c
 }
 
-// Data parses what came and has the loop take it.
+// Data parses the received bytes and posts each complete block to the loop. A malformed block is answered with the reason, and
+// the stream is ended.
 func (c *connection) Data(_ *stream.Conn, b []byte) {
 	if c.refused {
 		return
@@ -49,7 +51,7 @@
 			block, err = runtime.ParseBlock(lines)
 		}
 		if err != nil {
-			c.pilot.log.Warn("a proxy sent what cannot be read; its stream is closed", "remote", c.stream.Remote(), "error", err)
+			c.pilot.log.Warn("malformed block received; closing the stream", "remote", c.stream.Remote(), "error", err)
 			c.refused = true
 			_ = c.stream.Send(runtime.GoAway{Reason: err.Error()}.Append(nil))
 			c.stream.End()
@@ -62,12 +64,13 @@
 	}
 }
 
-// Closed has the loop take note. It does not wait for room in the loop's inbox, for the loop closes connections too.
+// Closed posts the end of the connection to the loop, from a goroutine of its own: the loop itself closes connections, and
+// would wait for itself if its inbox were full.
 func (c *connection) Closed(*stream.Conn) {
 	go c.pilot.post(func() { c.pilot.disconnected(c) })
 }
 
-// handleBlock takes a block in. Before its hello a proxy may only probe for room, and a peer send a note.
+// handleBlock handles a received block. Before a hello only a room probe of a proxy or a note of a peer is allowed.
 func (p *Pilot) handleBlock(c *connection, block any) {
 	if !p.connections[c] {
 		return
@@ -89,9 +92,9 @@
 	}
 }
 
-// handleJoined takes in a block of a proxy that has said hello.
+// handleJoined handles a block of a proxy that has joined.
 func (p *Pilot) handleJoined(c *connection, block any) {
-	if _, again := block.(*runtime.Hello); again {
+	if _, secondHello := block.(*runtime.Hello); secondHello {
 		p.reject(c, "a second hello on one stream")
 		return
 	}
@@ -108,49 +111,51 @@
 		p.handleHolding(b)
 	case *runtime.Sums:
 		p.intake.add(p.host.Now(), s.id, s.zone, b)
-		p.used(b)
+		p.addTenantSums(b)
 	}
 }
 
-// handleRefused ends the session of a proxy that refused a message.
+// handleRefused drops the session of a proxy that refused a message; the proxy has to join again.
 func (p *Pilot) handleRefused(s *session, r runtime.Refused) {
-	p.log.Warn("a proxy refused a message; it joins anew", "proxy", s.id, "number", r.Number, "reason", r.Reason)
+	p.log.Warn("proxy refused a message; session dropped, it must join again", "proxy", s.id, "number", r.Number, "reason", r.Reason)
 	p.refused++
-	p.records.refused(s.id, r.Reason)
+	p.records.recordRefused(s.id, r.Reason)
 	p.drop(s)
 }
 
-// handleHolding takes in a table that a proxy holds, and announces the proxies that held nothing else unknown.
+// handleHolding stores the contents of a table that a proxy holds, and announces the proxies whose tables are now all known.
 func (p *Pilot) handleHolding(h *runtime.Holding) {
-	p.desired.learn(h)
+	p.desired.learnTable(h)
 	for _, id := range slices.Sorted(maps.Keys(p.sessions)) {
-		if s := p.sessions[id]; !s.announced && len(p.desired.unknown(s.digests)) == 0 {
+		if s := p.sessions[id]; !s.announced && len(p.desired.unknownDigests(s.digests)) == 0 {
 			p.announce(s)
 		}
 	}
 }
 
-// reject closes a stream that did not keep to the rules.
+// reject ends a stream that violates the protocol and sends the reason.
 func (p *Pilot) reject(c *connection, why string) {
 	p.log.Warn("stream refused", "remote", c.stream.Remote(), "reason", why)
-	p.sendAway(c, runtime.GoAway{Reason: why})
+	p.sendGoAway(c, runtime.GoAway{Reason: why})
 }
 
-func (p *Pilot) sendAway(c *connection, g runtime.GoAway) {
+// sendGoAway sends the message and ends the stream once it is written.
+func (p *Pilot) sendGoAway(c *connection, g runtime.GoAway) {
 	delete(p.connections, c)
 	_ = c.stream.Send(g.Append(nil))
 	c.stream.End()
 }
 
-// watch closes streams that say nothing and pings the others.
-func (p *Pilot) watch() {
-	p.records.look()
-	p.forget()
-	p.updateSelf()
+// checkConnections closes streams that sent nothing for the silence timeout, and connections without a hello after it. It pings
+// the joined proxies and does the other periodic work of the loop.
+func (p *Pilot) checkConnections() {
+	p.records.expireCheckpoints()
+	p.forgetGoneEndpoints()
+	p.updateAdvertised()
 	for c := range p.connections {
-		quiet := time.Since(c.lastReceived)
-		if c.joined && quiet > p.silent || !c.joined && time.Since(c.opened) > p.silent {
-			p.log.Warn("a stream went silent", "remote", c.stream.Remote(), "for", quiet)
+		silent := time.Since(c.lastReceived)
+		if c.joined && silent > p.silenceTimeout || !c.joined && time.Since(c.opened) > p.silenceTimeout {
+			p.log.Warn("stream silent for too long; closing it", "remote", c.stream.Remote(), "for", silent)
 			c.stream.Close()
 		} else if c.joined {
 			_ = c.stream.Send([]byte("ping\n"))
