--- a/session/session.go
+++ b/session/session.go
@@ -1,5 +1,6 @@
-// Package session serves the runtime API to people and scripts in the manner of HAProxy's socket: a line of commands is
-// answered and the connection ends, unless "prompt" made it interactive; each reply ends with an empty line.
+// Package session serves admin commands in the style of HAProxy's runtime API. A connection is closed once one line of
+// commands is answered, unless the command "prompt" made it interactive. Each reply ends with an empty line. Listen is the
+// entry point of a daemon, Query that of a client.
 package session
 
 import (
@@ -18,52 +19,53 @@
 	"vetchdoor/stream"
 )
 
-// Command is a command that a program answers.
+// Command is an admin command of a daemon.
 type Command struct {
-	Prefix string // that it begins with
+	Prefix string // words that a command line must begin with
 	Help   string
 	Do     func(w io.Writer, c runtime.Command) error
 }
 
-// Listener serves sessions.
+// Listener accepts connections and answers their commands.
 type Listener struct {
-	ln       *stream.Listener
-	banner   string
-	commands []Command
-	open     atomic.Int64 // sessions
-	stopping atomic.Bool  // each session ends once its command is answered
+	ln           *stream.Listener
+	banner       string
+	commands     []Command
+	openSessions atomic.Int64 // number of open sessions
+	stopping     atomic.Bool  // each session ends after its next command is answered
 }
 
-// most sessions at a time, and how long one may say nothing
+// maxSessions bounds the sessions open at a time; idleTimeout is how long a session may be open without sending anything.
 const (
-	mostSessions = 64
-	mostIdle     = 10 * time.Minute
+	maxSessions = 64
+	idleTimeout = 10 * time.Minute
 )
 
-// stopWithin bounds how long a stop waits for sessions that give no command.
-const stopWithin = time.Second
+// stopTimeout bounds how long Stop waits for sessions to send their last command.
+const stopTimeout = time.Second
 
-// Listen serves commands at an address: unix:PATH, or HOST:PORT on a loopback address.
+// Listen serves commands at an address: unix:PATH, or HOST:PORT on a loopback address. It returns an error for any other host,
+// because commands are not authenticated. The banner is the first line of the help command.
 func Listen(address, banner string, commands []Command) (*Listener, error) {
 	if host, _, err := net.SplitHostPort(address); err == nil && !strings.HasPrefix(address, "unix:") {
 		if ip := net.ParseIP(host); host != "localhost" && (ip == nil || !ip.IsLoopback()) {
-			return nil, fmt.Errorf("listen on %s: people are served on a Unix socket or a loopback address only", address)
+			return nil, fmt.Errorf("listen on %s: admin commands are served on a Unix socket or a loopback address only", address)
 		}
 	}
-	return listen(nil, address, banner, commands)
+	return listenOn(nil, address, banner, commands)
 }
 
-// listen does so over a net; nil: sockets.
-func listen(over stream.Net, address, banner string, commands []Command) (*Listener, error) {
+// listenOn is Listen without the check of the address, over a given network; nil means sockets.
+func listenOn(network stream.Net, address, banner string, commands []Command) (*Listener, error) {
 	l := &Listener{banner: banner, commands: slices.Clone(commands)}
 	slices.SortFunc(l.commands, func(a, b Command) int { return strings.Compare(a.Prefix, b.Prefix) })
 	var err error
-	l.ln, err = stream.Listen(over, address, func(c *stream.Conn) stream.Handler {
-		if l.open.Add(1) > mostSessions {
-			l.open.Add(-1)
+	l.ln, err = stream.Listen(network, address, func(c *stream.Conn) stream.Handler {
+		if l.openSessions.Add(1) > maxSessions {
+			l.openSessions.Add(-1)
 			return nil
 		}
-		return &conversation{l: l, scan: runtime.NewScanner(runtime.People), idle: time.AfterFunc(mostIdle, c.Close)}
+		return &conversation{listener: l, scanner: runtime.NewScanner(runtime.People), idleTimer: time.AfterFunc(idleTimeout, c.Close)}
 	})
 	if err != nil {
 		return nil, err
@@ -71,53 +73,55 @@
 	return l, nil
 }
 
-// Address is where it listens.
+// Address returns the address on which the listener accepts connections.
 func (l *Listener) Address() string { return l.ln.Address() }
 
-// Stop takes no new sessions and ends each there is once its command is answered, or has not come in time.
+// Stop accepts no new sessions, and ends each open one once its next command is answered or after stopTimeout.
 func (l *Listener) Stop() {
 	l.stopping.Store(true)
-	ctx, cancel := context.WithTimeout(context.Background(), stopWithin)
+	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
 	l.ln.Refuse(ctx)
-	for l.open.Load() > 0 && ctx.Err() == nil {
+	for l.openSessions.Load() > 0 && ctx.Err() == nil {
 		time.Sleep(time.Millisecond)
 	}
 	l.ln.Close()
 }
 
-// Close ends all sessions at once.
+// Close closes the listener and all sessions immediately.
 func (l *Listener) Close() { l.ln.Close() }
 
-// conversation is one connection.
+// conversation is the state of one session.
 type conversation struct {
-	l           *Listener
-	scan        *runtime.Scanner
+	listener    *Listener
+	scanner     *runtime.Scanner
 	interactive bool
 	done        bool
-	idle        *time.Timer // closes it
+	idleTimer   *time.Timer // closes the connection when it fires
 }
 
+// Closed implements stream.Handler.
 func (s *conversation) Closed(*stream.Conn) {
-	s.idle.Stop()
-	s.l.open.Add(-1)
+	s.idleTimer.Stop()
+	s.listener.openSessions.Add(-1)
 }
 
+// Data implements stream.Handler: it answers each complete command line received.
 func (s *conversation) Data(c *stream.Conn, b []byte) {
 	if s.done {
 		return
 	}
-	s.idle.Reset(mostIdle)
-	s.scan.Feed(b)
+	s.idleTimer.Reset(idleTimeout)
+	s.scanner.Feed(b)
 	for !s.done {
-		line, ok, err := s.scan.Next()
+		line, ok, err := s.scanner.Next()
 		if err != nil {
 			_ = c.Send([]byte(err.Error() + "\n\n"))
 			s.done = true
 			break
 		}
 		if !ok {
-			if s.interactive && s.scan.Waiting() {
+			if s.interactive && s.scanner.Waiting() {
 				_ = c.Send([]byte("+ "))
 			}
 			return
@@ -125,7 +129,7 @@
 		for _, cmd := range line {
 			_ = c.Send(s.answer(cmd))
 		}
-		if s.interactive && !s.done && !s.l.stopping.Load() {
+		if s.interactive && !s.done && !s.listener.stopping.Load() {
 			_ = c.Send([]byte("> "))
 		} else {
 			s.done = true
@@ -134,7 +138,7 @@
 	c.End()
 }
 
-// answer runs one command and returns its reply.
+// answer runs one command and returns its reply, with the empty line that ends it.
 func (s *conversation) answer(cmd runtime.Command) []byte {
 	var w bytes.Buffer
 	switch {
@@ -145,9 +149,9 @@
 		s.done = true
 		return []byte("\n")
 	case cmd.Is("help"):
-		s.l.help(&w)
+		s.listener.help(&w)
 	default:
-		if err := s.l.run(&w, cmd); err != nil {
+		if err := s.listener.run(&w, cmd); err != nil {
 			w.Reset()
 			fmt.Fprintf(&w, "%s\n", strings.ReplaceAll(err.Error(), "\n", " "))
 		}
@@ -155,6 +159,7 @@
 	return append(w.Bytes(), '\n')
 }
 
+// help writes the list of commands.
 func (l *Listener) help(w io.Writer) {
 	fmt.Fprintf(w, "%s; the commands are:\n", l.banner)
 	for _, c := range l.commands {
@@ -165,15 +170,15 @@
 	}
 }
 
-// UnknownCommandError says that a command is none of the program's.
+// UnknownCommandError is returned for a command that the daemon does not have.
 type UnknownCommandError struct{ Command string }
 
-// Error is the reply, by whose beginning scripts know it.
+// Error returns the reply. Scripts recognize it by how it begins.
 func (e UnknownCommandError) Error() string {
 	return fmt.Sprintf("Unknown command: %q. Try help.", e.Command)
 }
 
-// run finds the command with the longest beginning that fits.
+// run runs the command with the longest matching prefix.
 func (l *Listener) run(w io.Writer, cmd runtime.Command) error {
 	var best *Command
 	for i := range l.commands {
@@ -188,13 +193,14 @@
 	return best.Do(w, cmd)
 }
 
-// Query sends commands to a listener and returns the replies.
+// Query sends a line of commands to a listener and returns the replies, at most 64 MiB. The timeout applies to the dial and
+// to the rest separately.
 func Query(address, line string, timeout time.Duration) (string, error) {
-	network, at := "tcp", address
+	network, target := "tcp", address
 	if path, ok := strings.CutPrefix(address, "unix:"); ok {
-		network, at = "unix", path
+		network, target = "unix", path
 	}
-	c, err := net.DialTimeout(network, at, timeout)
+	c, err := net.DialTimeout(network, target, timeout)
 	if err != nil {
 		return "", err
 	}
@@ -207,7 +213,7 @@
 	return string(reply), err
 }
 
-// WriteTyped rewrites lines of "Name: value" in the typed form of show info: position, name and process, tags, type, value.
+// WriteTyped converts lines of "Name: value" to the typed format of show info: position, name and process, tags, type, value.
 func WriteTyped(w io.Writer, text string) {
 	for i, line := range strings.Split(strings.TrimSuffix(text, "\n"), "\n") {
 		name, value, _ := strings.Cut(line, ": ")
--- a/session/session_test.go
+++ b/session/session_test.go
@@ -13,58 +13,59 @@
 	"vetchdoor/stream"
 )
 
-// person is a connection that says when it ended.
-type person chan bool
+// notifyClosed is a stream handler that is closed when its connection ends.
+type notifyClosed chan bool
 
-func (p person) Data(*stream.Conn, []byte) {}
-func (p person) Closed(*stream.Conn)       { close(p) }
+func (p notifyClosed) Data(*stream.Conn, []byte) {}
+func (p notifyClosed) Closed(*stream.Conn)       { close(p) }
 
-// Sessions that say nothing end, so that they do not keep others out for ever; one that speaks now and then stays.
+// Sessions that send nothing are closed, because they count against maxSessions and would block new ones. A session that
+// sends a command from time to time stays open.
 func TestIdleSessions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		net := link.NewMemory(nil)
-		l, err := listen(net, "10.0.0.1:1", "test", nil)
+		l, err := listenOn(net, "10.0.0.1:1", "test", nil)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer l.Close()
-		var idle []person
-		for range mostSessions - 1 {
-			p := make(person)
-			if _, err := stream.Dial(net, "10.0.0.1:1", time.Second, p); err != nil {
+		var idle []notifyClosed
+		for range maxSessions - 1 {
+			closed := make(notifyClosed)
+			if _, err := stream.Dial(net, "10.0.0.1:1", time.Second, closed); err != nil {
 				t.Fatal(err)
 			}
-			idle = append(idle, p)
+			idle = append(idle, closed)
 		}
-		speaks := make(person)
-		c, err := stream.Dial(net, "10.0.0.1:1", time.Second, speaks)
+		activeClosed := make(notifyClosed)
+		active, err := stream.Dial(net, "10.0.0.1:1", time.Second, activeClosed)
 		if err != nil {
 			t.Fatal(err)
 		}
-		_ = c.Send([]byte("prompt\n"))
+		_ = active.Send([]byte("prompt\n"))
 		for range 30 {
 			time.Sleep(time.Minute)
-			_ = c.Send([]byte("help\n"))
+			_ = active.Send([]byte("help\n"))
 		}
 		synctest.Wait()
-		for i, p := range idle {
+		for i, closed := range idle {
 			select {
-			case <-p:
+			case <-closed:
 			default:
-				t.Fatalf("session %d stands idle after half an hour", i)
+				t.Fatalf("idle session %d is still open after 30 minutes", i)
 			}
 		}
 		select {
-		case <-speaks:
-			t.Error("one that speaks was ended")
+		case <-activeClosed:
+			t.Error("an active session was closed")
 		default:
 		}
-		c.Close()
+		active.Close()
 	})
 }
 
-// A stop answered nothing that was not answered yet: a command whose second half came after it met a closed connection.
-// Sessions that stand when a program stops have their next command answered and end after it.
+// Sessions that are open when Stop is called get their next command answered, and are closed after it. This guards against a
+// Stop that closes the connection of a command of which only the first half has been received.
 func TestStopAnswersCommands(t *testing.T) {
 	l, err := Listen("127.0.0.1:0", "test", nil)
 	if err != nil {
@@ -79,12 +80,12 @@
 		_ = c.SetDeadline(time.Now().Add(20 * time.Second))
 		return c
 	}
-	person, half := dial(), dial()
-	_, _ = io.WriteString(person, "prompt\n")
-	if _, err := bufio.NewReader(person).ReadString('>'); err != nil {
+	interactive, partial := dial(), dial()
+	_, _ = io.WriteString(interactive, "prompt\n")
+	if _, err := bufio.NewReader(interactive).ReadString('>'); err != nil {
 		t.Fatal(err)
 	}
-	_, _ = io.WriteString(half, "he")
+	_, _ = io.WriteString(partial, "he")
 	stopped := make(chan struct{})
 	go func() { l.Stop(); close(stopped) }()
 	for {
@@ -94,9 +95,9 @@
 		}
 		c.Close()
 	}
-	_, _ = io.WriteString(person, "help\n")
-	_, _ = io.WriteString(half, "lp\n")
-	for name, c := range map[string]net.Conn{"interactive": person, "in halves": half} {
+	_, _ = io.WriteString(interactive, "help\n")
+	_, _ = io.WriteString(partial, "lp\n")
+	for name, c := range map[string]net.Conn{"interactive": interactive, "in halves": partial} {
 		if b, err := io.ReadAll(c); err != nil || !strings.Contains(string(b), "this text") {
 			t.Errorf("%s: %q, %v", name, b, err)
 		}
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads the operators' start settings, the JSON object that an instance is given, for the bench's adapter
-// and for the real pilot alike. Read is the way in. It needs the standard library alone and decides nothing.
+// Package settings parses the start settings of an instance, a JSON object, for the adapter and for the daemon that platform
+// runs. Read is the entry point.
 package settings
 
 import (
@@ -11,17 +11,19 @@
 	"vetchdoor/control"
 )
 
-// Settings is what an instance is told, and the names that the settings give to what it knows by number.
+// Settings are the parsed start settings of an instance: the facts for its decision module, and the names of what the module
+// refers to by index.
 type Settings struct {
 	control.Facts
 	Zones         []string
 	Machines      []string
 	OpTypes       []string
-	Measures      []string // of a load report, in order; empty: none come
-	ProbesAllowed bool     // allowed
+	Measures      []string // names of the values of a load report, in order; empty if there are no load reports
+	ProbesAllowed bool     // the instance may send probes
 }
 
-// Milliseconds reads milliseconds; what no clock can show becomes the longest span, and no number none.
+// Milliseconds converts milliseconds to a duration, rounded to nanoseconds. Values out of range become half of the largest or
+// smallest duration, and NaN becomes 0.
 func Milliseconds(ms float64) time.Duration {
 	ns := ms * float64(time.Millisecond)
 	switch {
@@ -35,7 +37,7 @@
 	return time.Duration(math.Round(ns))
 }
 
-// options are the start settings by their names; keys that are not named here are skipped.
+// options are the start settings under their JSON names. Other keys are ignored.
 type options struct {
 	Zones  []string `json:"dcs"`
 	Extra  extra    `json:"extra"`
@@ -64,6 +66,7 @@
 	Zone    int     `json:"zone"`
 }
 
+// extra holds the settings under the key "extra".
 type extra struct {
 	Admit        string  `json:"admit"`
 	Bootstrap    int     `json:"bootstrap"`
@@ -82,6 +85,7 @@
 	ZoneBound    []bool  `json:"zone_bound"`
 }
 
+// grade is the description of one op type in the settings.
 type grade struct {
 	Effect     string  `json:"effect"`
 	GiveUp     float64 `json:"give_up"`
@@ -93,62 +97,65 @@
 	Worth      float64 `json:"worth"`
 }
 
+// measures maps the names of load values in the settings to the module's measures. Other names map to control.OtherMeasure.
 var measures = map[string]control.Measure{
 	"inflight": control.Inflight, "queue": control.Queue, "util": control.Util,
 	"latency_ms": control.Latency, "qps": control.Rate, "eps": control.ErrorRate,
 }
 
-// Read turns the start settings into facts. What an op's repeats may do is read strictly: an effect or a group that is
-// not known counts as the one that allows least.
+// Read parses the start settings, in which times are in milliseconds. An effect of an op type that is not known, or missing,
+// is read as once-only, and such a group as the smallest one, so that an op is never repeated where that might not be
+// allowed. The error is that of the JSON decoder.
 func Read(settings []byte) (*Settings, error) {
-	var o options
-	if err := json.Unmarshal(settings, &o); err != nil {
+	var decoded options
+	if err := json.Unmarshal(settings, &decoded); err != nil {
 		return nil, fmt.Errorf("start settings: %w", err)
 	}
-	x := &o.Extra
-	f := &Settings{Zones: o.Zones, Machines: o.Machines, ProbesAllowed: o.Limits.Probes}
-	f.Facts = control.Facts{
-		Instance: o.Me, Instances: o.Peers, Zone: o.Zone, Zones: len(o.Zones),
-		AskForList: o.Registry == "ask", Tick: Milliseconds(o.Tick),
+	x := &decoded.Extra
+	parsed := &Settings{Zones: decoded.Zones, Machines: decoded.Machines, ProbesAllowed: decoded.Limits.Probes}
+	parsed.Facts = control.Facts{
+		Instance: decoded.Me, Instances: decoded.Peers, Zone: decoded.Zone, Zones: len(decoded.Zones),
+		AskForList: decoded.Registry == "ask", Tick: Milliseconds(decoded.Tick),
 		Slices: x.Shards, OutlierAfter: x.OutlierAfter, Bootstrap: x.Bootstrap, Proxies: x.ProxyCount,
 		MessageLines: x.Envelope, LinesPerSecond: x.LinesPerS, MostWaiting: x.MostWaiting,
 		MessageCap: x.UpdateCap, MessageCapOver: Milliseconds(x.MessagesOver),
 		PushDelayMost: Milliseconds(x.TransitMax), ReportEvery: Milliseconds(x.Cycle), ReportLinesPerS: x.IntakePerS,
-		CrossZonePrice: o.Prices.CrossZone, ListedWeights: o.Weights != "off",
-		ColdFor: Milliseconds(o.Rules.Cold), ColdShare: o.Rules.ColdShare, DrainGrace: Milliseconds(o.Rules.DrainGrace),
+		CrossZonePrice: decoded.Prices.CrossZone, ListedWeights: decoded.Weights != "off",
+		ColdFor: Milliseconds(decoded.Rules.Cold), ColdShare: decoded.Rules.ColdShare,
+		DrainGrace: Milliseconds(decoded.Rules.DrainGrace),
 	}
 	switch x.Admit {
 	case "share":
-		f.Levels = control.LevelShare
+		parsed.Levels = control.LevelShare
 	case "rate":
-		f.Levels = control.LevelRate
+		parsed.Levels = control.LevelRate
 	}
-	if o.Report.How == "inline" || o.Report.How == "on_probe" {
-		for _, name := range o.Report.Names {
-			f.Facts.Measures = append(f.Facts.Measures, measures[name])
-			f.Measures = append(f.Measures, name)
+	if decoded.Report.How == "inline" || decoded.Report.How == "on_probe" {
+		for _, name := range decoded.Report.Names {
+			parsed.Facts.Measures = append(parsed.Facts.Measures, measures[name])
+			parsed.Measures = append(parsed.Measures, name)
 		}
 	}
-	for i, g := range o.Grades {
-		t := control.OpType{
+	for i, g := range decoded.Grades {
+		opType := control.OpType{
 			TargetLatency: Milliseconds(g.SLO), OpTimeout: Milliseconds(g.GiveUp), Revenue: g.Worth, LateShare: g.LateValue,
 			Repeat: control.OnceOnly, Group: control.GroupPack, DedupWindow: Milliseconds(g.MemorySpan),
 			OwnZoneOnly: i < len(x.ZoneBound) && x.ZoneBound[i], Writes: i < len(x.Mutating) && x.Mutating[i],
 		}
 		switch g.Effect {
 		case "free":
-			t.Repeat = control.Retryable
+			opType.Repeat = control.Retryable
 		case "guarded":
-			t.Repeat = control.Deduplicated
+			opType.Repeat = control.Deduplicated
 		}
 		switch g.Group {
 		case "all":
-			t.Group = control.GroupAll
+			opType.Group = control.GroupAll
 		case "zone":
-			t.Group = control.GroupZone
+			opType.Group = control.GroupZone
 		}
-		f.Facts.OpTypes = append(f.Facts.OpTypes, t)
-		f.OpTypes = append(f.OpTypes, g.Name)
+		parsed.Facts.OpTypes = append(parsed.Facts.OpTypes, opType)
+		parsed.OpTypes = append(parsed.OpTypes, g.Name)
 	}
-	return f, nil
+	return parsed, nil
 }
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -12,34 +12,39 @@
 	"extra":{"cycle":1000,"lines_per_s":1000,"most_waiting":2000,"envelope":3,"proxy_count":2,"unheard_of":[1]},
 	"policy_limits":{"probes":true},"report":{"how":"inline","names":["util","odd"]},"guarantees":{"cold":9000},"tick":5}`
 
+// An effect or group that is not known must not permit a repeat of an op.
 func TestUnknownRepeatsAllowLeast(t *testing.T) {
-	f, err := Read([]byte(settings))
-	if err != nil || f.Facts.OpTypes[0].Repeat != control.OnceOnly || f.Facts.OpTypes[0].Group != control.GroupPack {
-		t.Fatalf("%+v, %v", f, err)
+	parsed, err := Read([]byte(settings))
+	if err != nil || parsed.Facts.OpTypes[0].Repeat != control.OnceOnly || parsed.Facts.OpTypes[0].Group != control.GroupPack {
+		t.Fatalf("%+v, %v", parsed, err)
 	}
 }
 
+// Times are read as milliseconds, and names keep the order of the settings.
 func TestNamesAndUnits(t *testing.T) {
-	f, err := Read([]byte(settings))
+	parsed, err := Read([]byte(settings))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if f.Tick != 5*time.Millisecond || f.ColdFor != 9*time.Second || f.ReportEvery != time.Second {
-		t.Errorf("%v, %v, %v", f.Tick, f.ColdFor, f.ReportEvery)
+	if parsed.Tick != 5*time.Millisecond || parsed.ColdFor != 9*time.Second || parsed.ReportEvery != time.Second {
+		t.Errorf("%v, %v, %v", parsed.Tick, parsed.ColdFor, parsed.ReportEvery)
 	}
-	if !slices.Equal(f.Zones, []string{"a", "b"}) || f.Facts.Zones != 2 || !slices.Equal(f.OpTypes, []string{"read"}) {
-		t.Errorf("%v, %d, %v", f.Zones, f.Facts.Zones, f.OpTypes)
+	if !slices.Equal(parsed.Zones, []string{"a", "b"}) || parsed.Facts.Zones != 2 ||
+		!slices.Equal(parsed.OpTypes, []string{"read"}) {
+		t.Errorf("%v, %d, %v", parsed.Zones, parsed.Facts.Zones, parsed.OpTypes)
 	}
-	if !f.ProbesAllowed || !slices.Equal(f.Machines, []string{"m"}) || !slices.Equal(f.Measures, []string{"util", "odd"}) ||
-		!slices.Equal(f.Facts.Measures, []control.Measure{control.Util, control.OtherMeasure}) {
-		t.Errorf("%v, %v, %v, %v", f.ProbesAllowed, f.Machines, f.Measures, f.Facts.Measures)
+	if !parsed.ProbesAllowed || !slices.Equal(parsed.Machines, []string{"m"}) ||
+		!slices.Equal(parsed.Measures, []string{"util", "odd"}) ||
+		!slices.Equal(parsed.Facts.Measures, []control.Measure{control.Util, control.OtherMeasure}) {
+		t.Errorf("%v, %v, %v, %v", parsed.ProbesAllowed, parsed.Machines, parsed.Measures, parsed.Facts.Measures)
 	}
 }
 
-func TestTornSettingsAreRefused(t *testing.T) {
+// Settings truncated at any byte are refused.
+func TestTruncatedSettingsAreRefused(t *testing.T) {
 	for n := range settings {
 		if _, err := Read([]byte(settings[:n])); err == nil {
-			t.Fatalf("cut to %d bytes they still read", n)
+			t.Fatalf("settings truncated to %d bytes were accepted", n)
 		}
 	}
 }
