--- a/pilot/channel.go
+++ b/pilot/channel.go
@@ -9,12 +9,12 @@
 // channel is the bounded queue of outgoing messages, which are sent in order at a limited rate of lines. A proxy whose window
 // is full, or which is disconnected, delays only its own messages. The channel does no I/O.
 type channel struct {
-	perLine      time.Duration
-	maxLines     int
-	waitingLines int // lines of the queued messages
+	perLine      time.Duration // time per line at the configured rate
+	maxLines     int           // bound on waitingLines
+	waitingLines int           // lines of the queued messages
 	queue        []outgoing
 	busyUntil    time.Duration // no message may be sent before this time
-	peakLines    int
+	peakLines    int           // highest value of waitingLines
 }
 
 // newChannel returns an empty channel with a rate in lines per second and a bound on the lines that wait.
--- a/pilot/desired.go
+++ b/pilot/desired.go
@@ -30,14 +30,14 @@
 // tableState is one table with its weights and its levels by op type.
 type tableState struct {
 	id     control.TableID
-	lines  map[control.EndpointID]float64
-	levels map[int]runtime.Change
+	lines  map[control.EndpointID]float64 // weights by endpoint
+	levels map[int]runtime.Change         // by op type
 }
 
 // proxyState is what a joined proxy has been sent in its session.
 type proxyState struct {
 	id                 control.ProxyID
-	standing           map[control.EndpointID]bool
+	standing           map[control.EndpointID]bool // endpoints of its standing table
 	heldDigests        []uint64                    // digests of the tables that it held when it joined, by op type
 	holdsUnknownTables bool                        // it holds tables of an earlier session, which may contain any endpoint
 	bound              []*tableState               // its table by op type; nil: its standing table, or one of an earlier run
@@ -45,7 +45,7 @@
 	levelsSent         bool                        // it has been sent globalLevels
 	stateCleared       bool                        // the withdrawals that it held from earlier runs have been cleared
 	notices            notices
-	nextNumber         uint64
+	nextNumber         uint64           // number of the next message
 	changes            []runtime.Change // changes of the message being composed
 }
 
@@ -61,29 +61,29 @@
 
 // join adds a proxy that is not bound to any table. number is that of the last message that this run sent to it, 0 if none.
 func (ds *desiredState) join(id control.ProxyID, standing []control.EndpointID, holdsUnknownTables bool, number uint64) {
-	h := &proxyState{id: id, holdsUnknownTables: holdsUnknownTables, standing: map[control.EndpointID]bool{},
+	proxy := &proxyState{id: id, holdsUnknownTables: holdsUnknownTables, standing: map[control.EndpointID]bool{},
 		bound:         make([]*tableState, ds.opTypeCount),
 		sentWithdrawn: map[control.EndpointID]bool{}, nextNumber: number + 1, notices: newNotices()}
 	for _, e := range standing {
-		h.standing[e] = true
+		proxy.standing[e] = true
 	}
-	ds.proxies[id] = h
+	ds.proxies[id] = proxy
 	for name := range ds.limits {
-		h.notices.changedLimits[name] = true
+		proxy.notices.changedLimits[name] = true
 		ds.pendingNotices[id] = true
 	}
 }
 
 // leave removes a proxy and returns the number of the last message composed for it, 0 if the proxy is unknown.
 func (ds *desiredState) leave(id control.ProxyID) uint64 {
-	h := ds.proxies[id]
+	proxy := ds.proxies[id]
 	delete(ds.proxies, id)
 	delete(ds.pendingNotices, id)
-	if h == nil {
+	if proxy == nil {
 		return 0
 	}
-	ds.budget.usedLines -= h.notices.unconfirmedLines
-	return h.nextNumber - 1
+	ds.budget.usedLines -= proxy.notices.unconfirmedLines
+	return proxy.nextNumber - 1
 }
 
 // sortedProxies returns the joined proxies, sorted by id.
@@ -106,9 +106,9 @@
 }
 
 // mayUse reports whether a proxy may send ops to an endpoint, given the tables that it uses.
-func (h *proxyState) mayUse(e control.EndpointID) bool {
-	for _, t := range h.bound {
-		if t == nil && (h.holdsUnknownTables || h.standing[e]) || t != nil && t.lines[e] > 0 {
+func (proxy *proxyState) mayUse(e control.EndpointID) bool {
+	for _, t := range proxy.bound {
+		if t == nil && (proxy.holdsUnknownTables || proxy.standing[e]) || t != nil && t.lines[e] > 0 {
 			return true
 		}
 	}
@@ -116,10 +116,10 @@
 }
 
 // isBoundTo reports whether the proxy uses a table for any op type.
-func (h *proxyState) isBoundTo(t *tableState) bool { return slices.Contains(h.bound, t) }
+func (proxy *proxyState) isBoundTo(t *tableState) bool { return slices.Contains(proxy.bound, t) }
 
 // add appends a change to the message being composed.
-func (h *proxyState) add(c runtime.Change) { h.changes = append(h.changes, c) }
+func (proxy *proxyState) add(c runtime.Change) { proxy.changes = append(proxy.changes, c) }
 
 // outgoing is a message addressed to one proxy.
 type outgoing struct {
@@ -143,8 +143,8 @@
 			clear(t.levels)
 			ds.addToBound(t, joined, runtime.Change{Verb: runtime.ClearTable, Table: o.Table})
 		case control.Bind:
-			if h := ds.proxies[o.Proxy]; h != nil {
-				ds.bind(h, o)
+			if proxy := ds.proxies[o.Proxy]; proxy != nil {
+				ds.bind(proxy, o)
 			}
 		case control.SetLevel:
 			ds.setLevel(o, joined)
@@ -153,9 +153,9 @@
 			if !o.Out {
 				delete(ds.withdrawn, o.Endpoint)
 			}
-			for _, h := range joined {
-				if o.Out && h.mayUse(o.Endpoint) || !o.Out && h.sentWithdrawn[o.Endpoint] {
-					ds.addState(h, o.Endpoint)
+			for _, proxy := range joined {
+				if o.Out && proxy.mayUse(o.Endpoint) || !o.Out && proxy.sentWithdrawn[o.Endpoint] {
+					ds.addState(proxy, o.Endpoint)
 				}
 			}
 		case control.Checkpoint:
@@ -164,9 +164,9 @@
 			others = append(others, o)
 		}
 	}
-	for _, h := range joined {
-		if len(h.changes) > 0 || everyone && checkpoint >= 0 {
-			messages = append(messages, ds.finishMessage(h, checkpoint, ds.addNotices(h)))
+	for _, proxy := range joined {
+		if len(proxy.changes) > 0 || everyone && checkpoint >= 0 {
+			messages = append(messages, ds.finishMessage(proxy, checkpoint, ds.addNotices(proxy)))
 		}
 	}
 	return messages, others
@@ -174,36 +174,37 @@
 
 // finishMessage returns the message composed for a proxy and starts the next one. A negative checkpoint means none;
 // noticeLines is the number of its lines that count against the notice budget.
-func (ds *desiredState) finishMessage(h *proxyState, checkpoint, noticeLines int) outgoing {
-	if !h.levelsSent {
-		h.levelsSent = true
+func (ds *desiredState) finishMessage(proxy *proxyState, checkpoint, noticeLines int) outgoing {
+	if !proxy.levelsSent {
+		proxy.levelsSent = true
 		for _, i := range slices.Sorted(maps.Keys(ds.globalLevels)) {
-			h.add(ds.globalLevels[i])
+			proxy.add(ds.globalLevels[i])
 		}
 	}
-	m := &runtime.Message{Number: h.nextNumber, Checkpoint: checkpoint, Changes: h.changes, Lines: ds.headLines + len(h.changes)}
+	m := &runtime.Message{Number: proxy.nextNumber, Checkpoint: checkpoint, Changes: proxy.changes,
+		Lines: ds.headLines + len(proxy.changes)}
 	if checkpoint >= 0 {
 		m.Lines++
 	}
-	h.nextNumber, h.changes = h.nextNumber+1, nil
-	return outgoing{h.id, m, noticeLines}
+	proxy.nextNumber, proxy.changes = proxy.nextNumber+1, nil
+	return outgoing{proxy.id, m, noticeLines}
 }
 
 // addToBound adds a change to the messages of all proxies that are bound to a table.
 func (ds *desiredState) addToBound(t *tableState, joined []*proxyState, c runtime.Change) {
-	for _, h := range joined {
-		if h.isBoundTo(t) {
-			h.add(c)
+	for _, proxy := range joined {
+		if proxy.isBoundTo(t) {
+			proxy.add(c)
 		}
 	}
 }
 
 // addState adds to a proxy's message whether an endpoint is withdrawn, if the proxy was last sent the opposite.
-func (ds *desiredState) addState(h *proxyState, e control.EndpointID) {
-	if withdrawn := ds.withdrawn[e]; h.sentWithdrawn[e] != withdrawn {
-		h.add(runtime.Change{Verb: runtime.SetState, Endpoint: e, Out: withdrawn})
-		if h.sentWithdrawn[e] = withdrawn; !withdrawn {
-			delete(h.sentWithdrawn, e)
+func (ds *desiredState) addState(proxy *proxyState, e control.EndpointID) {
+	if withdrawn := ds.withdrawn[e]; proxy.sentWithdrawn[e] != withdrawn {
+		proxy.add(runtime.Change{Verb: runtime.SetState, Endpoint: e, Out: withdrawn})
+		if proxy.sentWithdrawn[e] = withdrawn; !withdrawn {
+			delete(proxy.sentWithdrawn, e)
 		}
 	}
 }
@@ -229,49 +230,49 @@
 	default:
 		t.lines[o.Endpoint] = o.Weight
 	}
-	for _, h := range joined {
-		if h.isBoundTo(t) {
+	for _, proxy := range joined {
+		if proxy.isBoundTo(t) {
 			if c.Verb == runtime.AddServer {
-				ds.addState(h, o.Endpoint) // first, so that the proxy never uses a withdrawn endpoint
+				ds.addState(proxy, o.Endpoint) // first, so that the proxy never uses a withdrawn endpoint
 			}
-			h.add(c)
+			proxy.add(c)
 		}
 	}
 }
 
 // bind adds a whole table to a proxy's message, unless the proxy is bound to it already, and maps op types to it.
-func (ds *desiredState) bind(h *proxyState, o control.Bind) {
+func (ds *desiredState) bind(proxy *proxyState, o control.Bind) {
 	t := ds.table(o.Table)
-	if !h.stateCleared {
-		h.stateCleared = true
-		h.add(runtime.Change{Verb: runtime.ClearState})
-		clear(h.sentWithdrawn)
+	if !proxy.stateCleared {
+		proxy.stateCleared = true
+		proxy.add(runtime.Change{Verb: runtime.ClearState})
+		clear(proxy.sentWithdrawn)
 		for _, e := range slices.Sorted(maps.Keys(ds.withdrawn)) {
-			if h.mayUse(e) {
-				ds.addState(h, e)
+			if proxy.mayUse(e) {
+				ds.addState(proxy, e)
 			}
 		}
 	}
-	if !h.isBoundTo(t) && !ds.adoptTable(h, t, o.OpTypes) {
-		h.add(runtime.Change{Verb: runtime.ClearTable, Table: t.id})
+	if !proxy.isBoundTo(t) && !ds.adoptTable(proxy, t, o.OpTypes) {
+		proxy.add(runtime.Change{Verb: runtime.ClearTable, Table: t.id})
 		for _, e := range slices.Sorted(maps.Keys(t.lines)) {
 			at, ok := ds.serverOf(e)
 			if !ok {
 				continue
 			}
-			ds.addState(h, e)
-			h.add(runtime.Change{Verb: runtime.AddServer, Table: t.id, Endpoint: e, Server: at, Weight: t.lines[e]})
+			ds.addState(proxy, e)
+			proxy.add(runtime.Change{Verb: runtime.AddServer, Table: t.id, Endpoint: e, Server: at, Weight: t.lines[e]})
 		}
 		for _, i := range slices.Sorted(maps.Keys(t.levels)) {
-			h.add(t.levels[i])
+			proxy.add(t.levels[i])
 		}
 	}
-	for i := range h.bound {
+	for i := range proxy.bound {
 		if o.OpTypes == 0 || o.OpTypes&(1<<i) != 0 {
-			h.bound[i] = t
+			proxy.bound[i] = t
 		}
 	}
-	h.add(runtime.Change{Verb: runtime.SetMap, Table: t.id, OpTypes: o.OpTypes})
+	proxy.add(runtime.Change{Verb: runtime.SetMap, Table: t.id, OpTypes: o.OpTypes})
 }
 
 // maxKnownTables bounds the number of tables in knownTables.
@@ -301,11 +302,11 @@
 
 // adoptTable adds a table to a proxy's message as the difference to a table that the proxy holds from an earlier run for one of
 // the op types. It reports false, and adds nothing, if no such table is known or the difference is longer than the table.
-func (ds *desiredState) adoptTable(h *proxyState, t *tableState, opTypes uint16) bool {
+func (ds *desiredState) adoptTable(proxy *proxyState, t *tableState, opTypes uint16) bool {
 	var best []runtime.Change
-	for i, d := range h.heldDigests {
+	for i, d := range proxy.heldDigests {
 		base, known := ds.knownTables[d]
-		if d == 0 || !known || h.bound[i] != nil || opTypes != 0 && opTypes&(1<<i) == 0 {
+		if d == 0 || !known || proxy.bound[i] != nil || opTypes != 0 && opTypes&(1<<i) == 0 {
 			continue // replaced by a table of this run, or not one of the op types to bind
 		}
 		changes := []runtime.Change{{Verb: runtime.AdoptTable, Table: t.id, Digest: d}}
@@ -337,11 +338,11 @@
 	}
 	ds.savedLines += len(t.lines) + 1 - len(best)
 	for _, e := range slices.Sorted(maps.Keys(t.lines)) {
-		ds.addState(h, e)
+		ds.addState(proxy, e)
 	}
-	h.changes = append(h.changes, best...)
+	proxy.changes = append(proxy.changes, best...)
 	for _, i := range slices.Sorted(maps.Keys(t.levels)) {
-		h.add(t.levels[i])
+		proxy.add(t.levels[i])
 	}
 	return true
 }
@@ -363,13 +364,13 @@
 			levels[i] = one
 		}
 	}
-	for _, h := range joined {
-		if t != nil && h.isBoundTo(t) || t == nil && h.levelsSent {
-			h.add(c)
+	for _, proxy := range joined {
+		if t != nil && proxy.isBoundTo(t) || t == nil && proxy.levelsSent {
+			proxy.add(c)
 		} else if t == nil {
-			h.levelsSent = true
+			proxy.levelsSent = true
 			for _, i := range slices.Sorted(maps.Keys(ds.globalLevels)) {
-				h.add(ds.globalLevels[i])
+				proxy.add(ds.globalLevels[i])
 			}
 		}
 	}
@@ -390,7 +391,7 @@
 
 // newMessage returns a message with the given changes, none of which concerns a table, to one joined proxy.
 func (ds *desiredState) newMessage(id control.ProxyID, changes []runtime.Change) outgoing {
-	h := ds.proxies[id]
-	h.changes = append(h.changes, changes...)
-	return ds.finishMessage(h, -1, 0)
+	proxy := ds.proxies[id]
+	proxy.changes = append(proxy.changes, changes...)
+	return ds.finishMessage(proxy, -1, 0)
 }
--- a/pilot/fleet.go
+++ b/pilot/fleet.go
@@ -60,6 +60,7 @@
 	p.advertised.Store(&w)
 }
 
+// errGossipDisabled is the reply to commands about the fleet if the pilot does not gossip.
 var errGossipDisabled = fmt.Errorf("gossip is not configured: the pilot's file has no members")
 
 // showFleet lists the pilots known by gossip. The skew column is the version of a pilot's list minus that of this pilot's.
--- a/pilot/fleet_test.go
+++ b/pilot/fleet_test.go
@@ -31,6 +31,7 @@
 	files  [2]*files.Pilot
 }
 
+// newPilotPair starts two pilots. change, if not nil, modifies their files.
 func newPilotPair(t *testing.T, change func(int, *files.Pilot)) *pilotPair {
 	t.Helper()
 	x := &pilotPair{t: t}
@@ -243,10 +244,10 @@
 
 // A hung module is detected after half of the silence timeout, while proxies still consider the pilot alive.
 func TestHungModule(t *testing.T) {
-	p, release, noticed := newHungPilot(t)
+	p, release, detected := newHungPilot(t)
 	started := time.Now()
 	startPilot(t, p, release)
-	if took := (<-noticed).Sub(started); took < 100*time.Millisecond {
+	if took := (<-detected).Sub(started); took < 100*time.Millisecond {
 		t.Errorf("hang detected after only %v, want at least 100 ms", took)
 	}
 	close(release)
@@ -255,12 +256,12 @@
 
 // A hung module is also detected during Stop, which would otherwise wait for it indefinitely.
 func TestHungModuleDuringStop(t *testing.T) {
-	p, release, noticed := newHungPilot(t)
+	p, release, detected := newHungPilot(t)
 	ended := make(chan bool)
 	startPilot(t, p, release)
 	go func() { p.Stop(); close(ended) }()
 	select {
-	case <-noticed:
+	case <-detected:
 	case <-time.After(5 * time.Second):
 		t.Error("hang not detected during Stop")
 	}
--- a/pilot/forget_test.go
+++ b/pilot/forget_test.go
@@ -26,7 +26,7 @@
 		r.list.Set(server(released+1+id, "gone"))
 	}
 	r.list.Set(server(served, "ready"), server(released, "ready"))
-	held := func() (n int, isServed, isReleased bool) {
+	knownServers := func() (n int, isServed, isReleased bool) {
 		r.onLoop(func() {
 			r.p.forgetGoneEndpoints()
 			n = len(r.p.list)
@@ -35,15 +35,15 @@
 		})
 		return n, isServed, isReleased
 	}
-	r.waitFor("the listed servers", func() bool { _, is, other := held(); return is && other })
-	order := func(orders ...control.Order) { r.onLoop(func() { r.p.Execute(r.p.host.Now(), orders) }) }
-	order(control.PutLine{Table: 1, Endpoint: served, Weight: 1}, control.Suspend{Endpoint: released, Out: true})
+	r.waitFor("the listed servers", func() bool { _, is, other := knownServers(); return is && other })
+	execute := func(orders ...control.Order) { r.onLoop(func() { r.p.Execute(r.p.host.Now(), orders) }) }
+	execute(control.PutLine{Table: 1, Endpoint: served, Weight: 1}, control.Suspend{Endpoint: released, Out: true})
 	r.list.Set(server(served, "gone"), server(released, "gone"))
-	r.waitFor("unreferenced servers to be forgotten", func() bool { n, _, _ := held(); return n == len(entries())+2 })
+	r.waitFor("unreferenced servers to be forgotten", func() bool { n, _, _ := knownServers(); return n == len(entries())+2 })
 	time.Sleep(10 * time.Millisecond)
-	if n, isServed, isReleased := held(); !isServed || !isReleased {
+	if n, isServed, isReleased := knownServers(); !isServed || !isReleased {
 		t.Errorf("%d servers; kept the one in a table: %t, kept the withdrawn one: %t", n, isServed, isReleased)
 	}
-	order(control.PutLine{Table: 1, Endpoint: served}, control.Suspend{Endpoint: released})
-	r.waitFor("the released servers to be forgotten", func() bool { n, _, _ := held(); return n == len(entries()) })
+	execute(control.PutLine{Table: 1, Endpoint: served}, control.Suspend{Endpoint: released})
+	r.waitFor("the released servers to be forgotten", func() bool { n, _, _ := knownServers(); return n == len(entries()) })
 }
--- a/pilot/intake.go
+++ b/pilot/intake.go
@@ -13,19 +13,21 @@
 // Sums that have to wait are added to later ones of the same key. It does no I/O.
 type intake struct {
 	linesPerSecond float64
-	credit         float64
-	measureCount   int
+	credit         float64                       // lines that may be released now
+	measureCount   int                           // length of a valid load report
 	isKnown        func(control.EndpointID) bool // endpoints whose sums are kept; nil: all
 	opTypeCount    int                           // number of op types; 0: not checked
 	digests        map[digestKey]*pendingSum
 	arrivals       map[arrivalKey]*pendingSum
 }
 
+// digestKey identifies the sum of the tries that the proxies of one zone made at an endpoint.
 type digestKey struct {
 	zone     int
 	endpoint control.EndpointID
 }
 
+// arrivalKey identifies the sum of the ops of one type that came to a proxy.
 type arrivalKey struct {
 	proxy  control.ProxyID
 	opType int
@@ -33,10 +35,10 @@
 
 // pendingSum is one line that waits to be released.
 type pendingSum struct {
-	from, to      time.Duration
+	from, to      time.Duration // time range of the sum
 	count, failed int
 	totalLatency  time.Duration // sum of the latencies of successful tries
-	load          []float64
+	load          []float64     // latest load report
 }
 
 // newIntake returns an intake with a rate in lines per second, for load reports with the given number of measures.
@@ -51,19 +53,19 @@
 		if in.opTypeCount > 0 && t.OpType >= in.opTypeCount {
 			continue
 		}
-		g := pendingSumFor(in.arrivals, arrivalKey{id, t.OpType}, now, s.Window)
-		g.count, g.failed = g.count+t.Ops, g.failed+min(t.Unacked, t.Ops)
+		sum := pendingSumFor(in.arrivals, arrivalKey{id, t.OpType}, now, s.Window)
+		sum.count, sum.failed = sum.count+t.Ops, sum.failed+min(t.Unacked, t.Ops)
 	}
 	for _, e := range s.Servers {
 		if in.isKnown != nil && !in.isKnown(e.Endpoint) {
 			continue
 		}
-		g := pendingSumFor(in.digests, digestKey{zone, e.Endpoint}, now, s.Window)
+		sum := pendingSumFor(in.digests, digestKey{zone, e.Endpoint}, now, s.Window)
 		failed := min(e.Failed, e.Tries)
-		g.count, g.failed = g.count+e.Tries, g.failed+failed
-		g.totalLatency += e.Latency * time.Duration(e.Tries-failed)
+		sum.count, sum.failed = sum.count+e.Tries, sum.failed+failed
+		sum.totalLatency += e.Latency * time.Duration(e.Tries-failed)
 		if len(e.Load) == in.measureCount && in.measureCount > 0 {
-			g.load = e.Load
+			sum.load = e.Load
 		}
 	}
 }
@@ -71,13 +73,13 @@
 // pendingSumFor returns the waiting line of a key, creating it if needed, with its time range extended by the window before
 // now.
 func pendingSumFor[K comparable](m map[K]*pendingSum, k K, now, window time.Duration) *pendingSum {
-	g := m[k]
-	if g == nil {
-		g = &pendingSum{from: now - window}
-		m[k] = g
+	sum := m[k]
+	if sum == nil {
+		sum = &pendingSum{from: now - window}
+		m[k] = sum
 	}
-	g.from, g.to = min(g.from, now-window), now
-	return g
+	sum.from, sum.to = min(sum.from, now-window), now
+	return sum
 }
 
 // dropProxy discards the waiting arrivals of a proxy that left.
@@ -99,21 +101,21 @@
 		event func() control.Event
 	}
 	var lines []waitingLine
-	for k, g := range in.digests {
-		lines = append(lines, waitingLine{g.from, [3]int{0, k.zone, int(k.endpoint)}, func() control.Event {
+	for k, sum := range in.digests {
+		lines = append(lines, waitingLine{sum.from, [3]int{0, k.zone, int(k.endpoint)}, func() control.Event {
 			delete(in.digests, k)
-			d := control.Digest{Zone: k.zone, Endpoint: k.endpoint, Tries: g.count, Failed: g.failed, Window: g.to - g.from,
-				Load: g.load}
-			if g.count > g.failed {
-				d.Latency = g.totalLatency / time.Duration(g.count-g.failed)
+			d := control.Digest{Zone: k.zone, Endpoint: k.endpoint, Tries: sum.count, Failed: sum.failed, Window: sum.to - sum.from,
+				Load: sum.load}
+			if sum.count > sum.failed {
+				d.Latency = sum.totalLatency / time.Duration(sum.count-sum.failed)
 			}
 			return d
 		}})
 	}
-	for k, g := range in.arrivals {
-		lines = append(lines, waitingLine{g.from, [3]int{1, int(k.proxy), k.opType}, func() control.Event {
+	for k, sum := range in.arrivals {
+		lines = append(lines, waitingLine{sum.from, [3]int{1, int(k.proxy), k.opType}, func() control.Event {
 			delete(in.arrivals, k)
-			return control.Arrivals{Proxy: k.proxy, OpType: k.opType, Ops: g.count, Unacked: g.failed, Window: g.to - g.from}
+			return control.Arrivals{Proxy: k.proxy, OpType: k.opType, Ops: sum.count, Unacked: sum.failed, Window: sum.to - sum.from}
 		}})
 	}
 	slices.SortFunc(lines, func(a, b waitingLine) int {
--- a/pilot/list.go
+++ b/pilot/list.go
@@ -75,15 +75,15 @@
 func (p *Pilot) forgetGoneEndpoints() {
 	for id, e := range p.list {
 		if e.Mode != "gone" {
-			delete(p.goneAt, id)
+			delete(p.goneSince, id)
 			continue
 		}
-		since, noted := p.goneAt[id]
+		since, marked := p.goneSince[id]
 		switch {
-		case !noted:
-			p.goneAt[id] = p.host.Now()
+		case !marked:
+			p.goneSince[id] = p.host.Now()
 		case p.host.Now()-since > p.keepGone && p.desired.isUnreferenced(id):
-			delete(p.goneAt, id)
+			delete(p.goneSince, id)
 			delete(p.list, id)
 		}
 	}
@@ -121,44 +121,44 @@
 	pilot   string
 	log     *slog.Logger
 	mu      sync.Mutex
-	pending func() error
+	pending func() error // writes the newest version; nil if it is written
 	wake    chan struct{}
 	done    chan struct{}
 }
 
 // newListCache starts the goroutine that writes the list; close stops it.
 func newListCache(path, pilot string, log *slog.Logger) *listCache {
-	s := &listCache{path: path, pilot: pilot, log: log, wake: make(chan struct{}, 1), done: make(chan struct{})}
+	c := &listCache{path: path, pilot: pilot, log: log, wake: make(chan struct{}, 1), done: make(chan struct{})}
 	go func() {
-		defer close(s.done)
-		for range s.wake {
-			s.mu.Lock()
-			f := s.pending
-			s.pending = nil
-			s.mu.Unlock()
+		defer close(c.done)
+		for range c.wake {
+			c.mu.Lock()
+			f := c.pending
+			c.pending = nil
+			c.mu.Unlock()
 			if f != nil {
 				if err := f(); err != nil {
-					s.log.Error("server list not saved to disk", "error", err)
+					c.log.Error("server list not saved to disk", "error", err)
 				}
 			}
 		}
 	}()
-	return s
+	return c
 }
 
 // save replaces the version to be written next. It does not block.
-func (s *listCache) save(version uint64, entries []roster.Entry) {
-	s.mu.Lock()
-	s.pending = func() error { return roster.Save(s.path, s.pilot, version, entries) }
-	s.mu.Unlock()
+func (c *listCache) save(version uint64, entries []roster.Entry) {
+	c.mu.Lock()
+	c.pending = func() error { return roster.Save(c.path, c.pilot, version, entries) }
+	c.mu.Unlock()
 	select {
-	case s.wake <- struct{}{}:
+	case c.wake <- struct{}{}:
 	default:
 	}
 }
 
 // close waits until the last pending version is written.
-func (s *listCache) close() {
-	close(s.wake)
-	<-s.done
+func (c *listCache) close() {
+	close(c.wake)
+	<-c.done
 }
--- a/pilot/list_test.go
+++ b/pilot/list_test.go
@@ -30,8 +30,8 @@
 	r.waitFor("gone", func() bool {
 		r.module.mu.Lock()
 		defer r.module.mu.Unlock()
-		said := fmt.Sprintf("%+v", r.module.events)
-		return strings.Contains(said, "Endpoint:2 Weight:0 Mode:0") && !strings.Contains(said, "Endpoint:50")
+		events := fmt.Sprintf("%+v", r.module.events)
+		return strings.Contains(events, "Endpoint:2 Weight:0 Mode:0") && !strings.Contains(events, "Endpoint:50")
 	})
 }
 
@@ -47,15 +47,15 @@
 		r.waitFor("joined", func() bool { return countEvents[control.Joined](r.module) == 1 })
 		r.order(append(table(1, 2), control.Bind{Proxy: 1}, control.Checkpoint{Number: 1})...)
 		r.waitFor("bound", func() bool { return strings.Contains(x.Stat(), "e1,UP,2,127.0.0.1:8001") })
-		told := make(chan bool, 1)
+		noticed := make(chan bool, 1)
 		r.p.post(func() {
 			e, h := entries()[1], r.p.desired.proxies[1]
 			change(&e)
 			before := h.nextNumber
 			r.p.applyListUpdate(&roster.Update{Kind: "changes", Version: r.p.listVersion, Entries: []roster.Entry{e}})
-			told <- h.nextNumber > before || r.p.desired.pendingNotices[1]
+			noticed <- h.nextNumber > before || r.p.desired.pendingNotices[1]
 		})
-		if !<-told {
+		if !<-noticed {
 			t.Errorf("%s: the change is not sent to the proxy", name)
 		}
 	}
@@ -105,12 +105,12 @@
 		if _, err := c.Write([]byte(bad)); err != nil && len(bad) < 1000 {
 			t.Fatal(err)
 		}
-		said, err := io.ReadAll(in)
+		answer, err := io.ReadAll(in)
 		if err != nil && strings.Contains(err.Error(), "timeout") {
 			t.Errorf("%.60q did not end the stream", bad)
 		}
-		if !strings.HasPrefix(string(said), "refused ") && len(bad) < 1000 {
-			t.Errorf("%.60q was answered %q, not refused", bad, said)
+		if !strings.HasPrefix(string(answer), "refused ") && len(bad) < 1000 {
+			t.Errorf("%.60q was answered %q, not refused", bad, answer)
 		}
 		c.Close()
 	}
--- a/pilot/moves.go
+++ b/pilot/moves.go
@@ -24,9 +24,9 @@
 	*tenancy.Mover
 	store           *store.Store
 	writer          *storeWriter
-	wake            *time.Timer
-	sendingSessions []*session // sessions with orders to send, in turn
-	moved           uint64
+	wake            *time.Timer        // calls stepMover when the mover asked for it
+	sendingSessions []*session         // sessions with orders to send, in turn
+	moved           uint64             // number of moves that were completed
 	cancelled       uint64             // number of moves that were cancelled
 	recentEnds      []tenancy.End      // the latest ends of moves, for show move
 	restoredLimits  []tenancy.Sentence // limits loaded from the store at the start
@@ -117,14 +117,14 @@
 
 // queueBindings queues orders whose records are on disk.
 func (p *Pilot) queueBindings(orders []sessionOrder) {
-	for _, b := range orders {
-		if p.sessions[b.s.id] != b.s { // the proxy left; it gets the binding when it joins again
+	for _, order := range orders {
+		if p.sessions[order.s.id] != order.s { // the proxy left; it gets the binding when it joins again
 			continue
 		}
-		if len(b.s.bindings) == 0 {
-			p.mover.sendingSessions = append(p.mover.sendingSessions, b.s)
+		if len(order.s.bindings) == 0 {
+			p.mover.sendingSessions = append(p.mover.sendingSessions, order.s)
 		}
-		b.s.bindings = append(b.s.bindings, b.Order)
+		order.s.bindings = append(order.s.bindings, order.Order)
 	}
 	p.pump()
 }
@@ -135,25 +135,25 @@
 	if p.mover == nil || p.channel.waitingLines > p.channel.maxLines/2 {
 		return false
 	}
-	l := slices.DeleteFunc(p.mover.sendingSessions, func(s *session) bool { return p.sessions[s.id] != s })
-	p.mover.sendingSessions = l
-	i := slices.IndexFunc(l, func(s *session) bool {
+	waiting := slices.DeleteFunc(p.mover.sendingSessions, func(s *session) bool { return p.sessions[s.id] != s })
+	p.mover.sendingSessions = waiting
+	i := slices.IndexFunc(waiting, func(s *session) bool {
 		return s.conn != nil && (s.unconfirmedLines == 0 || s.unconfirmedLines+maxBindingLines+p.desired.headLines <= s.windowLines)
 	})
 	if i < 0 {
 		return false
 	}
-	s := l[i]
+	s := waiting[i]
 	orders := s.bindings[:min(maxBindingLines, len(s.bindings))]
 	changes := make([]runtime.Change, len(orders))
-	for j, b := range orders {
-		if changes[j] = (runtime.Change{Verb: runtime.SetBinding, Tenant: b.Tenant, Number: b.Number, Seat: b.Seat,
-			Held: b.Held}); b.Clear {
-			changes[j] = runtime.Change{Verb: runtime.ClearBindings, Number: b.Number}
+	for j, order := range orders {
+		if changes[j] = (runtime.Change{Verb: runtime.SetBinding, Tenant: order.Tenant, Number: order.Number, Seat: order.Seat,
+			Held: order.Held}); order.Clear {
+			changes[j] = runtime.Change{Verb: runtime.ClearBindings, Number: order.Number}
 		}
 	}
 	s.bindings = s.bindings[len(orders):]
-	p.mover.sendingSessions = slices.Delete(l, i, i+1)
+	p.mover.sendingSessions = slices.Delete(waiting, i, i+1)
 	if len(s.bindings) > 0 {
 		p.mover.sendingSessions = append(p.mover.sendingSessions, s)
 	} else {
@@ -195,12 +195,12 @@
 	log     *slog.Logger
 	send    func([]sessionOrder)
 	mu      sync.Mutex
-	records map[string]tenancy.Record
-	known   []tenancy.ProxyID
-	limits  []tenancy.Sentence // limits to be stored; nil: unchanged
-	orders  []sessionOrder
-	pruneAt int // number of orders at which those of ended sessions are removed
-	err     error
+	records map[string]tenancy.Record // newest record of each tenant, to be stored
+	known   []tenancy.ProxyID         // proxies to be stored; nil: unchanged
+	limits  []tenancy.Sentence        // limits to be stored; nil: unchanged
+	orders  []sessionOrder            // orders to be sent once records is stored
+	pruneAt int                       // number of orders at which those of ended sessions are removed
+	err     error                     // of the last write
 	wake    chan struct{}
 	stop    chan struct{}
 	done    chan struct{}
@@ -211,76 +211,76 @@
 
 // startStoreWriter starts the goroutine that writes to the store. It calls send with the orders whose records are written.
 func startStoreWriter(s *store.Store, log *slog.Logger, send func([]sessionOrder)) *storeWriter {
-	d := &storeWriter{store: s, log: log, send: send, pruneAt: minPruneAt, records: map[string]tenancy.Record{},
+	w := &storeWriter{store: s, log: log, send: send, pruneAt: minPruneAt, records: map[string]tenancy.Record{},
 		wake: make(chan struct{}, 1), stop: make(chan struct{}), done: make(chan struct{})}
-	go d.run()
-	return d
+	go w.run()
+	return w
 }
 
 // add queues the result of a step. While writes fail, memory is bounded by one record per tenant and the orders of current
 // sessions, for which isCurrent reports true.
-func (d *storeWriter) add(result tenancy.Done, orders []sessionOrder, isCurrent func(sessionOrder) bool) {
-	d.mu.Lock()
+func (w *storeWriter) add(result tenancy.Done, orders []sessionOrder, isCurrent func(sessionOrder) bool) {
+	w.mu.Lock()
 	for _, r := range result.Records {
-		d.records[r.Tenant] = r
+		w.records[r.Tenant] = r
 	}
 	if result.Known != nil {
-		d.known = result.Known
+		w.known = result.Known
 	}
-	if d.orders = append(d.orders, orders...); len(d.orders) > d.pruneAt {
-		d.orders = slices.DeleteFunc(d.orders, func(b sessionOrder) bool { return !isCurrent(b) })
-		d.pruneAt = max(minPruneAt, 2*len(d.orders))
+	if w.orders = append(w.orders, orders...); len(w.orders) > w.pruneAt {
+		w.orders = slices.DeleteFunc(w.orders, func(b sessionOrder) bool { return !isCurrent(b) })
+		w.pruneAt = max(minPruneAt, 2*len(w.orders))
 	}
-	d.mu.Unlock()
-	d.wakeUp()
+	w.mu.Unlock()
+	w.wakeUp()
 }
 
 // wakeUp starts writing what is queued. It does not block.
-func (d *storeWriter) wakeUp() {
+func (w *storeWriter) wakeUp() {
 	select {
-	case d.wake <- struct{}{}:
+	case w.wake <- struct{}{}:
 	default:
 	}
 }
 
 // setLimits queues all current limits of tenants to be stored.
-func (d *storeWriter) setLimits(all []tenancy.Sentence) {
-	d.mu.Lock()
-	if d.limits = all; all == nil {
-		d.limits = []tenancy.Sentence{}
+func (w *storeWriter) setLimits(all []tenancy.Sentence) {
+	w.mu.Lock()
+	if w.limits = all; all == nil {
+		w.limits = []tenancy.Sentence{}
 	}
-	d.mu.Unlock()
-	d.wakeUp()
+	w.mu.Unlock()
+	w.wakeUp()
 }
 
 // run writes what is queued until stop is closed, and then once more. Orders of that last write are not sent.
-func (d *storeWriter) run() {
-	defer close(d.done)
+func (w *storeWriter) run() {
+	defer close(w.done)
 	for {
 		ending := false
 		select {
-		case <-d.stop:
+		case <-w.stop:
 			ending = true
-		case <-d.wake:
+		case <-w.wake:
 		}
-		d.mu.Lock()
-		step, limits, orders := tenancy.Done{Records: slices.Collect(maps.Values(d.records)), Known: d.known}, d.limits, d.orders
-		d.records, d.known, d.limits, d.orders = map[string]tenancy.Record{}, nil, nil, nil
-		d.mu.Unlock()
+		w.mu.Lock()
+		step, limits, orders := tenancy.Done{Records: slices.Collect(maps.Values(w.records)), Known: w.known}, w.limits, w.orders
+		w.records, w.known, w.limits, w.orders = map[string]tenancy.Record{}, nil, nil, nil
+		w.mu.Unlock()
 		for {
-			err := d.store.Keep(step, limits)
-			d.mu.Lock()
-			d.err = err
-			d.mu.Unlock()
+			err := w.store.Keep(step, limits)
+			w.mu.Lock()
+			w.err = err
+			w.mu.Unlock()
 			if err == nil {
 				break
 			}
-			d.log.Error("store of tenants not written; moves wait until it is", "error", err)
+			w.log.Error("store of tenants not written; moves wait until it is", "error", err)
 			if ending {
 				return
 			}
 			select {
-			case <-d.stop:
+			case <-w.stop:
 				return
 			case <-time.After(time.Second):
 			}
@@ -289,16 +289,16 @@
 			return
 		}
 		if len(orders) > 0 {
-			d.send(orders)
+			w.send(orders)
 		}
 	}
 }
 
 // lastError returns the error of the last write; nil if it succeeded.
-func (d *storeWriter) lastError() error {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.err
+func (w *storeWriter) lastError() error {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.err
 }
 
 // close writes what is queued, once, and closes the store.
@@ -435,22 +435,23 @@
 	slices.Sort(names)
 	fmt.Fprintln(w, "# tenant,rate,tries,hand,fenced,room,seat,phase,number,ops_s,failed_s,busy_s,")
 	for _, name := range slices.Compact(names) {
-		l := tenancy.Unlimited(name)
+		limit := tenancy.Unlimited(name)
 		if c, limited := p.desired.limits[name]; limited {
-			l = c.Limit()
+			limit = c.Limit()
 		}
 		r := tenancy.Record{}
 		if p.mover != nil {
 			r, _ = p.mover.Of(name)
 		}
-		var u tenancy.Use
+		var use tenancy.Use
 		if p.quarantine != nil {
-			u = p.quarantine.Met(name)
+			use = p.quarantine.Met(name)
 		}
-		per := p.facts.ReportEvery.Seconds()
-		fmt.Fprintf(w, "%s,%g,%g,%g,%t,%g,%s,%s,%d,%.3g,%.3g,%.3g,\n", runtime.Quote("="+name), l.Rate, l.Tries, l.Hand, l.Fenced,
-			l.Room, r.Seat, r.Phase, r.Number,
-			u.Ops/per, u.Failed/per, u.Busy.Seconds()/per)
+		period := p.facts.ReportEvery.Seconds()
+		fmt.Fprintf(w, "%s,%g,%g,%g,%t,%g,%s,%s,%d,%.3g,%.3g,%.3g,\n", runtime.Quote("="+name), limit.Rate, limit.Tries, limit.Hand,
+			limit.Fenced,
+			limit.Room, r.Seat, r.Phase, r.Number,
+			use.Ops/period, use.Failed/period, use.Busy.Seconds()/period)
 	}
 	return nil
 }
@@ -475,11 +476,11 @@
 		fmt.Fprintf(w, "Store: %v\n", err)
 	}
 	for _, e := range p.mover.recentEnds {
-		how := "cancelled"
+		outcome := "cancelled"
 		if e.Moved {
-			how = "moved"
+			outcome = "moved"
 		}
-		fmt.Fprintf(w, "Ended: %s %s after %v\n", runtime.Quote("="+e.Tenant), how, e.Held.Round(time.Millisecond))
+		fmt.Fprintf(w, "Ended: %s %s after %v\n", runtime.Quote("="+e.Tenant), outcome, e.Held.Round(time.Millisecond))
 	}
 	return nil
 }
--- a/pilot/moves_test.go
+++ b/pilot/moves_test.go
@@ -25,6 +25,7 @@
 	file *files.Pilot
 }
 
+// newMovesRig returns a rig whose pilot has a store of tenants. change, if not nil, modifies the pilot's file.
 func newMovesRig(t *testing.T, change func(*files.Pilot)) *movesRig {
 	t.Helper()
 	r := &movesRig{dir: t.TempDir()}
@@ -41,6 +42,7 @@
 	return r
 }
 
+// movesService returns service settings with an op type for reads and one for deduplicated writes.
 func movesService() files.Service {
 	s := service()
 	s.OpTypes = append(s.OpTypes, files.OpType{Name: "w", Match: files.Match{Method: "POST"},
@@ -51,6 +53,7 @@
 	return s
 }
 
+// proxyFile returns the file of a proxy that stores its bindings in the rig's directory.
 func (r *movesRig) proxyFile(id uint16, pilots ...string) *files.Proxy {
 	f := proxyFile(id, pilots...)
 	f.Service = movesService()
--- a/pilot/notices.go
+++ b/pilot/notices.go
@@ -40,10 +40,10 @@
 
 // markMoved marks endpoints whose place changed for all proxies that have them in a table.
 func (ds *desiredState) markMoved(endpoints []control.EndpointID) {
-	for id, h := range ds.proxies {
+	for id, proxy := range ds.proxies {
 		for _, e := range endpoints {
-			if slices.ContainsFunc(h.bound, func(t *tableState) bool { return t != nil && t.lines[e] > 0 }) {
-				h.notices.movedEndpoints[e] = true
+			if slices.ContainsFunc(proxy.bound, func(t *tableState) bool { return t != nil && t.lines[e] > 0 }) {
+				proxy.notices.movedEndpoints[e] = true
 				ds.pendingNotices[id] = true
 			}
 		}
@@ -56,8 +56,8 @@
 		if ds.limits[c.Tenant] = c; c.Limit().Free() {
 			delete(ds.limits, c.Tenant)
 		}
-		for id, h := range ds.proxies {
-			h.notices.changedLimits[c.Tenant] = true
+		for id, proxy := range ds.proxies {
+			proxy.notices.changedLimits[c.Tenant] = true
 			ds.pendingNotices[id] = true
 		}
 	}
@@ -76,64 +76,64 @@
 		if ds.budget.freeLines() <= ds.headLines {
 			break
 		}
-		h := ds.proxies[id]
-		if left := h.notices.notBefore - now; left > 0 {
+		proxy := ds.proxies[id]
+		if left := proxy.notices.notBefore - now; left > 0 {
 			if wait < 0 || left < wait {
 				wait = left
 			}
 			continue
 		}
-		ds.spendBudget(h, ds.headLines)
-		lines := ds.addNotices(h)
+		ds.spendBudget(proxy, ds.headLines)
+		lines := ds.addNotices(proxy)
 		if lines == 0 {
-			ds.spendBudget(h, -ds.headLines)
+			ds.spendBudget(proxy, -ds.headLines)
 			continue
 		}
-		messages = append(messages, ds.finishMessage(h, -1, ds.headLines+lines))
-		h.notices.notBefore = now + ds.budget.minInterval
+		messages = append(messages, ds.finishMessage(proxy, -1, ds.headLines+lines))
+		proxy.notices.notBefore = now + ds.budget.minInterval
 		ds.nextTurn = id + 1
 	}
 	return messages, wait
 }
 
 // addNotices adds a proxy's pending notices to its message as far as the budget allows, and returns the number of lines added.
-func (ds *desiredState) addNotices(h *proxyState) (lines int) {
-	if !ds.pendingNotices[h.id] {
+func (ds *desiredState) addNotices(proxy *proxyState) (lines int) {
+	if !ds.pendingNotices[proxy.id] {
 		return 0
 	}
 	add := func(changes ...runtime.Change) bool {
 		if len(changes) > ds.budget.freeLines() {
 			return false
 		}
-		h.changes = append(h.changes, changes...)
-		ds.spendBudget(h, len(changes))
+		proxy.changes = append(proxy.changes, changes...)
+		ds.spendBudget(proxy, len(changes))
 		lines += len(changes)
 		return true
 	}
-	for _, e := range slices.Sorted(maps.Keys(h.notices.movedEndpoints)) {
-		if !add(ds.serverChanges(h, e)...) {
+	for _, e := range slices.Sorted(maps.Keys(proxy.notices.movedEndpoints)) {
+		if !add(ds.serverChanges(proxy, e)...) {
 			return lines
 		}
-		delete(h.notices.movedEndpoints, e)
+		delete(proxy.notices.movedEndpoints, e)
 	}
-	for _, name := range slices.Sorted(maps.Keys(h.notices.changedLimits)) {
+	for _, name := range slices.Sorted(maps.Keys(proxy.notices.changedLimits)) {
 		if !add(ds.perProxyLimit(ds.limitOf(name))) {
 			return lines
 		}
-		delete(h.notices.changedLimits, name)
+		delete(proxy.notices.changedLimits, name)
 	}
-	delete(ds.pendingNotices, h.id)
+	delete(ds.pendingNotices, proxy.id)
 	return lines
 }
 
 // serverChanges returns changes that give a proxy the present place of an endpoint in each of its tables that contain it.
-func (ds *desiredState) serverChanges(h *proxyState, e control.EndpointID) (changes []runtime.Change) {
+func (ds *desiredState) serverChanges(proxy *proxyState, e control.EndpointID) (changes []runtime.Change) {
 	at, ok := ds.serverOf(e)
 	if !ok {
 		return nil
 	}
 	for _, id := range slices.Sorted(maps.Keys(ds.tables)) {
-		if t := ds.tables[id]; t.lines[e] > 0 && h.isBoundTo(t) {
+		if t := ds.tables[id]; t.lines[e] > 0 && proxy.isBoundTo(t) {
 			changes = append(changes, runtime.Change{Verb: runtime.AddServer, Table: id, Endpoint: e, Server: at, Weight: t.lines[e]})
 		}
 	}
@@ -161,15 +161,15 @@
 }
 
 // spendBudget charges lines of notices to a proxy to the budget; a negative number returns lines to it.
-func (ds *desiredState) spendBudget(h *proxyState, lines int) {
-	h.notices.unconfirmedLines += lines
+func (ds *desiredState) spendBudget(proxy *proxyState, lines int) {
+	proxy.notices.unconfirmedLines += lines
 	ds.budget.usedLines += lines
 }
 
 // confirmNotices returns the notice lines of a confirmed message to the budget.
 func (ds *desiredState) confirmNotices(m outgoing) {
-	if h := ds.proxies[m.proxy]; h != nil {
-		ds.spendBudget(h, -m.noticeLines)
+	if proxy := ds.proxies[m.proxy]; proxy != nil {
+		ds.spendBudget(proxy, -m.noticeLines)
 	}
 }
 
--- a/pilot/pilot.go
+++ b/pilot/pilot.go
@@ -60,38 +60,38 @@
 	pendingNotes  atomic.Int64
 
 	// The fields below are used only on the loop.
-	run            uint64
+	run            uint64 // run number: start time in microseconds since 1970, increased by restarts
 	desired        *desiredState
 	channel        *channel
 	intake         *intake
-	quarantine     *tenancy.Quarantine // nil if tenants are not limited
-	tenantUses     []tenancy.Use
+	quarantine     *tenancy.Quarantine           // nil if tenants are not limited
+	tenantUses     []tenancy.Use                 // per-tenant sums of the current period
 	podLoadSums    map[tenancy.PodID]*[2]float64 // sum and number of the load reports of the current period
 	mover          *mover                        // nil if tenants are not moved
 	records        *recorder
 	listOrigin     string      // where the list came from: "list", "cache", or "" without a list
 	listDelivered  bool        // the module was given a list that is not empty
 	leaving        bool        // shutting down: proxies are redirected to peers
-	redirected     uint64      // number of hellos answered with a redirect
+	redirected     uint64      // number of hellos of proxies that were not admitted
 	lastRunAdopted time.Time   // when this pilot last moved past a later run that a proxy reported
 	sendTimer      *time.Timer // fires when the channel may send its next message
 	sessions       map[control.ProxyID]*session
 	connections    map[*connection]bool
-	lastNumbers    map[control.ProxyID]uint64 // number of the last message of this run to each proxy that left
-	list           map[control.EndpointID]roster.Entry
-	goneAt         map[control.EndpointID]time.Duration // when an endpoint was first seen as gone
-	keepGone       time.Duration                        // how long a gone endpoint is kept; keepGoneFor, except in tests
+	lastNumbers    map[control.ProxyID]uint64           // number of the last message of this run to each proxy that left
+	list           map[control.EndpointID]roster.Entry  // known endpoints, gone ones included
+	goneSince      map[control.EndpointID]time.Duration // when an endpoint was first seen as gone
+	keepGone       time.Duration                        // how long a gone endpoint is kept: keepGoneFor, except in tests
 	noticeTimerSet bool                                 // a timer for the next notices is set
 	listVersion    uint64
 	source         *roster.Client
 	listCache      *listCache
 	silenceTimeout time.Duration
 	resumeWithin   time.Duration
-	messages       uint64
-	lines          uint64
-	resumed        uint64
-	refused        uint64
-	overflows      uint64
+	messages       uint64 // number of messages sent
+	lines          uint64 // number of lines sent
+	resumed        uint64 // number of sessions resumed
+	refused        uint64 // number of messages refused by proxies
+	overflows      uint64 // number of sessions dropped because the channel was full
 }
 
 // New returns a pilot with the settings of its file. It opens nothing; the error is always nil.
@@ -101,7 +101,7 @@
 		seed = rand.Uint64()
 	}
 	p := &Pilot{file: file, log: log.With("pilot", file.Name),
-		list: map[control.EndpointID]roster.Entry{}, goneAt: map[control.EndpointID]time.Duration{}, keepGone: keepGoneFor,
+		list: map[control.EndpointID]roster.Entry{}, goneSince: map[control.EndpointID]time.Duration{}, keepGone: keepGoneFor,
 		connections:    map[*connection]bool{},
 		silenceTimeout: file.Silent.Span(), resumeWithin: file.Resume.Span(), probePool: &upstream.Pool{}}
 	p.host = host.New(file.Facts(), seed, p.log)
--- a/pilot/pilot_test.go
+++ b/pilot/pilot_test.go
@@ -68,6 +68,7 @@
 	return out
 }
 
+// countEvents returns the number of events of one type that the module has got.
 func countEvents[T any](s *scriptedModule) int { return len(eventsOf[T](s)) }
 
 // order makes the module return orders on its next call, and waits for that call.
@@ -102,12 +103,14 @@
 	return out
 }
 
+// service returns service settings with one retryable op type.
 func service() files.Service {
 	return files.Service{Zones: []string{"z"}, Bootstrap: 2, ReportEvery: files.Duration(50 * time.Millisecond),
 		OpTypes: []files.OpType{
 			{Name: "a", TargetLatency: files.Duration(time.Second), OpTimeout: files.Duration(2 * time.Second), Repeat: "retryable"}}}
 }
 
+// pilotFile returns the file of a pilot that uses the list service at an address.
 func pilotFile(listAt string) *files.Pilot {
 	return &files.Pilot{Kind: "pilot", Name: "p", Zone: "z", Proxies: 2, Listen: "127.0.0.1:0", Admin: "127.0.0.1:0",
 		Tick: files.Duration(200 * time.Microsecond), Roster: listAt,
@@ -224,6 +227,7 @@
 	return x
 }
 
+// proxyFile returns the file of a proxy that can use the given pilots.
 func proxyFile(id uint16, pilots ...string) *files.Proxy {
 	f := &files.Proxy{Kind: "proxy", ID: id, Zone: "z", Listen: "127.0.0.1:0", Redial: files.Duration(10 * time.Millisecond),
 		Service: service(),
@@ -486,8 +490,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, torn := range [][]byte{data[:len(data)/2], []byte(strings.Replace(string(data), `"weight":1`, `"weight":2`, 1)), nil} {
-		if err := os.WriteFile(f.Cache, torn, 0o600); err != nil {
+	for _, corrupt := range [][]byte{data[:len(data)/2], []byte(strings.Replace(string(data), `"weight":1`, `"weight":2`, 1)), nil} {
+		if err := os.WriteFile(f.Cache, corrupt, 0o600); err != nil {
 			t.Fatal(err)
 		}
 		if n := listing(); n != 0 {
@@ -595,9 +599,9 @@
 	defer srv.Stop(context.Background())
 	e := roster.Entry{Endpoint: 9, Address: netip.MustParseAddrPort(srv.Address()), Zone: "z", Weight: 1, Mode: "ready"}
 	r.p.post(func() { r.p.file.Service.Measures = []string{"cpu_utilization"}; r.p.list[9] = e })
-	nobody := e
-	nobody.Address = netip.MustParseAddrPort("127.0.0.1:1")
-	r.p.post(func() { r.p.list[10] = nobody })
+	unreachable := e
+	unreachable.Address = netip.MustParseAddrPort("127.0.0.1:1")
+	r.p.post(func() { r.p.list[10] = unreachable })
 	for i, c := range []struct {
 		status int64
 		probe  control.EndpointID
--- a/pilot/probe.go
+++ b/pilot/probe.go
@@ -27,12 +27,12 @@
 
 // loadOf returns the load report of an answer, in the order of the configured measures; nil if the answer has none.
 func (p *Pilot) loadOf(answer *http1.Message) (load []float64) {
-	said := http1.ParseLoad(answer.Get(http1.LoadHeader))
-	if said == nil {
+	report := http1.ParseLoad(answer.Get(http1.LoadHeader))
+	if report == nil {
 		return nil
 	}
 	for _, name := range p.file.Service.Measures {
-		load = append(load, said[name])
+		load = append(load, report[name])
 	}
 	return load
 }
--- a/pilot/reconcile_test.go
+++ b/pilot/reconcile_test.go
@@ -55,10 +55,10 @@
 // A proxy that reports the digest of a table but does not send its contents, or sends others, gets whole tables after a short
 // wait.
 func TestReconcileWrongTables(t *testing.T) {
-	for _, lie := range []string{"", "table 1234\nserver e0 127.0.0.1:1 weight 1 zone 0 pack 0\n\n"} {
+	for _, wrongTable := range []string{"", "table 1234\nserver e0 127.0.0.1:1 weight 1 zone 0 pack 0\n\n"} {
 		r := newRig(t)
 		c, in := dialRaw(t, r.p.Address())
-		fmt.Fprintf(c, "hello 1 token x zone 0 rate 1 holds q 7 3 window 1000 standing - digests 1234\n\n%s", lie)
+		fmt.Fprintf(c, "hello 1 token x zone 0 rate 1 holds q 7 3 window 1000 standing - digests 1234\n\n%s", wrongTable)
 		readUntil(t, in, "\nsend tables 1234\n")
 		r.waitJoined(1) // without the contents of the table
 		r.order(append(table(1, 2), control.Bind{Proxy: 1}, control.Checkpoint{Number: 1})...)
--- a/pilot/records.go
+++ b/pilot/records.go
@@ -28,11 +28,11 @@
 	// The fields below are used only on the writing goroutine.
 	eventTime       time.Duration // time of the event being written
 	pilot           string
-	types           []string
+	types           []string // names of the op types
 	run             uint64
 	sequence        uint64
-	versions        map[control.TableID]uint64
-	openCheckpoints []*checkpoint // sent and not confirmed by all proxies, oldest first
+	versions        map[control.TableID]uint64 // number of changes of each table in this run
+	openCheckpoints []*checkpoint              // sent and not confirmed by all proxies, oldest first
 }
 
 // job is an event to be written as one or more records.
@@ -50,8 +50,8 @@
 	number  int
 	at      time.Duration
 	sent    map[control.ProxyID]bool // proxies that it was sent to; true once confirmed
-	missing int
-	slowest time.Duration
+	missing int                      // number of proxies that have not confirmed it
+	slowest time.Duration            // longest time until a confirmation
 }
 
 // checkpointTimeout is how long confirmations of a checkpoint are awaited before its record is written without the missing
@@ -123,10 +123,13 @@
 	return []slog.Attr{slog.String(record.Value, formatFigure(w.Value)), slog.String(record.Past, formatFigure(w.Limit))}
 }
 
+// formatFigure formats a number with four significant digits.
 func formatFigure(x float64) string { return strconv.FormatFloat(x, 'g', 4, 64) }
 
+// nodeName returns the name of an endpoint in records, such as e17.
 func nodeName(e control.EndpointID) string { return "e" + strconv.FormatUint(uint64(e), 10) }
 
+// proxyName returns the name of a proxy in records and for admission, such as p3.
 func proxyName(p control.ProxyID) string { return "p" + strconv.FormatUint(uint64(p), 10) }
 
 // tableAttrs returns the attributes that name a table and its version, which is incremented if the table changed.
@@ -161,6 +164,7 @@
 	}
 }
 
+// writeOrders writes a record of each order. If the reply has a checkpoint, the records carry its number.
 func (r *recorder) writeOrders(orders []control.Order) {
 	var mark []slog.Attr
 	for _, o := range orders {
@@ -171,24 +175,24 @@
 	for _, o := range orders {
 		switch o := o.(type) {
 		case control.PutLine:
-			a := append(r.tableAttrs(o.Table, true), slog.String(record.Node, nodeName(o.Endpoint)),
+			attrs := append(r.tableAttrs(o.Table, true), slog.String(record.Node, nodeName(o.Endpoint)),
 				slog.String(record.Weight, formatFigure(o.Weight)))
-			r.write(slog.LevelInfo, record.Line, o.Why.Reason, "table line set", slices.Concat(a, figureAttrs(o.Why), mark)...)
+			r.write(slog.LevelInfo, record.Line, o.Why.Reason, "table line set", slices.Concat(attrs, figureAttrs(o.Why), mark)...)
 		case control.Blank:
 			r.write(slog.LevelInfo, record.Blank, "", "table cleared", append(r.tableAttrs(o.Table, true), mark...)...)
 		case control.Bind:
-			a := append(r.tableAttrs(o.Table, false), slog.String(record.Proxy, proxyName(o.Proxy)), r.opTypesAttr(o.OpTypes))
-			r.write(slog.LevelInfo, record.Bind, o.Why.Reason, "proxy bound to a table", slices.Concat(a, figureAttrs(o.Why), mark)...)
+			attrs := append(r.tableAttrs(o.Table, false), slog.String(record.Proxy, proxyName(o.Proxy)), r.opTypesAttr(o.OpTypes))
+			r.write(slog.LevelInfo, record.Bind, o.Why.Reason, "proxy bound to a table", slices.Concat(attrs, figureAttrs(o.Why), mark)...)
 		case control.SetLevel:
-			a := append(r.tableAttrs(o.Table, false), r.opTypesAttr(o.OpTypes), slog.String(record.Share, formatFigure(o.Level)))
-			r.write(slog.LevelInfo+2, record.Level, o.Why.Reason, "level changed", slices.Concat(a, figureAttrs(o.Why), mark)...)
+			attrs := append(r.tableAttrs(o.Table, false), r.opTypesAttr(o.OpTypes), slog.String(record.Share, formatFigure(o.Level)))
+			r.write(slog.LevelInfo+2, record.Level, o.Why.Reason, "level changed", slices.Concat(attrs, figureAttrs(o.Why), mark)...)
 		case control.Suspend:
 			text := "server restored"
 			if o.Out {
 				text = "server withdrawn"
 			}
-			a := []slog.Attr{slog.String(record.Node, nodeName(o.Endpoint)), slog.Bool(record.Out, o.Out)}
-			r.write(slog.LevelWarn, record.Withdrawal, o.Why.Reason, text, slices.Concat(a, figureAttrs(o.Why), mark)...)
+			attrs := []slog.Attr{slog.String(record.Node, nodeName(o.Endpoint)), slog.Bool(record.Out, o.Out)}
+			r.write(slog.LevelWarn, record.Withdrawal, o.Why.Reason, text, slices.Concat(attrs, figureAttrs(o.Why), mark)...)
 		case control.Note:
 			r.write(slog.LevelInfo, record.Note, "", o.Text)
 		}
@@ -261,7 +265,7 @@
 func (r *recorder) closeCheckpoint(i int) {
 	c := r.openCheckpoints[i]
 	r.openCheckpoints = slices.Delete(r.openCheckpoints, i, i+1)
-	a := []slog.Attr{slog.Int(record.Checkpoint, c.number), slog.Int(record.Of, len(c.sent)),
+	attrs := []slog.Attr{slog.Int(record.Checkpoint, c.number), slog.Int(record.Of, len(c.sent)),
 		slog.Int(record.Confirmed, len(c.sent)-c.missing),
 		slog.Int64(record.Slowest, c.slowest.Microseconds())}
 	level := slog.LevelInfo
@@ -273,12 +277,13 @@
 			}
 		}
 		slices.Sort(missing)
-		a = append(a, slog.String(record.Missing, strings.Join(missing[:min(len(missing), maxListedProxies)], " ")))
+		attrs = append(attrs, slog.String(record.Missing, strings.Join(missing[:min(len(missing), maxListedProxies)], " ")))
 		level = slog.LevelWarn
 	}
-	r.write(level, record.InForce, "", "checkpoint", a...)
+	r.write(level, record.InForce, "", "checkpoint", attrs...)
 }
 
+// recordJoined records that a proxy joined, or resumed its session.
 func (r *recorder) recordJoined(s *session, resumed bool) {
 	id := s.id
 	r.enqueue(1, func() {
@@ -287,25 +292,28 @@
 	})
 }
 
+// recordLeft records that a proxy's session ended.
 func (r *recorder) recordLeft(id control.ProxyID) {
 	r.enqueue(1, func() {
 		r.write(slog.LevelInfo+2, record.Left, "", "proxy left", slog.String(record.Proxy, proxyName(id)))
 	})
 }
 
-func (r *recorder) recordRefused(id control.ProxyID, why string) {
-	r.enqueue(1, func() { r.write(slog.LevelWarn, record.Refusal, "", why, slog.String(record.Proxy, proxyName(id))) })
+// recordRefused records that a proxy refused a message, and the reason it gave.
+func (r *recorder) recordRefused(id control.ProxyID, reason string) {
+	r.enqueue(1, func() { r.write(slog.LevelWarn, record.Refusal, "", reason, slog.String(record.Proxy, proxyName(id))) })
 }
 
 // recordStart writes the first record of a run, and resets the sequence and version numbers.
-func (r *recorder) recordStart(run uint64, why control.Reason) {
+func (r *recorder) recordStart(run uint64, reason control.Reason) {
 	r.enqueue(1, func() {
 		r.run, r.sequence, r.openCheckpoints = run, 0, nil
 		clear(r.versions)
-		r.write(slog.LevelInfo+2, record.Restart, why, "pilot run started")
+		r.write(slog.LevelInfo+2, record.Restart, reason, "pilot run started")
 	})
 }
 
+// recordLimit records a changed limit of a tenant.
 func (r *recorder) recordLimit(l tenancy.Limit) {
 	r.enqueue(1, func() {
 		r.write(slog.LevelWarn, record.Limit, "", "tenant limit changed", slog.String(record.Tenant, l.Tenant),
@@ -314,6 +322,7 @@
 	})
 }
 
+// recordMoveRequest records that a move of a tenant was requested.
 func (r *recorder) recordMoveRequest(a tenancy.Ask) {
 	r.enqueue(1, func() {
 		r.write(slog.LevelInfo+2, record.Move, "asked", "tenant move requested", slog.String(record.Tenant, a.Tenant),
@@ -321,6 +330,7 @@
 	})
 }
 
+// recordMoveEnd records that a move of a tenant was completed or cancelled.
 func (r *recorder) recordMoveEnd(e tenancy.End) {
 	reason := control.Reason("cancelled")
 	if e.Moved {
--- a/pilot/records_test.go
+++ b/pilot/records_test.go
@@ -147,6 +147,7 @@
 	}
 }
 
+// messageWithCheckpoint returns an otherwise empty message with a checkpoint.
 func messageWithCheckpoint(checkpoint int) *runtime.Message {
 	return &runtime.Message{Checkpoint: checkpoint}
 }
--- a/pilot/session.go
+++ b/pilot/session.go
@@ -12,13 +12,13 @@
 // breaks, so that a proxy that reconnects in time resumes it.
 type session struct {
 	id               control.ProxyID
-	token            string
+	token            string // drawn when the proxy starts; distinguishes proxies configured with the same number
 	zone             int
-	rate             float64
-	windowLines      int
-	conn             *connection // nil while the proxy is disconnected
-	generation       int         // number of connects and disconnects, so that the timer of an earlier disconnect is ignored
-	unconfirmed      []outgoing
+	rate             float64         // ops per second that the proxy usually gets
+	windowLines      int             // most lines that may be unconfirmed, unless it is a single message
+	conn             *connection     // nil while the proxy is disconnected
+	generation       int             // number of connects and disconnects, so that the timer of an earlier disconnect is ignored
+	unconfirmed      []outgoing      // messages sent and not confirmed, oldest first
 	unconfirmedLines int             // total of the lines in unconfirmed
 	digests          []uint64        // of the tables that the proxy held when it joined
 	standing         bool            // the proxy held only its standing tables when it joined
--- a/pilot/start_test.go
+++ b/pilot/start_test.go
@@ -26,7 +26,7 @@
 	}
 	defer taken.Close()
 	listen, admin := net.JoinHostPort(at, "7001"), net.JoinHostPort(at, "7002")
-	for name, spoil := range map[string]func(f *files.Pilot){
+	for name, breakFile := range map[string]func(f *files.Pilot){
 		"store":             func(f *files.Pilot) { f.Moves.Store = t.TempDir() },
 		"listen":            func(f *files.Pilot) { f.Listen = taken.Address() },
 		"admin":             func(f *files.Pilot) { f.Admin = taken.Address() },
@@ -45,7 +45,7 @@
 			f.Listen, f.Admin, f.Cache = listen, admin, filepath.Join(t.TempDir(), "list.json")
 			f.Moves = &files.Moves{Store: filepath.Join(t.TempDir(), "tenants.db")}
 			intact := f.Moves.Store
-			spoil(f)
+			breakFile(f)
 			p := newPilot(t, f)
 			p.host.NewDecider = func() host.Decider { return &scriptedModule{} }
 			if err := p.Start(); err == nil {
--- a/pilot/streams.go
+++ b/pilot/streams.go
@@ -10,7 +10,7 @@
 	"vetchdoor/stream"
 )
 
-// connection is one accepted connection, from a proxy or, before any hello, from a peer pilot.
+// connection is one accepted connection, from a proxy or from a peer pilot that sends a note.
 type connection struct {
 	pilot        *Pilot
 	stream       *stream.Conn
@@ -134,9 +134,9 @@
 }
 
 // reject ends a stream that violates the protocol and sends the reason.
-func (p *Pilot) reject(c *connection, why string) {
-	p.log.Warn("stream refused", "remote", c.stream.Remote(), "reason", why)
-	p.sendGoAway(c, runtime.GoAway{Reason: why})
+func (p *Pilot) reject(c *connection, reason string) {
+	p.log.Warn("stream refused", "remote", c.stream.Remote(), "reason", reason)
+	p.sendGoAway(c, runtime.GoAway{Reason: reason})
 }
 
 // sendGoAway sends the message and ends the stream once it is written.
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -8,6 +8,7 @@
 	"vetchdoor/control"
 )
 
+// settings are start settings with unknown keys, effects and measures.
 const settings = `{"dcs":["a","b"],"machine_types":["m"],"grades":[{"name":"read","effect":"strange","slo":500}],
 	"extra":{"cycle":1000,"lines_per_s":1000,"most_waiting":2000,"envelope":3,"proxy_count":2,"unheard_of":[1]},
 	"policy_limits":{"probes":true},"report":{"how":"inline","names":["util","odd"]},"guarantees":{"cold":9000},"tick":5}`
