--- a/pilot/desired_test.go
+++ b/pilot/desired_test.go
@@ -167,13 +167,13 @@
 	ds.join(1, nil, false, 0)
 	ds.join(2, nil, false, 0)
 	ds.translate([]control.Order{control.Checkpoint{Number: 1, All: true}})
-	notices := func(c runtime.Change) string {
+	noticeText := func(c runtime.Change) string {
 		ds.markLimits([]runtime.Change{c})
 		messages, _ := ds.noticeMessages(0)
 		return formatMessages(messages)
 	}
 	limit := runtime.Change{Verb: runtime.SetTenant, Tenant: "delo", Rate: 8, Hand: 6, Fenced: true, Room: 1}
-	if got := notices(limit); got != "p1 #2 4; set tenant =delo rate 4 tries 0 fence on hand 3 room 1\np2 #2 4; set tenant =delo rate 4 tries 0 fence on hand 3 room 1" {
+	if got := noticeText(limit); got != "p1 #2 4; set tenant =delo rate 4 tries 0 fence on hand 3 room 1\np2 #2 4; set tenant =delo rate 4 tries 0 fence on hand 3 room 1" {
 		t.Error(got)
 	}
 	ds.join(3, nil, false, 0)
@@ -182,7 +182,7 @@
 		t.Error(s)
 	}
 	limit.Rate, limit.Hand, limit.Fenced, limit.Tries = -1, -1, false, 0.2
-	if got := notices(limit); strings.Count(got, "set tenant =delo rate * tries 0.2 fence off hand * room 1") != 3 {
+	if got := noticeText(limit); strings.Count(got, "set tenant =delo rate * tries 0.2 fence off hand * room 1") != 3 {
 		t.Error(got)
 	}
 	ds.join(4, nil, false, 0)
