--- a/settings/settings.go
+++ b/settings/settings.go
@@ -115,7 +115,7 @@
 	parsed := &Settings{Zones: decoded.Zones, Machines: decoded.Machines, ProbesAllowed: decoded.Limits.Probes}
 	parsed.Facts = control.Facts{
 		Instance: decoded.Me, Instances: decoded.Peers, Zone: decoded.Zone, Zones: len(decoded.Zones),
-		AskForList: decoded.Registry == "ask", Tick: Milliseconds(decoded.Tick),
+		ListNeedsWatch: decoded.Registry == "ask", Tick: Milliseconds(decoded.Tick),
 		Slices: x.Shards, OutlierAfter: x.OutlierAfter, Bootstrap: x.Bootstrap, Proxies: x.ProxyCount,
 		MessageLines: x.Envelope, LinesPerSecond: x.LinesPerS, MaxUnconfirmedLines: x.MostWaiting,
 		MessageCap: x.UpdateCap, MessageCapOver: Milliseconds(x.MessagesOver),
