--- a/pilot/pilot.go
+++ b/pilot/pilot.go
@@ -123,7 +123,7 @@
 // InitialEvents resets all state that depends on the module and returns the known list as the first event of the new module.
 // Limits of tenants are kept.
 func (p *Pilot) InitialEvents() (events []control.Event) {
-	p.desired = newDesiredState(len(p.facts.OpTypes), int(p.facts.MessageLines), p.serverOf)
+	p.desired = newDesiredState(len(p.facts.OpTypes), int(p.facts.MessageOverheadLines), p.serverOf)
 	if p.desired.budget.maxLines = p.file.NoticeLines(); p.facts.MessageCap > 0 {
 		p.desired.budget.minInterval = p.facts.MessageCapOver
 	}
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -117,7 +117,7 @@
 		Instance: decoded.Me, Instances: decoded.Peers, Zone: decoded.Zone, Zones: len(decoded.Zones),
 		ListNeedsWatch: decoded.Registry == "ask", Tick: Milliseconds(decoded.Tick),
 		Slices: x.Shards, OutlierAfter: x.OutlierAfter, Bootstrap: x.Bootstrap, Proxies: x.ProxyCount,
-		MessageLines: x.Envelope, LinesPerSecond: x.LinesPerS, MaxUnconfirmedLines: x.MostWaiting,
+		MessageOverheadLines: x.Envelope, LinesPerSecond: x.LinesPerS, MaxUnconfirmedLines: x.MostWaiting,
 		MessageCap: x.UpdateCap, MessageCapOver: Milliseconds(x.MessagesOver),
 		PushDelayMost: Milliseconds(x.TransitMax), ReportEvery: Milliseconds(x.Cycle), ReportLinesPerS: x.IntakePerS,
 		CrossZonePrice: decoded.Prices.CrossZone, ListedWeights: decoded.Weights != "off",
