--- a/pilot/pilot.go
+++ b/pilot/pilot.go
@@ -125,7 +125,7 @@
 func (p *Pilot) InitialEvents() (events []control.Event) {
 	p.desired = newDesiredState(len(p.facts.OpTypes), int(p.facts.MessageOverheadLines), p.serverOf)
 	if p.desired.budget.maxLines = p.file.NoticeLines(); p.facts.MessageCap > 0 {
-		p.desired.budget.minInterval = p.facts.MessageCapOver
+		p.desired.budget.minInterval = p.facts.MessageCapWindow
 	}
 	p.channel = newChannel(p.facts.LinesPerSecond, float64(p.file.Channel.MostWaiting))
 	p.intake = newIntake(p.facts.ReportLinesPerS, len(p.facts.Measures))
