--- a/pilot/pilot.go
+++ b/pilot/pilot.go
@@ -128,7 +128,7 @@
 		p.desired.budget.minInterval = p.facts.MessageCapWindow
 	}
 	p.channel = newChannel(p.facts.LinesPerSecond, float64(p.file.Channel.MostWaiting))
-	p.intake = newIntake(p.facts.ReportLinesPerS, len(p.facts.Measures))
+	p.intake = newIntake(p.facts.ReportLinesPerSecond, len(p.facts.Measures))
 	p.intake.opTypeCount = len(p.facts.OpTypes)
 	p.intake.isKnown = func(id control.EndpointID) bool { _, ok := p.list[id]; return ok }
 	if p.tenantUses, p.podLoadSums = nil, map[tenancy.PodID]*[2]float64{}; p.file.Tenants {
