--- a/settings/settings.go
+++ b/settings/settings.go
@@ -121,7 +121,7 @@
 		MessageCap: x.UpdateCap, MessageCapWindow: Milliseconds(x.MessagesOver),
 		MaxPushDelay: Milliseconds(x.TransitMax), ReportEvery: Milliseconds(x.Cycle), ReportLinesPerSecond: x.IntakePerS,
 		CrossZonePrice: decoded.Prices.CrossZone, ListedWeights: decoded.Weights != "off",
-		WarmUpTime: Milliseconds(decoded.Rules.Cold), ColdShare: decoded.Rules.ColdShare,
+		WarmUpTime: Milliseconds(decoded.Rules.Cold), ColdCapacityShare: decoded.Rules.ColdShare,
 		DrainGrace: Milliseconds(decoded.Rules.DrainGrace),
 	}
 	switch x.Admit {
