--- a/settings/settings.go
+++ b/settings/settings.go
@@ -120,7 +120,7 @@
 		MessageOverheadLines: x.Envelope, LinesPerSecond: x.LinesPerS, MaxUnconfirmedLines: x.MostWaiting,
 		MessageCap: x.UpdateCap, MessageCapWindow: Milliseconds(x.MessagesOver),
 		MaxPushDelay: Milliseconds(x.TransitMax), ReportEvery: Milliseconds(x.Cycle), ReportLinesPerSecond: x.IntakePerS,
-		CrossZonePrice: decoded.Prices.CrossZone, ListedWeights: decoded.Weights != "off",
+		CrossZonePrice: decoded.Prices.CrossZone, UseListedWeights: decoded.Weights != "off",
 		WarmUpTime: Milliseconds(decoded.Rules.Cold), ColdCapacityShare: decoded.Rules.ColdShare,
 		DrainGrace: Milliseconds(decoded.Rules.DrainGrace),
 	}
