--- a/pilot/moves.go
+++ b/pilot/moves.go
@@ -447,7 +447,7 @@
 		if p.quarantine != nil {
 			use = p.quarantine.Met(name)
 		}
-		period := p.facts.ReportEvery.Seconds()
+		period := p.facts.ReportInterval.Seconds()
 		fmt.Fprintf(w, "%s,%g,%g,%g,%t,%g,%s,%s,%d,%.3g,%.3g,%.3g,\n", runtime.Quote("="+name), limit.Rate, limit.Tries, limit.Hand,
 			limit.Fenced,
 			limit.Room, r.Seat, r.Phase, r.Number,
--- a/pilot/pilot.go
+++ b/pilot/pilot.go
@@ -138,7 +138,7 @@
 		} else if p.mover != nil {
 			sentences = p.mover.restoredLimits
 		}
-		p.quarantine = tenancy.NewQuarantine(p.facts.ReportEvery)
+		p.quarantine = tenancy.NewQuarantine(p.facts.ReportInterval)
 		p.quarantine.Restore(sentences)
 		for _, s := range sentences {
 			p.desired.limits[s.Tenant] = runtime.LimitOf(s.Limit)
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -119,7 +119,7 @@
 		Slices: x.Shards, OutlierAfter: x.OutlierAfter, StandingTableLines: x.Bootstrap, Proxies: x.ProxyCount,
 		MessageOverheadLines: x.Envelope, LinesPerSecond: x.LinesPerS, MaxUnconfirmedLines: x.MostWaiting,
 		MessageCap: x.UpdateCap, MessageCapWindow: Milliseconds(x.MessagesOver),
-		MaxPushDelay: Milliseconds(x.TransitMax), ReportEvery: Milliseconds(x.Cycle), ReportLinesPerSecond: x.IntakePerS,
+		MaxPushDelay: Milliseconds(x.TransitMax), ReportInterval: Milliseconds(x.Cycle), ReportLinesPerSecond: x.IntakePerS,
 		CrossZonePrice: decoded.Prices.CrossZone, UseListedWeights: decoded.Weights != "off",
 		WarmUpTime: Milliseconds(decoded.Rules.Cold), ColdCapacityShare: decoded.Rules.ColdShare,
 		DrainGrace: Milliseconds(decoded.Rules.DrainGrace),
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -27,8 +27,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if parsed.Tick != 5*time.Millisecond || parsed.WarmUpTime != 9*time.Second || parsed.ReportEvery != time.Second {
-		t.Errorf("%v, %v, %v", parsed.Tick, parsed.WarmUpTime, parsed.ReportEvery)
+	if parsed.Tick != 5*time.Millisecond || parsed.WarmUpTime != 9*time.Second || parsed.ReportInterval != time.Second {
+		t.Errorf("%v, %v, %v", parsed.Tick, parsed.WarmUpTime, parsed.ReportInterval)
 	}
 	if !slices.Equal(parsed.Zones, []string{"a", "b"}) || parsed.Facts.Zones != 2 ||
 		!slices.Equal(parsed.OpTypes, []string{"read"}) {
