--- a/settings/settings.go
+++ b/settings/settings.go
@@ -116,7 +116,7 @@
 	parsed.Facts = control.Facts{
 		Instance: decoded.Me, Instances: decoded.Peers, Zone: decoded.Zone, Zones: len(decoded.Zones),
 		ListNeedsWatch: decoded.Registry == "ask", Tick: Milliseconds(decoded.Tick),
-		Slices: x.Shards, OutlierAfter: x.OutlierAfter, StandingTableLines: x.Bootstrap, Proxies: x.ProxyCount,
+		Slices: x.Shards, AvoidAfterFailures: x.OutlierAfter, StandingTableLines: x.Bootstrap, Proxies: x.ProxyCount,
 		MessageOverheadLines: x.Envelope, LinesPerSecond: x.LinesPerS, MaxUnconfirmedLines: x.MostWaiting,
 		MessageCap: x.UpdateCap, MessageCapWindow: Milliseconds(x.MessagesOver),
 		MaxPushDelay: Milliseconds(x.TransitMax), ReportInterval: Milliseconds(x.Cycle), ReportLinesPerSecond: x.IntakePerS,
