--- a/pilot/desired.go
+++ b/pilot/desired.go
@@ -137,7 +137,7 @@
 		switch o := o.(type) {
 		case control.PutLine:
 			ds.putLine(o, joined)
-		case control.Blank:
+		case control.ClearTable:
 			t := ds.table(o.Table)
 			clear(t.lines)
 			clear(t.levels)
--- a/pilot/records.go
+++ b/pilot/records.go
@@ -178,7 +178,7 @@
 			attrs := append(r.tableAttrs(o.Table, true), slog.String(record.Node, nodeName(o.Endpoint)),
 				slog.String(record.Weight, formatFigure(o.Weight)))
 			r.write(slog.LevelInfo, record.Line, o.Why.Reason, "table line set", slices.Concat(attrs, figureAttrs(o.Why), mark)...)
-		case control.Blank:
+		case control.ClearTable:
 			r.write(slog.LevelInfo, record.Blank, "", "table cleared", append(r.tableAttrs(o.Table, true), mark...)...)
 		case control.Bind:
 			attrs := append(r.tableAttrs(o.Table, false), slog.String(record.Proxy, proxyName(o.Proxy)), r.opTypesAttr(o.OpTypes))
