--- a/pilot/pilot.go
+++ b/pilot/pilot.go
@@ -322,7 +322,7 @@
 		p.publish(o)
 	case control.FetchList:
 		p.source.Fetch()
-	case control.Note:
+	case control.LogMessage:
 		p.log.Info("note from the decision module", "text", o.Text)
 	case control.WatchList: // nothing to do: the list is always followed
 	default: // not reached by the orders that exist today
--- a/pilot/records.go
+++ b/pilot/records.go
@@ -193,7 +193,7 @@
 			}
 			attrs := []slog.Attr{slog.String(record.Node, nodeName(o.Endpoint)), slog.Bool(record.Out, o.Out)}
 			r.write(slog.LevelWarn, record.Withdrawal, o.Why.Reason, text, slices.Concat(attrs, figureAttrs(o.Why), mark)...)
-		case control.Note:
+		case control.LogMessage:
 			r.write(slog.LevelInfo, record.Note, "", o.Text)
 		}
 	}
