--- a/pilot/host/host.go
+++ b/pilot/host/host.go
@@ -193,7 +193,7 @@
 	}
 	others := orders[:0:0]
 	for _, o := range orders {
-		if wake, ok := o.(control.Wake); ok {
+		if wake, ok := o.(control.SetTimer); ok {
 			h.scheduleWake(wake)
 		} else {
 			others = append(others, o)
@@ -203,7 +203,7 @@
 }
 
 // scheduleWake queues a Ring event once a Wake's delay has passed, unless the module has been replaced since.
-func (h *Host) scheduleWake(w control.Wake) {
+func (h *Host) scheduleWake(w control.SetTimer) {
 	generation := h.generation
 	h.After(w.After, func() {
 		if h.generation == generation {
--- a/pilot/host/host_test.go
+++ b/pilot/host/host_test.go
@@ -84,7 +84,7 @@
 	s := &recordingModule{}
 	s.host = New(control.Facts{Tick: time.Millisecond}, 7, slog.New(slog.DiscardHandler))
 	s.host.Callbacks, s.host.NewDecider = s, func() Decider { return s }
-	s.nextOrders = []control.Order{control.Wake{After: time.Millisecond, Label: 5}, control.LogMessage{Text: "x"}}
+	s.nextOrders = []control.Order{control.SetTimer{After: time.Millisecond, Label: 5}, control.LogMessage{Text: "x"}}
 	go s.host.Run()
 	t.Cleanup(s.host.Stop)
 	return s
@@ -127,7 +127,7 @@
 func TestPanicStartsNewModule(t *testing.T) {
 	s := startHost(t)
 	s.mu.Lock()
-	s.nextOrders = []control.Order{control.Wake{After: 50 * time.Millisecond, Label: 77}}
+	s.nextOrders = []control.Order{control.SetTimer{After: 50 * time.Millisecond, Label: 77}}
 	s.mu.Unlock()
 	s.host.Post(func() { s.host.Enqueue(control.Ring{Label: 1}) })
 	s.waitFor(t, "the Wake order to be returned", func() bool { return s.nextOrders == nil })
@@ -135,7 +135,7 @@
 	s.waitFor(t, "the Start event of the second module", func() bool {
 		return s.countEvents(func(e control.Event) bool { x, ok := e.(control.Start); return ok && x.Seed == 8 }) == 1
 	})
-	s.host.Post(func() { s.host.scheduleWake(control.Wake{After: 100 * time.Millisecond, Label: 78}) })
+	s.host.Post(func() { s.host.scheduleWake(control.SetTimer{After: 100 * time.Millisecond, Label: 78}) })
 	s.waitFor(t, "the Ring event of the second module", func() bool {
 		return s.countEvents(func(e control.Event) bool { return e == control.Ring{Label: 78} }) == 1
 	})
