--- a/pilot/host/host.go
+++ b/pilot/host/host.go
@@ -207,7 +207,7 @@
 	generation := h.generation
 	h.After(w.After, func() {
 		if h.generation == generation {
-			h.Enqueue(control.Ring{Label: w.Label})
+			h.Enqueue(control.TimerFired{Label: w.Label})
 		}
 	})
 }
--- a/pilot/host/host_test.go
+++ b/pilot/host/host_test.go
@@ -28,7 +28,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.batches = append(s.batches, events)
-	if slices.Contains(events, control.Event(control.Ring{Label: 666})) {
+	if slices.Contains(events, control.Event(control.TimerFired{Label: 666})) {
 		panic("panic requested by the test")
 	}
 	out := s.nextOrders
@@ -95,7 +95,7 @@
 func TestStartAndWake(t *testing.T) {
 	s := startHost(t)
 	s.waitFor(t, "the Ring event", func() bool {
-		return s.countEvents(func(e control.Event) bool { return e == control.Ring{Label: 5} }) == 1
+		return s.countEvents(func(e control.Event) bool { return e == control.TimerFired{Label: 5} }) == 1
 	})
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -113,12 +113,12 @@
 	s := startHost(t)
 	s.host.Post(func() {
 		for i := range uint32(9) {
-			s.host.Enqueue(control.Ring{Label: 100 + i})
+			s.host.Enqueue(control.TimerFired{Label: 100 + i})
 		}
 	})
 	s.waitFor(t, "one batch with nine Ring events", func() bool {
 		return slices.ContainsFunc(s.batches, func(b []control.Event) bool {
-			return len(b) >= 9 && b[0] == control.Event(control.Ring{Label: 100}) && b[8] == control.Event(control.Ring{Label: 108})
+			return len(b) >= 9 && b[0] == control.Event(control.TimerFired{Label: 100}) && b[8] == control.Event(control.TimerFired{Label: 108})
 		})
 	})
 }
@@ -129,19 +129,19 @@
 	s.mu.Lock()
 	s.nextOrders = []control.Order{control.SetTimer{After: 50 * time.Millisecond, Label: 77}}
 	s.mu.Unlock()
-	s.host.Post(func() { s.host.Enqueue(control.Ring{Label: 1}) })
+	s.host.Post(func() { s.host.Enqueue(control.TimerFired{Label: 1}) })
 	s.waitFor(t, "the Wake order to be returned", func() bool { return s.nextOrders == nil })
-	s.host.Post(func() { s.host.Enqueue(control.Ring{Label: 666}) })
+	s.host.Post(func() { s.host.Enqueue(control.TimerFired{Label: 666}) })
 	s.waitFor(t, "the Start event of the second module", func() bool {
 		return s.countEvents(func(e control.Event) bool { x, ok := e.(control.Start); return ok && x.Seed == 8 }) == 1
 	})
 	s.host.Post(func() { s.host.scheduleWake(control.SetTimer{After: 100 * time.Millisecond, Label: 78}) })
 	s.waitFor(t, "the Ring event of the second module", func() bool {
-		return s.countEvents(func(e control.Event) bool { return e == control.Ring{Label: 78} }) == 1
+		return s.countEvents(func(e control.Event) bool { return e == control.TimerFired{Label: 78} }) == 1
 	})
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.panics != 1 || s.countEvents(func(e control.Event) bool { return e == control.Ring{Label: 77} }) > 0 {
+	if s.panics != 1 || s.countEvents(func(e control.Event) bool { return e == control.TimerFired{Label: 77} }) > 0 {
 		t.Errorf("%d panics reported, or a Ring of the old module reached the new one", s.panics)
 	}
 }
--- a/pilot/pilot_test.go
+++ b/pilot/pilot_test.go
@@ -45,7 +45,7 @@
 	defer s.mu.Unlock()
 	s.events = append(s.events, events...)
 	for _, e := range events {
-		if r, ok := e.(control.Ring); ok && r.Label == 666 {
+		if r, ok := e.(control.TimerFired); ok && r.Label == 666 {
 			panic("panic requested by the test")
 		}
 	}
@@ -76,7 +76,7 @@
 	r.module.mu.Lock()
 	r.module.nextOrders = append(r.module.nextOrders, orders)
 	r.module.mu.Unlock()
-	r.p.post(func() { r.p.host.Enqueue(control.Ring{}) })
+	r.p.post(func() { r.p.host.Enqueue(control.TimerFired{}) })
 	r.waitFor("ordered", func() bool { r.module.mu.Lock(); defer r.module.mu.Unlock(); return len(r.module.nextOrders) == 0 })
 }
 
@@ -504,7 +504,7 @@
 func TestPanic(t *testing.T) {
 	r := newRig(t)
 	x := r.boundProxy(nil)
-	r.p.post(func() { r.p.host.Enqueue(control.Ring{Label: 666}) })
+	r.p.post(func() { r.p.host.Enqueue(control.TimerFired{Label: 666}) })
 	r.waitFor("a second module with the proxy joined", func() bool {
 		return countEvents[control.Start](r.module) == 2 && countEvents[control.Joined](r.module) == 2
 	})
--- a/pilot/push_bench_test.go
+++ b/pilot/push_bench_test.go
@@ -43,7 +43,7 @@
 		module.mu.Lock()
 		module.nextOrders = append(module.nextOrders, orders)
 		module.mu.Unlock()
-		p.post(func() { p.host.Enqueue(control.Ring{}) })
+		p.post(func() { p.host.Enqueue(control.TimerFired{}) })
 	}
 	wait("joined", func() bool { return countEvents[control.Joined](module) == proxies })
 	var first []control.Order
