--- a/pilot/intake.go
+++ b/pilot/intake.go
@@ -104,7 +104,7 @@
 	for k, sum := range in.digests {
 		lines = append(lines, waitingLine{sum.from, [3]int{0, k.zone, int(k.endpoint)}, func() control.Event {
 			delete(in.digests, k)
-			d := control.Digest{Zone: k.zone, Endpoint: k.endpoint, Tries: sum.count, Failed: sum.failed, Window: sum.to - sum.from,
+			d := control.EndpointStats{Zone: k.zone, Endpoint: k.endpoint, Tries: sum.count, Failed: sum.failed, Window: sum.to - sum.from,
 				Load: sum.load}
 			if sum.count > sum.failed {
 				d.Latency = sum.totalLatency / time.Duration(sum.count-sum.failed)
--- a/pilot/list_test.go
+++ b/pilot/list_test.go
@@ -139,7 +139,7 @@
 	most := 0
 	r.waitFor("the sums of the listed servers", func() bool {
 		r.onLoop(func() { most = max(most, len(r.p.intake.digests)+len(r.p.intake.arrivals)) })
-		return countEvents[control.Digest](r.module) >= 4 && countEvents[control.Arrivals](r.module) >= 1
+		return countEvents[control.EndpointStats](r.module) >= 4 && countEvents[control.Arrivals](r.module) >= 1
 	})
 	if most > 5 {
 		t.Errorf("%d lines waited in the intake, want at most 5", most)
