--- a/pilot/host/host.go
+++ b/pilot/host/host.go
@@ -167,7 +167,7 @@
 func (h *Host) StartModule() {
 	h.module = h.NewDecider()
 	h.generation++
-	h.events = append([]control.Event{control.Start{Facts: h.Facts, Seed: h.Seed}}, h.Callbacks.InitialEvents()...)
+	h.events = append([]control.Event{control.Start{Config: h.Facts, Seed: h.Seed}}, h.Callbacks.InitialEvents()...)
 	h.Seed++
 	if h.batchTimer != nil {
 		h.batchTimer.Reset(h.Facts.Tick)
