--- a/pilot/host/host.go
+++ b/pilot/host/host.go
@@ -31,7 +31,7 @@
 
 // Host runs a module. Its exported settings and callbacks are set before Run.
 type Host struct {
-	Facts          control.Facts
+	Facts          control.Config
 	Seed           uint64
 	Log            *slog.Logger
 	SilenceTimeout time.Duration  // proxies consider the pilot dead after this; the module counts as hung after half of it
@@ -59,7 +59,7 @@
 
 // New returns a host with the default module and a silence timeout of 10 s. A tick that is not positive becomes 5 ms.
 // Now counts from this call.
-func New(facts control.Facts, seed uint64, log *slog.Logger) *Host {
+func New(facts control.Config, seed uint64, log *slog.Logger) *Host {
 	if facts.Tick <= 0 {
 		facts.Tick = 5 * time.Millisecond
 	}
--- a/pilot/host/host_test.go
+++ b/pilot/host/host_test.go
@@ -82,7 +82,7 @@
 // startHost runs a host with a recordingModule whose first reply orders a Wake and a Note.
 func startHost(t *testing.T) *recordingModule {
 	s := &recordingModule{}
-	s.host = New(control.Facts{Tick: time.Millisecond}, 7, slog.New(slog.DiscardHandler))
+	s.host = New(control.Config{Tick: time.Millisecond}, 7, slog.New(slog.DiscardHandler))
 	s.host.Callbacks, s.host.NewDecider = s, func() Decider { return s }
 	s.nextOrders = []control.Order{control.SetTimer{After: time.Millisecond, Label: 5}, control.LogMessage{Text: "x"}}
 	go s.host.Run()
@@ -148,7 +148,7 @@
 
 // Stop returns at once, also when called again, if Run was never called. A later Run returns at once.
 func TestStopWithoutRun(t *testing.T) {
-	h := New(control.Facts{}, 1, slog.New(slog.DiscardHandler))
+	h := New(control.Config{}, 1, slog.New(slog.DiscardHandler))
 	h.Stop()
 	h.Stop()
 	h.Run()
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -14,7 +14,7 @@
 // Settings are the parsed start settings of an instance: the facts for its decision module, and the names of what the module
 // refers to by index.
 type Settings struct {
-	control.Facts
+	control.Config
 	Zones         []string
 	Machines      []string
 	OpTypes       []string
@@ -113,7 +113,7 @@
 	}
 	x := &decoded.Extra
 	parsed := &Settings{Zones: decoded.Zones, Machines: decoded.Machines, ProbesAllowed: decoded.Limits.Probes}
-	parsed.Facts = control.Facts{
+	parsed.Config = control.Config{
 		Instance: decoded.Me, Instances: decoded.Peers, Zone: decoded.Zone, Zones: len(decoded.Zones),
 		ListNeedsWatch: decoded.Registry == "ask", Tick: Milliseconds(decoded.Tick),
 		Slices: x.Shards, AvoidAfterFailures: x.OutlierAfter, StandingTableLines: x.Bootstrap, Proxies: x.ProxyCount,
@@ -132,7 +132,7 @@
 	}
 	if decoded.Report.How == "inline" || decoded.Report.How == "on_probe" {
 		for _, name := range decoded.Report.Names {
-			parsed.Facts.Measures = append(parsed.Facts.Measures, measures[name])
+			parsed.Config.Measures = append(parsed.Config.Measures, measures[name])
 			parsed.Measures = append(parsed.Measures, name)
 		}
 	}
@@ -154,7 +154,7 @@
 		case "zone":
 			opType.Group = control.GroupZone
 		}
-		parsed.Facts.OpTypes = append(parsed.Facts.OpTypes, opType)
+		parsed.Config.OpTypes = append(parsed.Config.OpTypes, opType)
 		parsed.OpTypes = append(parsed.OpTypes, g.Name)
 	}
 	return parsed, nil
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -16,7 +16,7 @@
 // An effect or group that is not known must not permit a repeat of an op.
 func TestUnknownRepeatsAllowLeast(t *testing.T) {
 	parsed, err := Read([]byte(settings))
-	if err != nil || parsed.Facts.OpTypes[0].Repeat != control.OnceOnly || parsed.Facts.OpTypes[0].Group != control.GroupPack {
+	if err != nil || parsed.Config.OpTypes[0].Repeat != control.OnceOnly || parsed.Config.OpTypes[0].Group != control.GroupPack {
 		t.Fatalf("%+v, %v", parsed, err)
 	}
 }
@@ -30,14 +30,14 @@
 	if parsed.Tick != 5*time.Millisecond || parsed.WarmUpTime != 9*time.Second || parsed.ReportInterval != time.Second {
 		t.Errorf("%v, %v, %v", parsed.Tick, parsed.WarmUpTime, parsed.ReportInterval)
 	}
-	if !slices.Equal(parsed.Zones, []string{"a", "b"}) || parsed.Facts.Zones != 2 ||
+	if !slices.Equal(parsed.Zones, []string{"a", "b"}) || parsed.Config.Zones != 2 ||
 		!slices.Equal(parsed.OpTypes, []string{"read"}) {
-		t.Errorf("%v, %d, %v", parsed.Zones, parsed.Facts.Zones, parsed.OpTypes)
+		t.Errorf("%v, %d, %v", parsed.Zones, parsed.Config.Zones, parsed.OpTypes)
 	}
 	if !parsed.ProbesAllowed || !slices.Equal(parsed.Machines, []string{"m"}) ||
 		!slices.Equal(parsed.Measures, []string{"util", "odd"}) ||
-		!slices.Equal(parsed.Facts.Measures, []control.Measure{control.Util, control.OtherMeasure}) {
-		t.Errorf("%v, %v, %v, %v", parsed.ProbesAllowed, parsed.Machines, parsed.Measures, parsed.Facts.Measures)
+		!slices.Equal(parsed.Config.Measures, []control.Measure{control.Util, control.OtherMeasure}) {
+		t.Errorf("%v, %v, %v, %v", parsed.ProbesAllowed, parsed.Machines, parsed.Measures, parsed.Config.Measures)
 	}
 }
 
