--- a/pilot/records_test.go
+++ b/pilot/records_test.go
@@ -52,7 +52,7 @@
 		func() time.Duration { return now })
 	r.recordStart(7, "start")
 	orders := []control.Order{
-		control.PutLine{Table: 2, Endpoint: 17, Weight: 1.5, Why: control.Why{Reason: control.Eased, Value: 92.71, Limit: 89}},
+		control.PutLine{Table: 2, Endpoint: 17, Weight: 1.5, Why: control.Why{Reason: control.WeightReduced, Value: 92.71, Limit: 89}},
 		control.ClearTable{Table: 2}, control.Bind{Table: 2, Proxy: 3, OpTypes: 2, Why: control.Why{Reason: control.Home}},
 		control.SetLevel{Table: control.Everywhere, OpTypes: 1, Level: 0.5,
 			Why: control.Why{Reason: control.Distress, Value: 81, Limit: 80}},
