--- a/policy/policy.go
+++ b/policy/policy.go
@@ -324,7 +324,7 @@
 			e.out = false
 			a.do(control.Suspend{Endpoint: e.id, Why: e.whyOut()})
 			for _, p := range a.joined {
-				p.shuts = a.facts.KeepsShut
+				p.shuts = a.facts.KeepsWithdrawals
 			}
 		}
 		delete(a.endpoints, e.id)
@@ -334,7 +334,7 @@
 
 func (a *Assigner) join(j control.Joined) {
 	a.leave(j.Proxy)
-	p := &proxy{id: j.Proxy, zone: j.Zone, shuts: a.facts.KeepsShut && !j.Standing}
+	p := &proxy{id: j.Proxy, zone: j.Zone, shuts: a.facts.KeepsWithdrawals && !j.Standing}
 	for _, op := range a.ops {
 		p.rates = append(p.rates, max(j.Rate, 0)*op.cost/float64(len(a.ops)))
 		p.demand += p.rates[len(p.rates)-1]
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -262,7 +262,7 @@
 		} else if key == "packs" {
 			w.facts.PackWrites = v > 0
 		} else if key == "shut" {
-			w.facts.KeepsShut = v > 0
+			w.facts.KeepsWithdrawals = v > 0
 		} else if count == nil {
 			w.fail("unknown setting")
 		} else {
--- a/policy/tables.go
+++ b/policy/tables.go
@@ -132,7 +132,7 @@
 // withdraw shuts servers out, or lets them in again, where tables may name them; a sick one stays the last.
 func (a *Assigner) withdraw() {
 	unbound := a.users(nil)
-	stuck := func(p *proxy) bool { return !a.facts.KeepsShut || !p.placed || !a.serves(a.due(p), nil) }
+	stuck := func(p *proxy) bool { return !a.facts.KeepsWithdrawals || !p.placed || !a.serves(a.due(p), nil) }
 	if !slices.ContainsFunc(unbound, stuck) {
 		unbound = nil // they are rather bound than told by name of all in a whole table
 	}
@@ -168,7 +168,7 @@
 			later := told != 0 && room == hardWaiting && (gone || want > told) || len(users) == 0 && !wanted
 			later = later || returning && told == 0 || e.sick && told > 0 || gone && !e.out && len(users) > 0
 			lines := 1.0
-			if told == 0 && a.facts.KeepsShut {
+			if told == 0 && a.facts.KeepsWithdrawals {
 				lines++ // that it is withdrawn, or not, is sent along
 			}
 			if want != told && !later && a.charge(room, lines, users...) {
