--- a/pilot/host/host.go
+++ b/pilot/host/host.go
@@ -23,7 +23,7 @@
 
 // Front is what the loop calls of whoever fronts the module.
 type Front interface {
-	Begin() []control.Event                          // what a new module is told after its start
+	InitialEvents() []control.Event                  // what a new module is told after its start
 	Carry(now time.Duration, orders []control.Order) // the orders of one call; wakes are left out
 	Panicked()                                       // the module did; what it ordered before is no longer known
 }
@@ -161,7 +161,7 @@
 func (h *Host) Fresh() {
 	h.module = h.New()
 	h.run++
-	h.events = append([]control.Event{control.Start{Facts: h.Facts, Seed: h.Seed}}, h.Front.Begin()...)
+	h.events = append([]control.Event{control.Start{Facts: h.Facts, Seed: h.Seed}}, h.Front.InitialEvents()...)
 	h.Seed++
 	if h.batch != nil {
 		h.batch.Reset(h.Facts.Tick)
--- a/pilot/host/host_test.go
+++ b/pilot/host/host_test.go
@@ -36,7 +36,7 @@
 	return out
 }
 
-func (s *script) Begin() []control.Event {
+func (s *script) InitialEvents() []control.Event {
 	return []control.Event{control.Listing{Kind: control.Cached}}
 }
 
--- a/pilot/pilot.go
+++ b/pilot/pilot.go
@@ -120,8 +120,8 @@
 // post has the loop run f; false if the pilot has ended.
 func (p *Pilot) post(f func()) bool { return p.host.Post(f) }
 
-// Begin starts the desired state anew, with the list as it is known and nothing else.
-func (p *Pilot) Begin() (events []control.Event) {
+// InitialEvents starts the desired state anew, with the list as it is known and nothing else.
+func (p *Pilot) InitialEvents() (events []control.Event) {
 	p.desired = newDesiredState(len(p.facts.OpTypes), int(p.facts.MessageLines), p.where)
 	if p.desired.budget.most = p.file.NoticeLines(); p.facts.MessageCap > 0 {
 		p.desired.budget.gap = p.facts.MessageCapOver
