--- a/pilot/forget_test.go
+++ b/pilot/forget_test.go
@@ -35,7 +35,7 @@
 		return n, isServed, isReleased
 	}
 	r.until("all are known", func() bool { _, is, other := held(); return is && other })
-	order := func(orders ...control.Order) { r.loop(func() { r.p.Carry(r.p.host.Now(), orders) }) }
+	order := func(orders ...control.Order) { r.loop(func() { r.p.Execute(r.p.host.Now(), orders) }) }
 	order(control.PutLine{Table: 1, Endpoint: served, Weight: 1}, control.Suspend{Endpoint: released, Out: true})
 	r.list.Set(server(served, "gone"), server(released, "gone"))
 	r.until("those that nothing names are let go", func() bool { n, _, _ := held(); return n == len(entries())+2 })
--- a/pilot/host/host.go
+++ b/pilot/host/host.go
@@ -23,9 +23,9 @@
 
 // Front is what the loop calls of whoever fronts the module.
 type Front interface {
-	InitialEvents() []control.Event                  // what a new module is told after its start
-	Carry(now time.Duration, orders []control.Order) // the orders of one call; wakes are left out
-	Panicked()                                       // the module did; what it ordered before is no longer known
+	InitialEvents() []control.Event                    // what a new module is told after its start
+	Execute(now time.Duration, orders []control.Order) // the orders of one call; wakes are left out
+	Panicked()                                         // the module did; what it ordered before is no longer known
 }
 
 // Host runs a module. Its fields are set before Run.
@@ -192,7 +192,7 @@
 			rest = append(rest, o)
 		}
 	}
-	h.Front.Carry(now, rest)
+	h.Front.Execute(now, rest)
 }
 
 func (h *Host) wake(w control.Wake) {
--- a/pilot/host/host_test.go
+++ b/pilot/host/host_test.go
@@ -40,7 +40,7 @@
 	return []control.Event{control.Listing{Kind: control.Cached}}
 }
 
-func (s *script) Carry(_ time.Duration, orders []control.Order) {
+func (s *script) Execute(_ time.Duration, orders []control.Order) {
 	s.mu.Lock()
 	s.carried = append(s.carried, orders...)
 	s.mu.Unlock()
--- a/pilot/pilot.go
+++ b/pilot/pilot.go
@@ -151,8 +151,8 @@
 	return events
 }
 
-// Carry carries out what the module orders.
-func (p *Pilot) Carry(now time.Duration, orders []control.Order) {
+// Execute carries out what the module orders.
+func (p *Pilot) Execute(now time.Duration, orders []control.Order) {
 	messages, rest := p.desired.write(orders)
 	p.records.ordered(orders)
 	p.records.sent(orders, messages)
