--- a/pilot/host/host.go
+++ b/pilot/host/host.go
@@ -25,7 +25,7 @@
 type Front interface {
 	InitialEvents() []control.Event                    // what a new module is told after its start
 	Execute(now time.Duration, orders []control.Order) // the orders of one call; wakes are left out
-	Panicked()                                         // the module did; what it ordered before is no longer known
+	HandlePanic()                                      // the module did; what it ordered before is no longer known
 }
 
 // Host runs a module. Its fields are set before Run.
@@ -181,7 +181,7 @@
 	h.Batches++
 	if fault != nil {
 		h.Panics++
-		h.Front.Panicked()
+		h.Front.HandlePanic()
 		return
 	}
 	rest := orders[:0:0]
--- a/pilot/host/host_test.go
+++ b/pilot/host/host_test.go
@@ -46,7 +46,7 @@
 	s.mu.Unlock()
 }
 
-func (s *script) Panicked() {
+func (s *script) HandlePanic() {
 	s.mu.Lock()
 	s.panicked++
 	s.mu.Unlock()
--- a/pilot/pilot.go
+++ b/pilot/pilot.go
@@ -163,8 +163,8 @@
 	p.pump()
 }
 
-// Panicked goes on with a new module.
-func (p *Pilot) Panicked() { p.restart("panic") }
+// HandlePanic goes on with a new module.
+func (p *Pilot) HandlePanic() { p.restart("panic") }
 
 // restart goes on as a new run, after a panic or where this one is too old: the streams are closed, the proxies keep their
 // tables and join again.
