--- a/control/control.go
+++ b/control/control.go
@@ -86,8 +86,8 @@
 	Zone, Zones         int
 	OpTypes             []OpType
 
-	AskForList bool // the list comes only to those who watch it
-	Tick       time.Duration
+	ListNeedsWatch bool // the list comes only to those who watch it
+	Tick           time.Duration
 
 	Slices int // 0: proxies are bound to tables; else a table is a slice of the keys
 
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -227,7 +227,7 @@
 	if a.facts.CrossZonePrice < cheap {
 		a.areas = (a.areas + 1) / 2
 	}
-	if a.facts.AskForList {
+	if a.facts.ListNeedsWatch {
 		a.do(control.WatchList{On: true})
 	}
 	a.do(control.Wake{After: a.facts.ReportEvery, Label: beat})
@@ -276,7 +276,7 @@
 
 // listing brings the records up to date.
 func (a *Assigner) listing(l control.Listing) {
-	if l.Kind == control.Failed && a.facts.AskForList {
+	if l.Kind == control.Failed && a.facts.ListNeedsWatch {
 		a.do(control.WatchList{On: true})
 	}
 	if l.Kind == control.Cached || l.Kind == control.Full {
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -109,7 +109,7 @@
 	f := &Start{Zones: o.Zones, Machines: o.Machines, Probes: o.Limits.Probes}
 	f.Facts = control.Facts{
 		Instance: o.Me, Instances: o.Peers, Zone: o.Zone, Zones: len(o.Zones),
-		AskForList: o.Registry == "ask", Tick: Span(o.Tick),
+		ListNeedsWatch: o.Registry == "ask", Tick: Span(o.Tick),
 		Slices: x.Shards, OutlierAfter: x.OutlierAfter, Bootstrap: x.Bootstrap, Proxies: x.ProxyCount,
 		MessageLines: x.Envelope, LinesPerSecond: x.LinesPerS, MaxUnconfirmedLines: x.MostWaiting,
 		MessageCap: x.UpdateCap, MessageCapOver: Span(x.MessagesOver),
