--- a/pilot/host/host.go
+++ b/pilot/host/host.go
@@ -21,8 +21,8 @@
 	Decide(now time.Duration, events []control.Event) []control.Order
 }
 
-// Front is what the loop calls of whoever fronts the module.
-type Front interface {
+// Callbacks is what the loop calls of whoever fronts the module.
+type Callbacks interface {
 	InitialEvents() []control.Event                    // what a new module is told after its start
 	Execute(now time.Duration, orders []control.Order) // the orders of one call; wakes are left out
 	HandlePanic()                                      // the module did; what it ordered before is no longer known
@@ -36,7 +36,7 @@
 	Silent time.Duration // the module counts as stuck after half of it
 	Stuck  func()        // nil, or called once then; nothing in this process can mend that
 	New    func() Decider
-	Front  Front
+	Front  Callbacks
 
 	born     time.Time
 	inbox    chan func()
