--- a/pilot/host/host.go
+++ b/pilot/host/host.go
@@ -30,13 +30,13 @@
 
 // Host runs a module. Its fields are set before Run.
 type Host struct {
-	Facts  control.Facts
-	Seed   uint64
-	Log    *slog.Logger
-	Silent time.Duration // the module counts as stuck after half of it
-	Stuck  func()        // nil, or called once then; nothing in this process can mend that
-	New    func() Decider
-	Front  Callbacks
+	Facts     control.Facts
+	Seed      uint64
+	Log       *slog.Logger
+	Silent    time.Duration // the module counts as stuck after half of it
+	Stuck     func()        // nil, or called once then; nothing in this process can mend that
+	New       func() Decider
+	Callbacks Callbacks
 
 	born     time.Time
 	inbox    chan func()
@@ -161,7 +161,7 @@
 func (h *Host) Fresh() {
 	h.module = h.New()
 	h.run++
-	h.events = append([]control.Event{control.Start{Facts: h.Facts, Seed: h.Seed}}, h.Front.InitialEvents()...)
+	h.events = append([]control.Event{control.Start{Facts: h.Facts, Seed: h.Seed}}, h.Callbacks.InitialEvents()...)
 	h.Seed++
 	if h.batch != nil {
 		h.batch.Reset(h.Facts.Tick)
@@ -181,7 +181,7 @@
 	h.Batches++
 	if fault != nil {
 		h.Panics++
-		h.Front.HandlePanic()
+		h.Callbacks.HandlePanic()
 		return
 	}
 	rest := orders[:0:0]
@@ -192,7 +192,7 @@
 			rest = append(rest, o)
 		}
 	}
-	h.Front.Execute(now, rest)
+	h.Callbacks.Execute(now, rest)
 }
 
 func (h *Host) wake(w control.Wake) {
--- a/pilot/pilot.go
+++ b/pilot/pilot.go
@@ -105,7 +105,7 @@
 		connections: map[*connection]bool{},
 		silent:      file.Silent.Span(), resumeWithin: file.Resume.Span(), probes: &upstream.Pool{}}
 	p.host = host.New(file.Facts(), seed, p.log)
-	p.host.Front, p.facts = p, p.host.Facts
+	p.host.Callbacks, p.facts = p, p.host.Facts
 	if p.silent <= 0 {
 		p.silent = 10 * time.Second
 	}
