--- a/pilot/host/host.go
+++ b/pilot/host/host.go
@@ -34,7 +34,7 @@
 	Seed           uint64
 	Log            *slog.Logger
 	SilenceTimeout time.Duration // the module counts as stuck after half of it
-	Stuck          func()        // nil, or called once then; nothing in this process can mend that
+	OnStuck        func()        // nil, or called once then; nothing in this process can mend that
 	New            func() Decider
 	Callbacks      Callbacks
 
@@ -234,8 +234,8 @@
 		stacks := make([]byte, 64<<10)
 		stacks = stacks[:runtime.Stack(stacks, true)]
 		h.Log.Error("the module does not come back; this process must end", "for", h.Now()-since, "stacks", string(stacks))
-		if h.Stuck != nil {
-			h.Stuck()
+		if h.OnStuck != nil {
+			h.OnStuck()
 		}
 		return
 	}
