--- a/pilot/admin.go
+++ b/pilot/admin.go
@@ -61,7 +61,7 @@
 	fmt.Fprintf(w, "List_version: %d\nServers: %d\nProxies: %d\nProxies_away: %d\nTables: %d\n", p.version,
 		len(p.sortedList()), len(p.sessions), away, len(p.desired.tables))
 	fmt.Fprintf(w, "Batches: %d\nDeciding_ms: %d\nMessages: %d\nLines: %d\nLines_waiting: %d\nLines_waiting_peak: %d\n",
-		p.host.Batches, p.host.Deciding.Milliseconds(), p.messages, p.lines, p.channel.waiting, p.channel.peak)
+		p.host.Batches, p.host.DecideTime.Milliseconds(), p.messages, p.lines, p.channel.waiting, p.channel.peak)
 	from := p.fresher
 	if from == "" {
 		from = "none"
--- a/pilot/host/host.go
+++ b/pilot/host/host.go
@@ -47,13 +47,13 @@
 	inModule atomic.Int64 // when the module was last called, since born; 0: it came back
 
 	// What follows is the loop's own.
-	module   Decider
-	run      int // counts modules, so that an old one's wakes are known for such
-	events   []control.Event
-	batch    *time.Timer // set while events wait for their tick
-	Batches  uint64
-	Deciding time.Duration
-	Panics   uint64
+	module     Decider
+	run        int // counts modules, so that an old one's wakes are known for such
+	events     []control.Event
+	batch      *time.Timer // set while events wait for their tick
+	Batches    uint64
+	DecideTime time.Duration
+	Panics     uint64
 }
 
 // New makes a host; its time begins now.
@@ -177,7 +177,7 @@
 	}
 	now := h.Now()
 	orders, fault := h.Ask(now, events)
-	h.Deciding += h.Now() - now
+	h.DecideTime += h.Now() - now
 	h.Batches++
 	if fault != nil {
 		h.Panics++
