--- a/pilot/admin.go
+++ b/pilot/admin.go
@@ -57,7 +57,7 @@
 		}
 	}
 	fmt.Fprintf(w, "Name: vetchdoor\nRole: pilot\nPilot: %s\nZone: %s\nRun: %d\nUptime_sec: %d\n", p.file.Name, p.file.Zone,
-		p.run, int(time.Since(p.host.Born()).Seconds()))
+		p.run, int(time.Since(p.host.Epoch()).Seconds()))
 	fmt.Fprintf(w, "List_version: %d\nServers: %d\nProxies: %d\nProxies_away: %d\nTables: %d\n", p.version,
 		len(p.sortedList()), len(p.sessions), away, len(p.desired.tables))
 	fmt.Fprintf(w, "Batches: %d\nDeciding_ms: %d\nMessages: %d\nLines: %d\nLines_waiting: %d\nLines_waiting_peak: %d\n",
--- a/pilot/host/host.go
+++ b/pilot/host/host.go
@@ -65,8 +65,8 @@
 		stop: make(chan struct{}), stopped: make(chan struct{}), NewDecider: func() Decider { return &policy.Assigner{} }}
 }
 
-// Born is when its time began.
-func (h *Host) Born() time.Time { return h.born }
+// Epoch is when its time began.
+func (h *Host) Epoch() time.Time { return h.born }
 
 // Now is the time since then, which is all that the module knows.
 func (h *Host) Now() time.Duration { return time.Since(h.born) }
--- a/pilot/list.go
+++ b/pilot/list.go
@@ -107,7 +107,7 @@
 		out[i] = control.Entry{Endpoint: e.Endpoint, Weight: e.Weight, Mode: mode, Started: control.LongAgo,
 			Machine: e.Machine, Zone: p.file.Service.ZoneIndex(e.Zone), Pack: e.Pack}
 		if e.Started > 0 {
-			out[i].Started = time.UnixMilli(e.Started).Sub(p.host.Born())
+			out[i].Started = time.UnixMilli(e.Started).Sub(p.host.Epoch())
 		}
 	}
 	return out
--- a/pilot/pilot.go
+++ b/pilot/pilot.go
@@ -113,7 +113,7 @@
 		p.resumeWithin = 2 * time.Second
 	}
 	p.host.SilenceTimeout = p.silent
-	p.run = uint64(p.host.Born().UnixMicro())
+	p.run = uint64(p.host.Epoch().UnixMicro())
 	return p, nil
 }
 
