--- a/pilot/host/host.go
+++ b/pilot/host/host.go
@@ -132,7 +132,7 @@
 	h.batch = time.NewTimer(time.Hour)
 	defer h.batch.Stop()
 	if h.module == nil {
-		h.Fresh()
+		h.StartModule()
 	}
 	h.decide()
 	for {
@@ -157,8 +157,8 @@
 // Pending are the events of the batch that waits.
 func (h *Host) Pending() []control.Event { return h.events }
 
-// Fresh begins a module anew: it is told of its start and of what its front says.
-func (h *Host) Fresh() {
+// StartModule begins a module anew: it is told of its start and of what its front says.
+func (h *Host) StartModule() {
 	h.module = h.NewDecider()
 	h.run++
 	h.events = append([]control.Event{control.Start{Facts: h.Facts, Seed: h.Seed}}, h.Callbacks.InitialEvents()...)
--- a/pilot/host/host_test.go
+++ b/pilot/host/host_test.go
@@ -50,7 +50,7 @@
 	s.mu.Lock()
 	s.panicked++
 	s.mu.Unlock()
-	s.host.Fresh()
+	s.host.StartModule()
 }
 
 func (s *script) until(t *testing.T, what string, done func() bool) {
--- a/pilot/pilot.go
+++ b/pilot/pilot.go
@@ -178,7 +178,7 @@
 		delete(p.connections, c)
 	}
 	p.records.began(p.run, why)
-	p.host.Fresh()
+	p.host.StartModule()
 }
 
 // queue gives messages to the channel. One that has no room there would be lost in the midst of its proxy's others, so
--- a/pilot/records_test.go
+++ b/pilot/records_test.go
@@ -182,7 +182,7 @@
 	}
 	now := time.Duration(0)
 	p.records = newRecorder(p.Records, "p", []string{"a"}, 1, func() time.Duration { return now })
-	p.host.Fresh()
+	p.host.StartModule()
 	var entries []control.Entry
 	for i := range servers {
 		entries = append(entries, control.Entry{Endpoint: control.EndpointID(i), Weight: 4, Mode: control.Ready, Started: control.LongAgo})
