--- a/files/files.go
+++ b/files/files.go
@@ -333,7 +333,7 @@
 		MessageCap:       max(0, c.MessageCap-1), // one is the pilot's own
 		MessageCapWindow: c.MessageCapOver.Span(), MaxPushDelay: c.PushDelayMost.Span(),
 		ReportEvery: s.ReportEvery.Span(), ReportLinesPerSecond: c.ReportLinesPerSecond,
-		CrossZonePrice: s.CrossZone, ListedWeights: true, WarmUpTime: l.ColdFor.Span(),
+		CrossZonePrice: s.CrossZone, UseListedWeights: true, WarmUpTime: l.ColdFor.Span(),
 		ColdCapacityShare: l.ColdShare, DrainGrace: l.DrainGrace.Span(), CrossCellOpTypes: s.acrossCells(), PackWrites: s.packWrites(),
 	}
 	for _, m := range s.Measures {
