--- a/settings/settings.go
+++ b/settings/settings.go
@@ -14,11 +14,11 @@
 // Start is what an instance is told, and the names that the settings give to what it knows by number.
 type Start struct {
 	control.Facts
-	Zones    []string
-	Machines []string
-	OpTypes  []string
-	Measures []string // of a load report, in order; empty: none come
-	Probes   bool     // allowed
+	Zones         []string
+	Machines      []string
+	OpTypes       []string
+	Measures      []string // of a load report, in order; empty: none come
+	ProbesAllowed bool     // allowed
 }
 
 // Span reads milliseconds; what no clock can show becomes the longest span, and no number none.
@@ -106,7 +106,7 @@
 		return nil, fmt.Errorf("start settings: %w", err)
 	}
 	x := &o.Extra
-	f := &Start{Zones: o.Zones, Machines: o.Machines, Probes: o.Limits.Probes}
+	f := &Start{Zones: o.Zones, Machines: o.Machines, ProbesAllowed: o.Limits.Probes}
 	f.Facts = control.Facts{
 		Instance: o.Me, Instances: o.Peers, Zone: o.Zone, Zones: len(o.Zones),
 		ListNeedsWatch: o.Registry == "ask", Tick: Span(o.Tick),
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -30,9 +30,9 @@
 	if !slices.Equal(f.Zones, []string{"a", "b"}) || f.Facts.Zones != 2 || !slices.Equal(f.OpTypes, []string{"read"}) {
 		t.Errorf("%v, %d, %v", f.Zones, f.Facts.Zones, f.OpTypes)
 	}
-	if !f.Probes || !slices.Equal(f.Machines, []string{"m"}) || !slices.Equal(f.Measures, []string{"util", "odd"}) ||
+	if !f.ProbesAllowed || !slices.Equal(f.Machines, []string{"m"}) || !slices.Equal(f.Measures, []string{"util", "odd"}) ||
 		!slices.Equal(f.Facts.Measures, []control.Measure{control.Util, control.OtherMeasure}) {
-		t.Errorf("%v, %v, %v, %v", f.Probes, f.Machines, f.Measures, f.Facts.Measures)
+		t.Errorf("%v, %v, %v, %v", f.ProbesAllowed, f.Machines, f.Measures, f.Facts.Measures)
 	}
 }
 
