--- a/files/files.go
+++ b/files/files.go
@@ -334,7 +334,7 @@
 		MessageCapWindow: c.MessageCapOver.Span(), MaxPushDelay: c.PushDelayMost.Span(),
 		ReportInterval: s.ReportEvery.Span(), ReportLinesPerSecond: c.ReportLinesPerSecond,
 		CrossZonePrice: s.CrossZone, UseListedWeights: true, WarmUpTime: l.ColdFor.Span(),
-		ColdCapacityShare: l.ColdShare, DrainGrace: l.DrainGrace.Span(), CrossCellOpTypes: s.acrossCells(), PackWrites: s.packWrites(),
+		ColdCapacityShare: l.ColdShare, DrainGrace: l.DrainGrace.Span(), CrossCellOpTypes: s.acrossCells(), SinglePackWrites: s.packWrites(),
 	}
 	for _, m := range s.Measures {
 		f.Measures = append(f.Measures, measures[m])
