--- a/adapter/wire.go
+++ b/adapter/wire.go
@@ -167,7 +167,7 @@
 			b = le.AppendUint32(le.AppendUint16(b, uint16(o.Table)), uint32(o.Endpoint))
 			return number32(b, o.Weight)
 		})
-	case control.Blank:
+	case control.ClearTable:
 		r.add(acBlank, who, func(b []byte) []byte { return le.AppendUint16(b, uint16(o.Table)) })
 	case control.Bind:
 		r.add(acBind, who, func(b []byte) []byte {
--- a/control/control.go
+++ b/control/control.go
@@ -292,8 +292,8 @@
 		Weight   float64 // 0 removes the line
 		Why      Why
 	}
-	Blank struct{ Table TableID }
-	Bind  struct {
+	ClearTable struct{ Table TableID }
+	Bind       struct {
 		Table   TableID
 		Proxy   ProxyID
 		OpTypes uint16 // a bit for each; 0: all
@@ -331,7 +331,7 @@
 )
 
 func (PutLine) order()    {}
-func (Blank) order()      {}
+func (ClearTable) order() {}
 func (Bind) order()       {}
 func (SetLevel) order()   {}
 func (Suspend) order()    {}
--- a/pilot/desired.go
+++ b/pilot/desired.go
@@ -129,7 +129,7 @@
 		switch o := o.(type) {
 		case control.PutLine:
 			ds.put(o, joined)
-		case control.Blank:
+		case control.ClearTable:
 			t := ds.sheet(o.Table)
 			clear(t.lines)
 			clear(t.levels)
