--- a/adapter/adapter_test.go
+++ b/adapter/adapter_test.go
@@ -31,7 +31,7 @@
 		{"19 2e000000 03000000 00 074a1203 0e000000 01000000 0000000000204840 0000000000408f40 03 52b81e3f0000e04000006841",
 			control.Digest{Endpoint: 0x03124a07, Tries: 14, Failed: 1, Latency: 48250 * time.Microsecond,
 				Window: time.Second, Load: []float64{0.6200000047683716, 7, 14.5}}},
-		{"12 08000000 03000000 4d000000", control.Ring{Label: 77}},
+		{"12 08000000 03000000 4d000000", control.TimerFired{Label: 77}},
 		{"17 06000000 05000000 2900", control.Left{Proxy: 41}},
 		{"1c 07000000 03000000 7500 01", control.SliceHanded{Slice: 117, Given: true}},
 		{"18 12000000 03000000 2900 0c000000 0000000000c87940",
@@ -217,7 +217,7 @@
 }
 
 func TestPanicBecomesAFault(t *testing.T) {
-	in := &instance{events: []control.Event{control.Ring{Label: 1}}} // no assigner: its call panics
+	in := &instance{events: []control.Event{control.TimerFired{Label: 1}}} // no assigner: its call panics
 	if orders, fault := in.decide(0); orders != nil || !strings.Contains(fault, "panic") {
 		t.Fatalf("%v, %q", orders, fault)
 	}
--- a/adapter/wire.go
+++ b/adapter/wire.go
@@ -97,7 +97,7 @@
 func readEvent(code byte, f *fields) (control.Event, error) {
 	switch code {
 	case evRing:
-		return control.Ring{Label: f.u32()}, nil
+		return control.TimerFired{Label: f.u32()}, nil
 	case evProbed:
 		e := control.Probed{Endpoint: control.EndpointID(f.u32()), Outcome: control.ProbeOther}
 		if o, ok := outcomes[f.u16()]; ok {
--- a/control/control.go
+++ b/control/control.go
@@ -209,7 +209,7 @@
 		From int
 		Data []byte
 	}
-	Ring        struct{ Label uint32 }
+	TimerFired  struct{ Label uint32 }
 	SliceHanded struct {
 		Slice TableID
 		Given bool
@@ -244,7 +244,7 @@
 func (InForce) event()     {}
 func (Probed) event()      {}
 func (PeerNote) event()    {}
-func (Ring) event()        {}
+func (TimerFired) event()  {}
 func (SliceHanded) event() {}
 func (SliceLine) event()   {}
 
--- a/pilot/host/host.go
+++ b/pilot/host/host.go
@@ -199,7 +199,7 @@
 	run := h.run
 	h.After(w.After, func() {
 		if h.run == run {
-			h.Enqueue(control.Ring{Label: w.Label})
+			h.Enqueue(control.TimerFired{Label: w.Label})
 		}
 	})
 }
--- a/pilot/host/host_test.go
+++ b/pilot/host/host_test.go
@@ -28,7 +28,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.batches = append(s.batches, events)
-	if slices.Contains(events, control.Event(control.Ring{Label: 666})) {
+	if slices.Contains(events, control.Event(control.TimerFired{Label: 666})) {
 		panic("as the test asked")
 	}
 	out := s.next
@@ -90,7 +90,9 @@
 // The first batch is the start and what the front says; a wake comes back as a ring and is no order for the front.
 func TestStartAndWake(t *testing.T) {
 	s := begin(t)
-	s.until(t, "a ring", func() bool { return s.count(func(e control.Event) bool { return e == control.Ring{Label: 5} }) == 1 })
+	s.until(t, "a ring", func() bool {
+		return s.count(func(e control.Event) bool { return e == control.TimerFired{Label: 5} }) == 1
+	})
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	first := s.batches[0]
@@ -107,12 +109,12 @@
 	s := begin(t)
 	s.host.Post(func() {
 		for i := range uint32(9) {
-			s.host.Enqueue(control.Ring{Label: 100 + i})
+			s.host.Enqueue(control.TimerFired{Label: 100 + i})
 		}
 	})
 	s.until(t, "nine rings", func() bool {
 		return slices.ContainsFunc(s.batches, func(b []control.Event) bool {
-			return len(b) >= 9 && b[0] == control.Event(control.Ring{Label: 100}) && b[8] == control.Event(control.Ring{Label: 108})
+			return len(b) >= 9 && b[0] == control.Event(control.TimerFired{Label: 100}) && b[8] == control.Event(control.TimerFired{Label: 108})
 		})
 	})
 }
@@ -123,17 +125,19 @@
 	s.mu.Lock()
 	s.next = []control.Order{control.SetTimer{After: 50 * time.Millisecond, Label: 77}}
 	s.mu.Unlock()
-	s.host.Post(func() { s.host.Enqueue(control.Ring{Label: 1}) })
+	s.host.Post(func() { s.host.Enqueue(control.TimerFired{Label: 1}) })
 	s.until(t, "asked for", func() bool { return s.next == nil })
-	s.host.Post(func() { s.host.Enqueue(control.Ring{Label: 666}) })
+	s.host.Post(func() { s.host.Enqueue(control.TimerFired{Label: 666}) })
 	s.until(t, "a second start", func() bool {
 		return s.count(func(e control.Event) bool { x, ok := e.(control.Start); return ok && x.Seed == 8 }) == 1
 	})
 	s.host.Post(func() { s.host.wake(control.SetTimer{After: 100 * time.Millisecond, Label: 78}) })
-	s.until(t, "the new one's wake", func() bool { return s.count(func(e control.Event) bool { return e == control.Ring{Label: 78} }) == 1 })
+	s.until(t, "the new one's wake", func() bool {
+		return s.count(func(e control.Event) bool { return e == control.TimerFired{Label: 78} }) == 1
+	})
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.panicked != 1 || s.count(func(e control.Event) bool { return e == control.Ring{Label: 77} }) > 0 {
+	if s.panicked != 1 || s.count(func(e control.Event) bool { return e == control.TimerFired{Label: 77} }) > 0 {
 		t.Errorf("%d panics, or a wake of the old module came", s.panicked)
 	}
 }
--- a/pilot/records_test.go
+++ b/pilot/records_test.go
@@ -207,7 +207,7 @@
 		for i := range control.ProxyID(proxies) {
 			events = append(events, control.Arrivals{Proxy: i, Ops: 50, Window: time.Second})
 		}
-		events = append(events, control.Ring{Label: 1})
+		events = append(events, control.TimerFired{Label: 1})
 		begin := time.Now()
 		orders, _ := p.host.CallModule(now, events)
 		messages, _ := p.desired.write(orders)
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -190,7 +190,7 @@
 		a.digest(ev)
 	case control.Arrivals:
 		a.arrivals(ev)
-	case control.Ring:
+	case control.TimerFired:
 		if ev.Label == beat {
 			a.do(control.SetTimer{After: a.facts.ReportInterval, Label: beat})
 			a.forget()
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -222,7 +222,7 @@
 		for _, at := range w.wakes {
 			if at <= w.now {
 				due++
-				events = append(events, control.Ring{Label: 1})
+				events = append(events, control.TimerFired{Label: 1})
 			}
 		}
 		w.wakes = w.wakes[due:]
