--- a/pilot/host/host.go
+++ b/pilot/host/host.go
@@ -161,7 +161,7 @@
 func (h *Host) StartModule() {
 	h.module = h.NewDecider()
 	h.run++
-	h.events = append([]control.Event{control.Start{Facts: h.Facts, Seed: h.Seed}}, h.Callbacks.InitialEvents()...)
+	h.events = append([]control.Event{control.Start{Config: h.Facts, Seed: h.Seed}}, h.Callbacks.InitialEvents()...)
 	h.Seed++
 	if h.batch != nil {
 		h.batch.Reset(h.Facts.Tick)
