--- a/files/files.go
+++ b/files/files.go
@@ -323,9 +323,9 @@
 func (s *Service) Again() control.RetryPolicy { return agains[s.UsualAgain] }
 
 // Facts are what the pilot's module is told at its start.
-func (p *Pilot) Facts() control.Facts {
+func (p *Pilot) Facts() control.Config {
 	s, l, c := &p.Service, &p.Limits, &p.Channel
-	f := control.Facts{
+	f := control.Config{
 		Instance: p.Instance, Instances: max(1, p.Instances), Zone: s.ZoneIndex(p.Zone), Zones: len(s.Zones),
 		OpTypes: s.Types(), Tick: p.Tick.Span(), Levels: control.LevelShare,
 		AvoidAfterFailures: s.OutlierAfter, StandingTableLines: s.Bootstrap, Proxies: p.Proxies, MessageOverheadLines: float64(c.MessageLines),
