--- a/control/control.go
+++ b/control/control.go
@@ -258,7 +258,7 @@
 const (
 	Unlisted  Reason = "gone"       // the list says that it is no more
 	Drains    Reason = "draining"   // the list says that it drains
-	Sick      Reason = "sick"       // share of its tries that failed; what is borne, by how others fare
+	Unhealthy Reason = "sick"       // share of its tries that failed; what is borne, by how others fare
 	Back      Reason = "back"       // listed as ready, or its sick spell is over
 	Listed    Reason = "listed"     // its weight on the list
 	Warming   Reason = "warming"    // how far it has come since its start; 1 is warm
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -476,7 +476,7 @@
 			(!a.facts.SinglePackWrites || slices.ContainsFunc(a.listed, other)) { // else its pack's writes are refused
 			e.sickFor = time.Duration((1 + a.chance()) * float64(a.lag()<<min(e.spells, settledLags)))
 			e.sick, e.turnAt, e.spells = true, a.now, e.spells+1
-			e.why = control.Why{Reason: control.Sick, Value: share, Limit: limit}
+			e.why = control.Why{Reason: control.Unhealthy, Value: share, Limit: limit}
 			e.cell.sick++
 		}
 	}
