--- a/policy/tables.go
+++ b/policy/tables.go
@@ -59,7 +59,7 @@
 func (e *endpoint) whyOut() control.Why {
 	switch {
 	case !e.out:
-		return control.Why{Reason: control.Back}
+		return control.Why{Reason: control.Readmitted}
 	case e.mode != control.Ready:
 		return control.Why{Reason: leaves[e.mode]}
 	}
