--- a/policy/tables.go
+++ b/policy/tables.go
@@ -40,7 +40,7 @@
 	case e.mode != control.Ready:
 		return control.Why{Reason: leaves[e.mode]}
 	case want == 0 && e.cell.jammed:
-		return control.Why{Reason: control.Jammed, Value: e.cell.load, Limit: busy}
+		return control.Why{Reason: control.CellOverloaded, Value: e.cell.load, Limit: busy}
 	case want == 0 && a.pressed(e.cell) > failsMuch:
 		return control.Why{Reason: control.Failing, Value: a.pressed(e.cell), Limit: failsMuch}
 	case a.cold(e) < 1:
