--- a/control/control.go
+++ b/control/control.go
@@ -263,7 +263,7 @@
 	Listed         Reason = "listed"     // its weight on the list
 	Warming        Reason = "warming"    // how far it has come since its start; 1 is warm
 	CellOverloaded Reason = "jammed"     // its cell's load in percent; where no cold server may join it
-	Eased          Reason = "eased"      // its load in percent; what is borne beside the others'
+	WeightReduced  Reason = "eased"      // its load in percent; what is borne beside the others'
 	Regains        Reason = "regains"    // its load in percent; what calls for more, beside the others'
 	Returning      Reason = "returning"  // it takes up its weight in steps; the share that it has
 	Home           Reason = "home"       // the identity hash says so
--- a/pilot/records_test.go
+++ b/pilot/records_test.go
@@ -50,7 +50,7 @@
 	r := newRecorder(slog.New(syslog.NewHandler(out, syslog.Identity{App: "a"})), "p", []string{"read", "write"}, 7, func() time.Duration { return now })
 	r.began(7, "start")
 	orders := []control.Order{
-		control.PutLine{Table: 2, Endpoint: 17, Weight: 1.5, Why: control.Why{Reason: control.Eased, Value: 92.71, Limit: 89}},
+		control.PutLine{Table: 2, Endpoint: 17, Weight: 1.5, Why: control.Why{Reason: control.WeightReduced, Value: 92.71, Limit: 89}},
 		control.ClearTable{Table: 2}, control.Bind{Table: 2, Proxy: 3, OpTypes: 2, Why: control.Why{Reason: control.Home}},
 		control.SetLevel{Table: control.Everywhere, OpTypes: 1, Level: 0.5, Why: control.Why{Reason: control.Distress, Value: 81, Limit: 80}},
 		control.Suspend{Endpoint: 17, Out: true, Why: control.Why{Reason: control.Unhealthy, Value: 0.9, Limit: 0.3}}, control.LogMessage{Text: "n"}, control.Checkpoint{Number: 5}}
--- a/policy/tables.go
+++ b/policy/tables.go
@@ -46,7 +46,7 @@
 	case a.cold(e) < 1:
 		return control.Why{Reason: control.Warming, Value: a.cold(e), Limit: 1}
 	case e.ease < 1 && want < told:
-		return control.Why{Reason: control.Eased, Value: e.load, Limit: max(calm, a.load+apart)}
+		return control.Why{Reason: control.WeightReduced, Value: e.load, Limit: max(calm, a.load+apart)}
 	case e.turnAt > control.LongAgo && a.fit(e) < e.ease:
 		return control.Why{Reason: control.Returning, Value: a.fit(e), Limit: e.ease}
 	case told > 0 && want > told && e.eased == a.now:
