--- a/policy/tables.go
+++ b/policy/tables.go
@@ -50,7 +50,7 @@
 	case e.turnAt > control.LongAgo && a.fit(e) < e.ease:
 		return control.Why{Reason: control.Returning, Value: a.fit(e), Limit: e.ease}
 	case told > 0 && want > told && e.eased == a.now:
-		return control.Why{Reason: control.Regains, Value: e.load, Limit: a.load - apart}
+		return control.Why{Reason: control.WeightRestored, Value: e.load, Limit: a.load - apart}
 	}
 	return control.Why{Reason: control.Listed, Value: e.weight}
 }
