--- a/control/control.go
+++ b/control/control.go
@@ -265,7 +265,7 @@
 	CellOverloaded Reason = "jammed"     // its cell's load in percent; where no cold server may join it
 	WeightReduced  Reason = "eased"      // its load in percent; what is borne beside the others'
 	WeightRestored Reason = "regains"    // its load in percent; what calls for more, beside the others'
-	Returning      Reason = "returning"  // it takes up its weight in steps; the share that it has
+	RampingUp      Reason = "returning"  // it takes up its weight in steps; the share that it has
 	Home           Reason = "home"       // the identity hash says so
 	CellDown       Reason = "cell-down"  // its cell drops; seconds that nothing came back from it, how long is borne
 	HomeDown       Reason = "home-down"  // seconds that nothing came back from its home; how long is borne
--- a/policy/tables.go
+++ b/policy/tables.go
@@ -48,7 +48,7 @@
 	case e.ease < 1 && want < told:
 		return control.Why{Reason: control.WeightReduced, Value: e.load, Limit: max(calm, a.load+apart)}
 	case e.turnAt > control.LongAgo && a.fit(e) < e.ease:
-		return control.Why{Reason: control.Returning, Value: a.fit(e), Limit: e.ease}
+		return control.Why{Reason: control.RampingUp, Value: a.fit(e), Limit: e.ease}
 	case told > 0 && want > told && e.eased == a.now:
 		return control.Why{Reason: control.WeightRestored, Value: e.load, Limit: a.load - apart}
 	}
