--- a/control/control.go
+++ b/control/control.go
@@ -272,7 +272,7 @@
 	HomeFull       Reason = "home-full"  // the fill of its home with it; how far one is filled
 	HomeAgain      Reason = "home-again" // the fill of its home with it; where there is room
 	Shed           Reason = "shed"       // its cell's score, or fill; where it sheds
-	First          Reason = "start"      // the first word
+	InitialLevel   Reason = "start"      // the first word
 	Distress       Reason = "distress"   // the fleet's load in percent; where levels fall
 	Failing        Reason = "failing"    // share of tries that fail; where levels fall
 	Capacity       Reason = "capacity"   // what the servers can do over what is offered; 1
