--- a/control/control.go
+++ b/control/control.go
@@ -273,7 +273,7 @@
 	HomeAgain      Reason = "home-again" // the fill of its home with it; where there is room
 	Shed           Reason = "shed"       // its cell's score, or fill; where it sheds
 	InitialLevel   Reason = "start"      // the first word
-	Distress       Reason = "distress"   // the fleet's load in percent; where levels fall
+	Overload       Reason = "distress"   // the fleet's load in percent; where levels fall
 	Failing        Reason = "failing"    // share of tries that fail; where levels fall
 	Capacity       Reason = "capacity"   // what the servers can do over what is offered; 1
 	Recovers       Reason = "recovers"   // the fleet's load in percent; where levels rise
--- a/policy/tables.go
+++ b/policy/tables.go
@@ -74,7 +74,7 @@
 	case level > before && before >= 0:
 		return control.Why{Reason: control.Recovers, Value: a.load, Limit: calm}
 	case a.load >= busy:
-		return control.Why{Reason: control.Distress, Value: a.load, Limit: busy}
+		return control.Why{Reason: control.Overload, Value: a.load, Limit: busy}
 	case max(a.failing, a.met.mean()) > failsMuch:
 		return control.Why{Reason: control.Failing, Value: max(a.failing, a.met.mean()), Limit: failsMuch}
 	}
