--- a/policy/tables.go
+++ b/policy/tables.go
@@ -32,7 +32,7 @@
 func (a *Assigner) pressed(c *cell) float64 { return max(c.met.mean(), a.met.mean()) }
 
 // leaves is why a server that is not ready leaves the tables.
-var leaves = map[control.Mode]control.Reason{control.Gone: control.Unlisted, control.Draining: control.Drains}
+var leaves = map[control.Mode]control.Reason{control.Gone: control.Unlisted, control.Draining: control.ListedAsDraining}
 
 // whyLine is why a server's line is put at a weight, after the one that was told.
 func (a *Assigner) whyLine(e *endpoint, told, want float64) control.Why {
