--- a/control/control.go
+++ b/control/control.go
@@ -276,7 +276,7 @@
 	Overload         Reason = "distress"   // the fleet's load in percent; where levels fall
 	Failing          Reason = "failing"    // share of tries that fail; where levels fall
 	Capacity         Reason = "capacity"   // what the servers can do over what is offered; 1
-	Recovers         Reason = "recovers"   // the fleet's load in percent; where levels rise
+	LevelRestored    Reason = "recovers"   // the fleet's load in percent; where levels rise
 )
 
 // Why is an order's reason with the figure that crossed a limit; both are 0 where there is none.
--- a/policy/tables.go
+++ b/policy/tables.go
@@ -72,7 +72,7 @@
 	case before < 0 && level == 1:
 		return control.Why{Reason: control.InitialLevel}
 	case level > before && before >= 0:
-		return control.Why{Reason: control.Recovers, Value: a.load, Limit: calm}
+		return control.Why{Reason: control.LevelRestored, Value: a.load, Limit: calm}
 	case a.load >= busy:
 		return control.Why{Reason: control.Overload, Value: a.load, Limit: busy}
 	case max(a.failing, a.met.mean()) > failsMuch:
