--- a/control/control.go
+++ b/control/control.go
@@ -270,7 +270,7 @@
 	CellDown         Reason = "cell-down"  // its cell drops; seconds that nothing came back from it, how long is borne
 	HomeDown         Reason = "home-down"  // seconds that nothing came back from its home; how long is borne
 	HomeFull         Reason = "home-full"  // the fill of its home with it; how far one is filled
-	HomeAgain        Reason = "home-again" // the fill of its home with it; where there is room
+	ReturnedHome     Reason = "home-again" // the fill of its home with it; where there is room
 	Shed             Reason = "shed"       // its cell's score, or fill; where it sheds
 	InitialLevel     Reason = "start"      // the first word
 	Overload         Reason = "distress"   // the fleet's load in percent; where levels fall
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -644,7 +644,7 @@
 		home := p.ranked[0]
 		if home.live && a.now-home.since >= settledLags*a.lag() && a.fill(home, p.demand) <= room-slack {
 			p.cell, a.moveAt = home, a.now
-			p.why = control.Why{Reason: control.HomeAgain, Value: a.fill(home, p.demand), Limit: room - slack}
+			p.why = control.Why{Reason: control.ReturnedHome, Value: a.fill(home, p.demand), Limit: room - slack}
 			return
 		}
 	}
