--- a/pilot/host/probe.go
+++ b/pilot/host/probe.go
@@ -29,7 +29,7 @@
 
 // probeOutcome classifies a probe by its failure, or by the status of its answer if there was no failure.
 func probeOutcome(failure *upstream.Failure, status int) control.ProbeOutcome {
-	var malformed *http1.Malformed
+	var malformed *http1.MalformedError
 	switch {
 	case failure == nil && status == http.StatusServiceUnavailable:
 		return control.ProbeRejected
