--- a/pilot/probe.go
+++ b/pilot/probe.go
@@ -27,7 +27,7 @@
 
 // loadOf returns the load report of an answer, in the order of the configured measures; nil if the answer has none.
 func (p *Pilot) loadOf(answer *http1.Message) (load []float64) {
-	report := http1.ParseLoad(answer.Get(http1.LoadHeader))
+	report := http1.ParseLoadReport(answer.Get(http1.LoadHeader))
 	if report == nil {
 		return nil
 	}
