--- a/pilot/host/probe.go
+++ b/pilot/host/probe.go
@@ -39,7 +39,7 @@
 		return control.ProbeAnswered
 	case failure.Timeout:
 		return control.ProbeTimedOut
-	case failure.Unrun:
+	case failure.NotSent:
 		return control.ProbeUnreached
 	case errors.As(failure, &malformed):
 		return control.ProbeErrored
