--- a/pilot/moves_test.go
+++ b/pilot/moves_test.go
@@ -86,7 +86,7 @@
 
 // tenantSeat returns a proxy's line for a tenant; empty if it has none.
 func tenantSeat(p *proxy.Proxy, name string) string {
-	for line := range strings.Lines(p.Tenants(name)) {
+	for line := range strings.Lines(p.TenantInfo(name)) {
 		if strings.HasPrefix(line, "="+name+",") {
 			return strings.TrimSpace(line)
 		}
@@ -300,7 +300,7 @@
 	}
 	x := startProxy(t, r.proxyFile(1, r.p.Address()), nil)
 	r.waitFor("the limit at a proxy that joins after the restart", func() bool {
-		return strings.Contains(x.Tenants("t3"), "=t3,") && !strings.Contains(x.Tenants("t3"), "=t3,-1,")
+		return strings.Contains(x.TenantInfo("t3"), "=t3,") && !strings.Contains(x.TenantInfo("t3"), "=t3,-1,")
 	})
 }
 
