--- a/http1/cut_test.go
+++ b/http1/cut_test.go
@@ -44,7 +44,7 @@
 func parsePieces(t *testing.T, p *Parser, in string, ended bool, cuts ...int) string {
 	for _, cut := range cuts {
 		b := []byte(in[:cut])
-		if m, err := p.Parse(b, false); !errors.Is(err, ErrMore) {
+		if m, err := p.Parse(b, false); !errors.Is(err, ErrIncomplete) {
 			t.Fatalf("%q is no whole message: %v, %v", in[:cut], m, err)
 		}
 		overwrite(b)
--- a/http1/http1.go
+++ b/http1/http1.go
@@ -19,8 +19,8 @@
 // DefaultBounds are bounds that suit small ops.
 var DefaultBounds = Bounds{Line: 8 << 10, Head: 32 << 10, Body: 1 << 20}
 
-// ErrMore says that the message is not whole yet.
-var ErrMore = errors.New("http1: more bytes are needed")
+// ErrIncomplete says that the message is not whole yet.
+var ErrIncomplete = errors.New("http1: more bytes are needed")
 
 // Malformed is a message that cannot be read. Nothing after it on the connection can be trusted.
 type Malformed struct {
@@ -139,7 +139,7 @@
 		m.Size = p.head
 	case byLength:
 		if len(b) < p.head+p.length {
-			return nil, ErrMore
+			return nil, ErrIncomplete
 		}
 		m.Body, m.Size = b[p.head:p.head+p.length], p.head+p.length
 	case chunked:
@@ -152,7 +152,7 @@
 			return nil, bad(413, "body over %d bytes", p.Body)
 		}
 		if !ended {
-			return nil, ErrMore
+			return nil, ErrIncomplete
 		}
 		m.Body, m.Size, m.Close = b[p.head:], len(b), true
 	}
@@ -200,7 +200,7 @@
 			}
 		}
 		p.looked = max(p.looked, len(b)-3)
-		return ErrMore
+		return ErrIncomplete
 	}
 	end += p.looked
 	if end+4 > p.Head {
@@ -456,7 +456,7 @@
 			break
 		}
 		if len(b) < data+size+2 {
-			return ErrMore
+			return ErrIncomplete
 		}
 		if b[data+size] != '\r' || b[data+size+1] != '\n' {
 			return bad(400, "chunk longer than its size")
@@ -490,7 +490,7 @@
 		return nil, bad(400, "line in the body over %d bytes", most)
 	}
 	if nl < 0 {
-		return nil, ErrMore
+		return nil, ErrIncomplete
 	}
 	if nl == 0 || rest[nl-1] != '\r' || bytes.IndexByte(rest[:nl-1], '\r') >= 0 {
 		return nil, bad(400, "bare line feed or carriage return in a chunked body")
--- a/http1/http1_test.go
+++ b/http1/http1_test.go
@@ -64,7 +64,7 @@
 				if bad.Status != c.status {
 					t.Fatalf("refused with %d (%s), want %d", bad.Status, bad.Reason, c.status)
 				}
-			case errors.Is(err, ErrMore):
+			case errors.Is(err, ErrIncomplete):
 				if c.status != -1 {
 					t.Fatalf("wants more, want %d", c.status)
 				}
@@ -87,7 +87,7 @@
 	for i := range in {
 		buf = append(buf, in[i])
 		m, err := p.Parse(buf, false)
-		if errors.Is(err, ErrMore) {
+		if errors.Is(err, ErrIncomplete) {
 			continue
 		}
 		if err != nil {
@@ -105,7 +105,7 @@
 func TestResponses(t *testing.T) {
 	p := Responses(DefaultBounds)
 	m, err := p.Parse([]byte("HTTP/1.1 200 OK\r\n\r\nrest"), false)
-	if !errors.Is(err, ErrMore) || m != nil {
+	if !errors.Is(err, ErrIncomplete) || m != nil {
 		t.Fatalf("a body that ends with the connection: %v %v", m, err)
 	}
 	if m, err = p.Parse([]byte("HTTP/1.1 200 OK\r\n\r\nrest"), true); err != nil || string(m.Body) != "rest" || !m.Close {
@@ -121,7 +121,7 @@
 		t.Fatalf("204: %v %v", m, err)
 	}
 	for _, in := range []string{"HTTP/1.1 20 OK\r\n\r\n", "HTTP/1.1 abc OK\r\n\r\n", "HTTP/1.1 2000 OK\r\n\r\n", "FTP/1.1 200 OK\r\n\r\n"} {
-		if _, err := Responses(DefaultBounds).Parse([]byte(in), true); err == nil || errors.Is(err, ErrMore) {
+		if _, err := Responses(DefaultBounds).Parse([]byte(in), true); err == nil || errors.Is(err, ErrIncomplete) {
 			t.Errorf("%q: %v", in, err)
 		}
 	}
@@ -171,7 +171,7 @@
 		half := in[:len(in)/2]
 		var m2 *Message
 		_, err2 := q.Parse(half, false)
-		if errors.Is(err2, ErrMore) {
+		if errors.Is(err2, ErrIncomplete) {
 			m2, err2 = q.Parse(in, false)
 		}
 		if (err == nil) != (err2 == nil) && m2 != nil && m2.Size <= len(in) && m2.Size > len(half) {
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -200,7 +200,7 @@
 			continue
 		case ended != nil:
 			return nil, begun, ended
-		case !errors.Is(err, http1.ErrMore):
+		case !errors.Is(err, http1.ErrIncomplete):
 			return nil, begun, err
 		}
 		if ended = c.await(n+1, deadline); errors.Is(ended, netpoll.ErrReadTimeout) {
@@ -212,7 +212,7 @@
 // parse reads a message from the first n bytes; ended says that no more come.
 func (c *conn) parse(n int, ended bool) (*http1.Message, error) {
 	if n == 0 {
-		return nil, http1.ErrMore
+		return nil, http1.ErrIncomplete
 	}
 	b, err := c.nc.Reader().Peek(n)
 	if err != nil {
