--- a/serve/conn.go
+++ b/serve/conn.go
@@ -147,7 +147,7 @@
 			c.refuse(bad.Status, bad.Reason)
 			return false
 		}
-		if !told && c.parser.Expects() {
+		if !told && c.parser.ExpectsContinue() {
 			told = true
 			if _, err := c.nc.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n")); err != nil {
 				return false
