--- a/http1/http1.go
+++ b/http1/http1.go
@@ -120,8 +120,8 @@
 // Responses returns a parser of responses.
 func Responses(b Bounds) *Parser { return &Parser{Bounds: b, kind: response} }
 
-// ForHead tells that the next response answers a HEAD request.
-func (p *Parser) ForHead() { p.headers = true }
+// ExpectHeadResponse tells that the next response answers a HEAD request.
+func (p *Parser) ExpectHeadResponse() { p.headers = true }
 
 // Parse looks for one whole message at the front of b, which holds all bytes since the last message's end; ended says
 // that no more will come. It returns ErrMore while the message is not whole and a *Malformed if it never can be. Nothing is
--- a/http1/http1_test.go
+++ b/http1/http1_test.go
@@ -112,7 +112,7 @@
 		t.Fatalf("%v %v", m, err)
 	}
 	p = Responses(DefaultBounds)
-	p.ForHead()
+	p.ExpectHeadResponse()
 	if m, err = p.Parse([]byte("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n"), false); err != nil || len(m.Body) != 0 {
 		t.Fatalf("answer to HEAD: %v %v", m, err)
 	}
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -173,7 +173,7 @@
 		return nil, fail(err)
 	}
 	if head {
-		c.parser.ForHead()
+		c.parser.ExpectHeadResponse()
 	}
 	m, begun, err := c.receive(deadline, head)
 	if answered = begun; err != nil {
@@ -228,7 +228,7 @@
 	}
 	c.parser.Next()
 	if head {
-		c.parser.ForHead()
+		c.parser.ExpectHeadResponse()
 	}
 	return nil
 }
