--- a/http1/cut_test.go
+++ b/http1/cut_test.go
@@ -19,9 +19,9 @@
 		{"request", NewRequestParser, "POST /p?q=1 HTTP/1.1\r\nHost: a\r\nAuthorization: Bearer one\r\nContent-Length: 6\r\n\r\nabcdef", false},
 		{"request without a body", NewRequestParser, "GET /p HTTP/1.1\r\nHost: a\r\nAccept: text/plain\r\n\r\n", false},
 		{"chunked request", NewRequestParser, "POST /p HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n3;x=y\r\nabc\r\n2\r\nde\r\n0\r\nT: v\r\nU: w\r\n\r\n", false},
-		{"answer", Responses, "HTTP/1.1 200 Very good\r\nX-One: 1\r\nContent-Length: 5\r\n\r\nabcde", false},
-		{"chunked answer", Responses, "HTTP/1.1 404 No\r\nX-One: 1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\nT: v\r\n\r\n", false},
-		{"answer until the end", Responses, "HTTP/1.1 200 OK\r\nX-One: 1\r\n\r\nabcde", true},
+		{"answer", NewResponseParser, "HTTP/1.1 200 Very good\r\nX-One: 1\r\nContent-Length: 5\r\n\r\nabcde", false},
+		{"chunked answer", NewResponseParser, "HTTP/1.1 404 No\r\nX-One: 1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\nT: v\r\n\r\n", false},
+		{"answer until the end", NewResponseParser, "HTTP/1.1 200 OK\r\nX-One: 1\r\n\r\nabcde", true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			whole, err := c.parser(DefaultBounds).Parse([]byte(c.in), c.ended)
--- a/http1/http1.go
+++ b/http1/http1.go
@@ -117,8 +117,8 @@
 // NewRequestParser returns a parser of requests.
 func NewRequestParser(b Bounds) *Parser { return &Parser{Bounds: b, kind: request} }
 
-// Responses returns a parser of responses.
-func Responses(b Bounds) *Parser { return &Parser{Bounds: b, kind: response} }
+// NewResponseParser returns a parser of responses.
+func NewResponseParser(b Bounds) *Parser { return &Parser{Bounds: b, kind: response} }
 
 // ExpectHeadResponse tells that the next response answers a HEAD request.
 func (p *Parser) ExpectHeadResponse() { p.headers = true }
--- a/http1/http1_test.go
+++ b/http1/http1_test.go
@@ -103,7 +103,7 @@
 }
 
 func TestResponses(t *testing.T) {
-	p := Responses(DefaultBounds)
+	p := NewResponseParser(DefaultBounds)
 	m, err := p.Parse([]byte("HTTP/1.1 200 OK\r\n\r\nrest"), false)
 	if !errors.Is(err, ErrIncomplete) || m != nil {
 		t.Fatalf("a body that ends with the connection: %v %v", m, err)
@@ -111,17 +111,17 @@
 	if m, err = p.Parse([]byte("HTTP/1.1 200 OK\r\n\r\nrest"), true); err != nil || string(m.Body) != "rest" || !m.Close {
 		t.Fatalf("%v %v", m, err)
 	}
-	p = Responses(DefaultBounds)
+	p = NewResponseParser(DefaultBounds)
 	p.ExpectHeadResponse()
 	if m, err = p.Parse([]byte("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n"), false); err != nil || len(m.Body) != 0 {
 		t.Fatalf("answer to HEAD: %v %v", m, err)
 	}
-	p = Responses(DefaultBounds)
+	p = NewResponseParser(DefaultBounds)
 	if m, err = p.Parse([]byte("HTTP/1.1 204 No Content\r\n\r\n"), false); err != nil || m.Status != 204 {
 		t.Fatalf("204: %v %v", m, err)
 	}
 	for _, in := range []string{"HTTP/1.1 20 OK\r\n\r\n", "HTTP/1.1 abc OK\r\n\r\n", "HTTP/1.1 2000 OK\r\n\r\n", "FTP/1.1 200 OK\r\n\r\n"} {
-		if _, err := Responses(DefaultBounds).Parse([]byte(in), true); err == nil || errors.Is(err, ErrIncomplete) {
+		if _, err := NewResponseParser(DefaultBounds).Parse([]byte(in), true); err == nil || errors.Is(err, ErrIncomplete) {
 			t.Errorf("%q: %v", in, err)
 		}
 	}
@@ -207,7 +207,7 @@
 	f.Add([]byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab"), true)
 	f.Add([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n0\r\nX: y\r\n\r\n"), false)
 	f.Fuzz(func(t *testing.T, in []byte, ended bool) {
-		m, err := Responses(DefaultBounds).Parse(in, ended)
+		m, err := NewResponseParser(DefaultBounds).Parse(in, ended)
 		if err == nil && (m.Size > len(in) || len(m.Body) > len(in) || m.Status < 100 || m.Status > 999) {
 			t.Fatalf("%+v", m)
 		}
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -286,7 +286,7 @@
 	}
 	p.Opened.Add(1)
 	p.open.Add(1)
-	return &conn{nc: nc, server: address, parser: http1.Responses(p.Bounds)}, nil
+	return &conn{nc: nc, server: address, parser: http1.NewResponseParser(p.Bounds)}, nil
 }
 
 // drop closes a connection; p.mu is held.
