--- a/http1/http1_test.go
+++ b/http1/http1_test.go
@@ -144,12 +144,12 @@
 		`JSON {"cpu_utilization": 0.25, "named_metrics": {"inflight": 3}}`:        0.25,
 		"TEXT cpu_utilization = 0.25 ,x,=,inflight=NaN,named_metrics.inflight=3,": 0.25,
 	} {
-		if l := ParseLoad([]byte(in)); l["cpu_utilization"] != want || l["inflight"] != 3 {
+		if l := ParseLoadReport([]byte(in)); l["cpu_utilization"] != want || l["inflight"] != 3 {
 			t.Errorf("%s: %v", in, l)
 		}
 	}
 	for _, in := range []string{"", "BIN abc", "JSON {", "TEXT cpu_utilization=-1", "TEXT cpu_utilization=+Inf"} {
-		if l := ParseLoad([]byte(in)); len(l) != 0 {
+		if l := ParseLoadReport([]byte(in)); len(l) != 0 {
 			t.Errorf("%q: %v", in, l)
 		}
 	}
--- a/http1/orca.go
+++ b/http1/orca.go
@@ -30,9 +30,9 @@
 // most pairs that a report may hold; the rest is dropped.
 const mostMeasures = 16
 
-// ParseLoad reads a load report in either form; what is no number, or not finite, or below 0, is left out. It returns
+// ParseLoadReport reads a load report in either form; what is no number, or not finite, or below 0, is left out. It returns
 // nil for what is no report at all.
-func ParseLoad(v []byte) LoadReport {
+func ParseLoadReport(v []byte) LoadReport {
 	form, rest, ok := bytes.Cut(v, []byte(" "))
 	if !ok {
 		return nil
--- a/pilot/probe.go
+++ b/pilot/probe.go
@@ -26,7 +26,7 @@
 
 // loadOf is what an answer says of its endpoint's load, by the measures of the settings; nil if it says nothing.
 func (p *Pilot) loadOf(answer *http1.Message) (load []float64) {
-	said := http1.ParseLoad(answer.Get(http1.LoadHeader))
+	said := http1.ParseLoadReport(answer.Get(http1.LoadHeader))
 	if said == nil {
 		return nil
 	}
--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -495,7 +495,7 @@
 	if len(v) == 0 || len(p.file.Service.Measures) == 0 {
 		return nil
 	}
-	l := http1.ParseLoad(v)
+	l := http1.ParseLoadReport(v)
 	if len(l) == 0 {
 		return nil
 	}
