--- a/http1/write.go
+++ b/http1/write.go
@@ -56,9 +56,9 @@
 	return append(b, body...)
 }
 
-// AppendAnswer ends the head of a response that is passed on and appends its body. One without a body by its nature, to a
+// AppendForwardedBody ends the head of a response that is passed on and appends its body. One without a body by its nature, to a
 // HEAD request or of status 204 or 304, keeps the length that its server stated, if that may be stated at all.
-func AppendAnswer(b []byte, m *Message, head bool) []byte {
+func AppendForwardedBody(b []byte, m *Message, head bool) []byte {
 	if !head && m.Status != 204 && m.Status != 304 {
 		return AppendBody(b, m.Body)
 	}
--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -452,7 +452,7 @@
 	if !good && a.Get("Retry-After") == nil {
 		b = http1.AppendField(b, "Retry-After", p.retryAfterText())
 	}
-	s.in = http1.AppendAnswer(b, a.Message, head)
+	s.in = http1.AppendForwardedBody(b, a.Message, head)
 	a.Release()
 	_ = c.Answer(s.in)
 	return true
