--- a/http1/http1_test.go
+++ b/http1/http1_test.go
@@ -133,7 +133,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := string(AppendBody(AppendForwarded(nil, m), nil)); got != "Host: a\r\nX-Two: 2\r\nContent-Length: 0\r\n\r\n" {
+	if got := string(AppendBody(AppendForwardedFields(nil, m), nil)); got != "Host: a\r\nX-Two: 2\r\nContent-Length: 0\r\n\r\n" {
 		t.Fatalf("%q", got)
 	}
 }
--- a/http1/write.go
+++ b/http1/write.go
@@ -73,9 +73,9 @@
 var hops = []string{"Connection", "Proxy-Connection", "Keep-Alive", "TE", "Trailer", "Transfer-Encoding", "Upgrade",
 	"Content-Length", "Expect"}
 
-// AppendForwarded appends the fields of a message that may travel on: those of the connection, those that a Connection
+// AppendForwardedFields appends the fields of a message that may travel on: those of the connection, those that a Connection
 // field names and the length, which AppendBody writes anew, stay behind.
-func AppendForwarded(b []byte, m *Message) []byte {
+func AppendForwardedFields(b []byte, m *Message) []byte {
 	var named []byte
 	for _, f := range m.Fields {
 		if equalFold(f.Name, "Connection") {
--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -448,7 +448,7 @@
 		}
 	}
 	b := http1.AppendStatus(s.in[:0], a.Status)
-	b = http1.AppendForwarded(b, a.Message)
+	b = http1.AppendForwardedFields(b, a.Message)
 	if !good && a.Get("Retry-After") == nil {
 		b = http1.AppendField(b, "Retry-After", p.retryAfterText())
 	}
@@ -485,7 +485,7 @@
 // request writes what is sent to a server.
 func (p *Proxy) request(b []byte, m *http1.Message) []byte {
 	b = http1.AppendRequest(b, m.Method, m.Target)
-	b = http1.AppendForwarded(b, m)
+	b = http1.AppendForwardedFields(b, m)
 	b = http1.AppendField(b, "Via", "1.1 p"+strconv.Itoa(int(p.file.ID)))
 	return http1.AppendBody(b, m.Body)
 }
