--- a/serve/serve_test.go
+++ b/serve/serve_test.go
@@ -237,7 +237,7 @@
 		t.Errorf("past the cap: %+v", f)
 	}
 	for _, c := range calls {
-		c.GiveUp()
+		c.Cancel()
 		if f := <-done; f == nil || !f.Gone {
 			t.Errorf("given up: %+v", f)
 		}
