--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -577,7 +577,7 @@
 	p.tally.applied.Add(1)
 	if slices.ContainsFunc(m.Changes, func(c runtime.Change) bool { return c.Verb != runtime.SetWeight && c.Verb != runtime.SetState }) {
 		for _, e := range p.servers.keep(n) {
-			p.pool.Forget(e.address)
+			p.pool.CloseIdle(e.address)
 		}
 	}
 	for _, c := range m.Changes {
@@ -586,7 +586,7 @@
 			e := p.servers.byID[c.Endpoint]
 			p.servers.mu.Unlock()
 			if e != nil {
-				p.pool.Forget(e.address)
+				p.pool.CloseIdle(e.address)
 			}
 		}
 	}
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -308,8 +308,8 @@
 	s.idle = append(s.idle, c)
 }
 
-// Forget closes the idle connections to a server that ops no longer go to.
-func (p *Pool) Forget(address string) {
+// CloseIdle closes the idle connections to a server that ops no longer go to.
+func (p *Pool) CloseIdle(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if s := p.servers[address]; s != nil {
