--- a/lab/fleet.go
+++ b/lab/fleet.go
@@ -326,7 +326,7 @@
 	if err != nil {
 		return err
 	}
-	p.ApplyFor = func(m *runtime.Message) time.Duration { return time.Duration(m.Lines) * 40 * time.Microsecond }
+	p.ApplyDelay = func(m *runtime.Message) time.Duration { return time.Duration(m.Lines) * 40 * time.Microsecond }
 	if f.wrap != nil {
 		f.wrap(&file, p)
 	}
