--- a/http1/http1.go
+++ b/http1/http1.go
@@ -1,6 +1,7 @@
-// Package http1 reads and writes HTTP/1.1 messages (RFC 9112) on byte buffers. It has no sockets: a Parser is fed what
-// has come so far and says whether a whole message stands at its front. Shapes that two parsers could read in two ways
-// (both lengths, bare line feeds, folded lines, spaces before a colon) are refused, never mended.
+// Package http1 parses and writes HTTP/1.1 messages (RFC 9112) in byte buffers, without any I/O. A Parser is given the bytes
+// received so far and reports whether they start with a complete message. Messages that two parsers could interpret
+// differently (both a length and a transfer coding, bare line feeds, folded lines, spaces before a colon) are rejected,
+// never repaired, to rule out request smuggling.
 package http1
 
 import (
@@ -9,48 +10,50 @@
 	"fmt"
 )
 
-// Bounds limit what a message may hold, in bytes. A message past one of them is refused.
+// Bounds are limits on the size of a message, in bytes. A message that exceeds one of them is rejected.
 type Bounds struct {
 	Line int // the first line, and each chunk-size line
-	Head int // first line and fields together, trailers too
+	Head int // first line and fields together; also the trailers
 	Body int
 }
 
-// DefaultBounds are bounds that suit small ops.
+// DefaultBounds are limits suitable for small ops.
 var DefaultBounds = Bounds{Line: 8 << 10, Head: 32 << 10, Body: 1 << 20}
 
-// ErrIncomplete says that the message is not whole yet.
+// ErrIncomplete reports that more bytes are needed to complete the message.
 var ErrIncomplete = errors.New("http1: more bytes are needed")
 
-// MalformedError is a message that cannot be read. Nothing after it on the connection can be trusted.
+// MalformedError reports a message that is invalid, too large or not supported. Nothing after it on the connection can be
+// interpreted.
 type MalformedError struct {
-	Status int // the answer it deserves: 400, 413, 414, 431, 501 or 505
+	Status int // the status to answer with: 400, 413, 414, 431, 501 or 505
 	Reason string
 }
 
 func (m *MalformedError) Error() string { return fmt.Sprintf("http1: %d: %s", m.Status, m.Reason) }
 
-func bad(status int, format string, args ...any) error {
+// malformed returns a *MalformedError.
+func malformed(status int, format string, args ...any) error {
 	return &MalformedError{Status: status, Reason: fmt.Sprintf(format, args...)}
 }
 
-// Field is one header field; both parts belong to the parser, as the rest of a head does.
+// Field is one header field. Its bytes belong to the parser, like the rest of the head.
 type Field struct{ Name, Value []byte }
 
-// Message is a request or a response. What came in its head belongs to the parser and holds until its Next, as does the body
-// of a chunked message. Any other body is a part of the buffer that the last call of Parse was given.
+// Message is a request or a response. The contents of its head belong to the parser and are valid until the parser's Reset,
+// and so is the body of a chunked message. Any other body is a part of the buffer passed to the last call of Parse.
 type Message struct {
 	Method, Target []byte // of a request
 	Status         int    // of a response
-	Reason         []byte
-	Minor          int // of the version 1.x
+	Reason         []byte // reason phrase of a response
+	Minor          int    // minor version x of HTTP/1.x
 	Fields         []Field
 	Body           []byte
-	Size           int  // bytes that the message takes in the buffer
-	Close          bool // the connection ends after this message
+	Size           int  // bytes that the message occupies in the buffer
+	Close          bool // the connection closes after this message
 }
 
-// Get returns the value of the first field of that name, in any case; nil if there is none.
+// Get returns the value of the first field with the given name, ignoring case; nil if there is none.
 func (m *Message) Get(name string) []byte {
 	for i := range m.Fields {
 		if equalFold(m.Fields[i].Name, name) {
@@ -60,7 +63,7 @@
 	return nil
 }
 
-// equalFold compares a field name with an ASCII one.
+// equalFold reports whether b equals the ASCII string s, ignoring case.
 func equalFold(b []byte, s string) bool {
 	if len(b) != len(s) {
 		return false
@@ -73,6 +76,7 @@
 	return true
 }
 
+// lower returns an ASCII character in lower case.
 func lower(c byte) byte {
 	if 'A' <= c && c <= 'Z' {
 		return c + 'a' - 'A'
@@ -80,7 +84,7 @@
 	return c
 }
 
-// kind is what a Parser reads.
+// kind is the kind of message that a Parser reads.
 type kind byte
 
 const (
@@ -88,131 +92,134 @@
 	response
 )
 
-// Parser reads messages of one direction of one connection. It remembers how far it has looked, so that a message that
-// trickles in costs no more than one that comes at once.
+// Parser parses the messages of one direction of one connection. It remembers how far it has searched, so that a message
+// received in many small pieces costs no more than one received at once.
 type Parser struct {
 	Bounds
-	kind    kind
-	headers bool // the answer to a HEAD request: no body follows, whatever its fields say
-	msg     Message
-	text    []byte // a copy of the head, into which the message points
-	looked  int    // bytes known to hold no end of head
-	head    int    // size of the head; 0: not parsed yet
-	body    framing
-	length  int    // announced, by length
-	at      int    // read so far, chunked: where the next chunk starts
-	chunks  []byte // chunked: the body so far
-	trailer int
+	kind          kind
+	headResponse  bool    // the response answers a HEAD request and has no body, whatever its fields state
+	msg           Message // the message being parsed
+	headCopy      []byte  // copy of the head; the fields of msg point into it
+	scanned       int     // bytes known not to contain the end of the head
+	headSize      int     // size of the head; 0: not parsed yet
+	body          framing // how the end of the body is determined
+	contentLength int     // announced length, for lengthBody
+	offset        int     // bytes consumed so far, for chunkedBody: start of the next chunk
+	chunkedData   []byte  // body decoded so far, for chunkedBody
+	trailerSize   int     // bytes of trailers read, plus 1; 0 until the last chunk has been read
 }
 
+// framing is how the end of a body is determined (RFC 9112, 6.3).
 type framing byte
 
 const (
-	none framing = iota
-	byLength
-	chunked
-	toClose
+	noBody         framing = iota
+	lengthBody             // by Content-Length
+	chunkedBody            // by the chunked transfer coding
+	untilCloseBody         // by the end of the connection
 )
 
-// NewRequestParser returns a parser of requests.
+// NewRequestParser returns a parser for requests.
 func NewRequestParser(b Bounds) *Parser { return &Parser{Bounds: b, kind: request} }
 
-// NewResponseParser returns a parser of responses.
+// NewResponseParser returns a parser for responses.
 func NewResponseParser(b Bounds) *Parser { return &Parser{Bounds: b, kind: response} }
 
-// ExpectHeadResponse tells that the next response answers a HEAD request.
-func (p *Parser) ExpectHeadResponse() { p.headers = true }
+// ExpectHeadResponse tells the parser that the next response answers a HEAD request. It must be called again after Reset.
+func (p *Parser) ExpectHeadResponse() { p.headResponse = true }
 
-// Parse looks for one whole message at the front of b, which holds all bytes since the last message's end; ended says
-// that no more will come. It returns ErrMore while the message is not whole and a *Malformed if it never can be. Nothing is
-// kept of b after ErrMore, so that the next call may bring the same bytes in other memory; the body of a whole message is a
-// part of b unless it is chunked, and b has to stay as it is until Next.
+// Parse parses one complete message at the start of b, which holds all bytes received since the end of the previous message.
+// ended states that no more bytes will arrive. Parse returns ErrIncomplete if the message is not complete yet and a
+// *MalformedError if it never can be. After ErrIncomplete the parser keeps no reference to b, so the next call may pass the
+// same bytes in other memory. The body of a complete message is a part of b unless it is chunked, so b must not be modified
+// before Reset.
 func (p *Parser) Parse(b []byte, ended bool) (*Message, error) {
-	if p.head == 0 {
+	if p.headSize == 0 {
 		if err := p.parseHead(b); err != nil {
 			return nil, err
 		}
 	}
 	m := &p.msg
 	switch p.body {
-	case none:
-		m.Size = p.head
-	case byLength:
-		if len(b) < p.head+p.length {
+	case noBody:
+		m.Size = p.headSize
+	case lengthBody:
+		if len(b) < p.headSize+p.contentLength {
 			return nil, ErrIncomplete
 		}
-		m.Body, m.Size = b[p.head:p.head+p.length], p.head+p.length
-	case chunked:
+		m.Body, m.Size = b[p.headSize:p.headSize+p.contentLength], p.headSize+p.contentLength
+	case chunkedBody:
 		if err := p.parseChunks(b); err != nil {
 			return nil, err
 		}
-		m.Body, m.Size = p.chunks, p.at
-	case toClose:
-		if len(b)-p.head > p.Body {
-			return nil, bad(413, "body over %d bytes", p.Body)
+		m.Body, m.Size = p.chunkedData, p.offset
+	case untilCloseBody:
+		if len(b)-p.headSize > p.Body {
+			return nil, malformed(413, "body over %d bytes", p.Body)
 		}
 		if !ended {
 			return nil, ErrIncomplete
 		}
-		m.Body, m.Size, m.Close = b[p.head:], len(b), true
+		m.Body, m.Size, m.Close = b[p.headSize:], len(b), true
 	}
 	return m, nil
 }
 
-// ExpectsContinue tells whether the head of the message under way has come and asks for a word before the body is sent
-// (Expect: 100-continue, RFC 9110, 10.1.1).
+// ExpectsContinue reports whether the head of the current message has been parsed and asks for an interim response before
+// the client sends the body (Expect: 100-continue, RFC 9110, 10.1.1).
 func (p *Parser) ExpectsContinue() bool {
-	return p.head > 0 && p.msg.Minor == 1 && equalFold(p.msg.Get("Expect"), "100-continue")
+	return p.headSize > 0 && p.msg.Minor == 1 && equalFold(p.msg.Get("Expect"), "100-continue")
 }
 
-// Reset makes the parser ready for the message after the one just returned, which may no longer be used.
+// Reset prepares the parser for the next message. The message returned last must not be used any more.
 func (p *Parser) Reset() {
 	*p = Parser{Bounds: p.Bounds, kind: p.kind, msg: Message{Fields: p.msg.Fields[:0]},
-		text: reuse(p.text, mostTextKept), chunks: reuse(p.chunks, mostChunksKept)}
+		headCopy: reuseBuffer(p.headCopy, maxHeadKept), chunkedData: reuseBuffer(p.chunkedData, maxChunksKept)}
 }
 
-// Bytes of memory that a parser keeps from message to message: an idle connection has one.
+// Capacities, in bytes, up to which a parser keeps a buffer for the next message; larger buffers would stay allocated to
+// idle connections.
 const (
-	mostTextKept   = 4 << 10
-	mostChunksKept = 64 << 10
+	maxHeadKept   = 4 << 10
+	maxChunksKept = 64 << 10
 )
 
-// reuse empties a buffer, and lets go of one that is larger than most.
-func reuse(b []byte, most int) []byte {
-	if cap(b) > most {
+// reuseBuffer returns an empty slice with the memory of b, or nil if its capacity exceeds limit.
+func reuseBuffer(b []byte, limit int) []byte {
+	if cap(b) > limit {
 		return nil
 	}
 	return b[:0]
 }
 
-// parseHead reads the first line and the fields once the empty line behind them has come.
+// parseHead parses the first line and the fields, once the empty line after them has arrived.
 func (p *Parser) parseHead(b []byte) error {
-	end := bytes.Index(b[p.looked:], []byte("\r\n\r\n"))
+	end := bytes.Index(b[p.scanned:], []byte("\r\n\r\n"))
 	if end < 0 {
 		if len(b) > p.Head {
-			return bad(431, "head over %d bytes", p.Head)
+			return malformed(431, "head over %d bytes", p.Head)
 		}
 		if nl := bytes.IndexByte(b, '\n'); nl < 0 && len(b) > p.Line {
-			return bad(414, "first line over %d bytes", p.Line)
+			return malformed(414, "first line over %d bytes", p.Line)
 		} else if nl >= 0 {
-			if err := strictLines(b[p.looked:], p.looked > 0 && b[p.looked-1] == '\r'); err != nil {
+			if err := checkLineEnds(b[p.scanned:], p.scanned > 0 && b[p.scanned-1] == '\r'); err != nil {
 				return err
 			}
 		}
-		p.looked = max(p.looked, len(b)-3)
+		p.scanned = max(p.scanned, len(b)-3)
 		return ErrIncomplete
 	}
-	end += p.looked
+	end += p.scanned
 	if end+4 > p.Head {
-		return bad(431, "head over %d bytes", p.Head)
+		return malformed(431, "head over %d bytes", p.Head)
 	}
-	// A bare line feed or carriage return is left standing in its line, where it is no character that is allowed. The head is
-	// copied, for b may be other memory when the body has come.
-	p.text = append(p.text[:0], b[:end+2]...)
-	lines := p.text
+	// A bare line feed or carriage return remains within its line, where it is rejected as an invalid character. The head is
+	// copied, because the body may arrive with b in other memory.
+	p.headCopy = append(p.headCopy[:0], b[:end+2]...)
+	lines := p.headCopy
 	first, rest, _ := bytes.Cut(lines, []byte("\r\n"))
 	if len(first) > p.Line {
-		return bad(414, "first line over %d bytes", p.Line)
+		return malformed(414, "first line over %d bytes", p.Line)
 	}
 	m := &p.msg
 	*m = Message{Fields: m.Fields[:0]}
@@ -228,76 +235,80 @@
 	for len(rest) > 0 {
 		var line []byte
 		line, rest, _ = bytes.Cut(rest, []byte("\r\n"))
-		f, err := field(line)
+		f, err := parseField(line)
 		if err != nil {
 			return err
 		}
 		m.Fields = append(m.Fields, f)
 	}
-	if err := p.frame(); err != nil {
+	if err := p.parseFraming(); err != nil {
 		return err
 	}
-	p.head, p.at = end+4, end+4
+	p.headSize, p.offset = end+4, end+4
 	return nil
 }
 
-// strictLines refuses a line feed without its carriage return, and the reverse.
-func strictLines(b []byte, afterCR bool) error {
+// checkLineEnds rejects a line feed without a preceding carriage return, and a carriage return without a following line
+// feed. afterCR states that a carriage return precedes b.
+func checkLineEnds(b []byte, afterCR bool) error {
 	for i, c := range b {
 		if c == '\n' && !(i > 0 && b[i-1] == '\r' || i == 0 && afterCR) {
-			return bad(400, "bare line feed in the head")
+			return malformed(400, "bare line feed in the head")
 		}
 		if c == '\r' && i+1 < len(b) && b[i+1] != '\n' {
-			return bad(400, "bare carriage return in the head")
+			return malformed(400, "bare carriage return in the head")
 		}
 	}
 	return nil
 }
 
+// requestLine parses the first line of a request.
 func (m *Message) requestLine(line []byte) error {
 	method, rest, ok := bytes.Cut(line, []byte(" "))
 	target, version, ok2 := bytes.Cut(rest, []byte(" "))
-	if !ok || !ok2 || !token(method) {
-		return bad(400, "no request line: %.60q", line)
+	if !ok || !ok2 || !isToken(method) {
+		return malformed(400, "no request line: %.60q", line)
 	}
 	if len(target) == 0 {
-		return bad(400, "empty target")
+		return malformed(400, "empty target")
 	}
 	for _, c := range target {
 		if c <= ' ' || c == 0x7f {
-			return bad(400, "control character or space in the target")
+			return malformed(400, "control character or space in the target")
 		}
 	}
 	m.Method, m.Target = method, target
 	return m.version(version)
 }
 
+// statusLine parses the first line of a response.
 func (m *Message) statusLine(line []byte) error {
 	version, rest, _ := bytes.Cut(line, []byte(" "))
 	if err := m.version(version); err != nil {
 		return err
 	}
 	if len(rest) < 3 || len(rest) > 3 && rest[3] != ' ' {
-		return bad(400, "no status line: %.60q", line)
+		return malformed(400, "no status line: %.60q", line)
 	}
 	for _, c := range rest[:3] {
 		if c < '0' || c > '9' {
-			return bad(400, "status %.3q is no number", rest)
+			return malformed(400, "status %.3q is no number", rest)
 		}
 		m.Status = m.Status*10 + int(c-'0')
 	}
 	if m.Status < 100 {
-		return bad(400, "status %d", m.Status)
+		return malformed(400, "status %d", m.Status)
 	}
 	if len(rest) > 4 {
 		m.Reason = rest[4:]
-		if !value(m.Reason) {
-			return bad(400, "control character in the status line")
+		if !isFieldValue(m.Reason) {
+			return malformed(400, "control character in the status line")
 		}
 	}
 	return nil
 }
 
+// version parses the protocol version; only HTTP/1.0 and HTTP/1.1 are supported.
 func (m *Message) version(v []byte) error {
 	switch {
 	case string(v) == "HTTP/1.1":
@@ -305,35 +316,36 @@
 	case string(v) == "HTTP/1.0":
 		m.Minor = 0
 	case len(v) == 8 && bytes.HasPrefix(v, []byte("HTTP/")) && digit(v[5]) && v[6] == '.' && digit(v[7]):
-		return bad(505, "version %s", v)
+		return malformed(505, "version %s", v)
 	default:
-		return bad(400, "no version: %.20q", v)
+		return malformed(400, "no version: %.20q", v)
 	}
 	return nil
 }
 
 func digit(c byte) bool { return '0' <= c && c <= '9' }
 
-func field(line []byte) (Field, error) {
+// parseField parses a field line, without its line end.
+func parseField(line []byte) (Field, error) {
 	if len(line) > 0 && (line[0] == ' ' || line[0] == '\t') {
-		return Field{}, bad(400, "folded line")
+		return Field{}, malformed(400, "folded line")
 	}
-	name, val, ok := bytes.Cut(line, []byte(":"))
+	name, value, ok := bytes.Cut(line, []byte(":"))
 	if !ok {
-		return Field{}, bad(400, "field without a colon: %.60q", line)
+		return Field{}, malformed(400, "field without a colon: %.60q", line)
 	}
-	if !token(name) {
-		return Field{}, bad(400, "field name %.60q", name)
+	if !isToken(name) {
+		return Field{}, malformed(400, "field name %.60q", name)
 	}
-	val = bytes.Trim(val, " \t")
-	if !value(val) {
-		return Field{}, bad(400, "control character in field %s", name)
+	value = bytes.Trim(value, " \t")
+	if !isFieldValue(value) {
+		return Field{}, malformed(400, "control character in field %s", name)
 	}
-	return Field{Name: name, Value: val}, nil
+	return Field{Name: name, Value: value}, nil
 }
 
-// tokens are the characters of a token (RFC 9110, 5.6.2).
-var tokens = func() (t [256]bool) {
+// tokenChars marks the characters allowed in a token (RFC 9110, 5.6.2).
+var tokenChars = func() (t [256]bool) {
 	for c := 'a'; c <= 'z'; c++ {
 		t[c], t[c-'a'+'A'] = true, true
 	}
@@ -346,16 +358,18 @@
 	return t
 }()
 
-func token(b []byte) bool {
+// isToken reports whether b is a token.
+func isToken(b []byte) bool {
 	for _, c := range b {
-		if !tokens[c] {
+		if !tokenChars[c] {
 			return false
 		}
 	}
 	return len(b) > 0
 }
 
-func value(b []byte) bool {
+// isFieldValue reports whether b has no control character except tabs.
+func isFieldValue(b []byte) bool {
 	for _, c := range b {
 		if c < ' ' && c != '\t' || c == 0x7f {
 			return false
@@ -364,8 +378,8 @@
 	return true
 }
 
-// frame finds where the body ends and whether the connection outlives the message.
-func (p *Parser) frame() error {
+// parseFraming determines from the fields where the body ends and whether the connection stays open after the message.
+func (p *Parser) parseFraming() error {
 	m := &p.msg
 	lengths, codings, hosts := 0, 0, 0
 	m.Close = m.Minor == 0
@@ -374,20 +388,20 @@
 		case equalFold(f.Name, "Content-Length"):
 			lengths++
 			if lengths > 1 {
-				return bad(400, "more than one Content-Length")
+				return malformed(400, "more than one Content-Length")
 			}
-			n, err := length(f.Value, p.Body)
+			n, err := parseContentLength(f.Value, p.Body)
 			if err != nil {
 				return err
 			}
-			p.length = n
+			p.contentLength = n
 		case equalFold(f.Name, "Transfer-Encoding"):
 			codings++
 			if codings > 1 || m.Minor == 0 {
-				return bad(400, "more than one Transfer-Encoding, or one in HTTP/1.0")
+				return malformed(400, "more than one Transfer-Encoding, or one in HTTP/1.0")
 			}
 			if !equalFold(f.Value, "chunked") {
-				return bad(501, "transfer coding %.40q", f.Value)
+				return malformed(501, "transfer coding %.40q", f.Value)
 			}
 		case equalFold(f.Name, "Host"):
 			hosts++
@@ -403,111 +417,113 @@
 		}
 	}
 	if lengths > 0 && codings > 0 {
-		return bad(400, "both Content-Length and Transfer-Encoding")
+		return malformed(400, "both Content-Length and Transfer-Encoding")
 	}
 	if p.kind == request && (hosts > 1 || hosts == 0 && m.Minor == 1) {
-		return bad(400, "%d Host fields", hosts)
+		return malformed(400, "%d Host fields", hosts)
 	}
 	switch {
-	case p.kind == response && (p.headers || m.Status < 200 || m.Status == 204 || m.Status == 304):
-		p.body = none
+	case p.kind == response && (p.headResponse || m.Status < 200 || m.Status == 204 || m.Status == 304):
+		p.body = noBody
 	case codings > 0:
-		p.body = chunked
-	case lengths > 0 && p.length > 0:
-		p.body = byLength
+		p.body = chunkedBody
+	case lengths > 0 && p.contentLength > 0:
+		p.body = lengthBody
 	case lengths > 0 || p.kind == request:
-		p.body = none
+		p.body = noBody
 	default:
-		p.body = toClose
+		p.body = untilCloseBody
 	}
 	return nil
 }
 
-func length(v []byte, most int) (int, error) {
+// parseContentLength parses the value of a Content-Length field, which may be at most limit.
+func parseContentLength(v []byte, limit int) (int, error) {
 	if len(v) == 0 {
-		return 0, bad(400, "empty Content-Length")
+		return 0, malformed(400, "empty Content-Length")
 	}
 	n := 0
 	for _, c := range v {
 		if !digit(c) {
-			return 0, bad(400, "Content-Length %.30q", v)
+			return 0, malformed(400, "Content-Length %.30q", v)
 		}
-		if n = n*10 + int(c-'0'); n > most {
-			return 0, bad(413, "body over %d bytes", most)
+		if n = n*10 + int(c-'0'); n > limit {
+			return 0, malformed(413, "body over %d bytes", limit)
 		}
 	}
 	return n, nil
 }
 
-// parseChunks reads the chunks that are whole, then the trailers, which are checked and dropped.
+// parseChunks decodes the chunks that have arrived completely, and then checks and discards the trailers.
 func (p *Parser) parseChunks(b []byte) error {
-	for p.trailer == 0 {
-		line, err := p.line(b, p.Line)
+	for p.trailerSize == 0 {
+		line, err := p.readLine(b, p.Line)
 		if err != nil {
 			return err
 		}
-		size, err := chunkSize(line, p.Body-len(p.chunks))
+		size, err := chunkSize(line, p.Body-len(p.chunkedData))
 		if err != nil {
 			return err
 		}
-		data := p.at + len(line) + 2
+		data := p.offset + len(line) + 2
 		if size == 0 {
-			p.at, p.trailer = data, 1
+			p.offset, p.trailerSize = data, 1
 			break
 		}
 		if len(b) < data+size+2 {
 			return ErrIncomplete
 		}
 		if b[data+size] != '\r' || b[data+size+1] != '\n' {
-			return bad(400, "chunk longer than its size")
+			return malformed(400, "chunk longer than its size")
 		}
-		p.chunks = append(p.chunks, b[data:data+size]...)
-		p.at = data + size + 2
+		p.chunkedData = append(p.chunkedData, b[data:data+size]...)
+		p.offset = data + size + 2
 	}
 	for {
-		line, err := p.line(b, p.Head-p.trailer)
+		line, err := p.readLine(b, p.Head-p.trailerSize)
 		if err != nil {
 			return err
 		}
-		p.at += len(line) + 2
+		p.offset += len(line) + 2
 		if len(line) == 0 {
 			return nil
 		}
-		if p.trailer += len(line) + 2; p.trailer > p.Head {
-			return bad(431, "trailers over %d bytes", p.Head)
+		if p.trailerSize += len(line) + 2; p.trailerSize > p.Head {
+			return malformed(431, "trailers over %d bytes", p.Head)
 		}
-		if _, err := field(line); err != nil {
+		if _, err := parseField(line); err != nil {
 			return err
 		}
 	}
 }
 
-// line returns the line at p.at, without its end.
-func (p *Parser) line(b []byte, most int) ([]byte, error) {
-	rest := b[min(p.at, len(b)):]
+// readLine returns the line at p.offset without its line end. It returns an error if the line is longer than limit.
+func (p *Parser) readLine(b []byte, limit int) ([]byte, error) {
+	rest := b[min(p.offset, len(b)):]
 	nl := bytes.IndexByte(rest, '\n')
-	if nl > most || nl < 0 && len(rest) > most {
-		return nil, bad(400, "line in the body over %d bytes", most)
+	if nl > limit || nl < 0 && len(rest) > limit {
+		return nil, malformed(400, "line in the body over %d bytes", limit)
 	}
 	if nl < 0 {
 		return nil, ErrIncomplete
 	}
 	if nl == 0 || rest[nl-1] != '\r' || bytes.IndexByte(rest[:nl-1], '\r') >= 0 {
-		return nil, bad(400, "bare line feed or carriage return in a chunked body")
+		return nil, malformed(400, "bare line feed or carriage return in a chunked body")
 	}
 	return rest[:nl-1], nil
 }
 
-func chunkSize(line []byte, most int) (int, error) {
+// chunkSize parses a chunk-size line, and ignores chunk extensions. The size may be at most limit.
+func chunkSize(line []byte, limit int) (int, error) {
 	hex, ext, extended := bytes.Cut(line, []byte(";"))
 	if extended {
 		hex = bytes.TrimRight(hex, " \t")
-		if !value(ext) {
-			return 0, bad(400, "control character in a chunk extension")
+		if !isFieldValue(ext) {
+			return 0, malformed(400, "control character in a chunk extension")
 		}
 	}
 	if len(hex) == 0 {
-		return 0, bad(400, "chunk without a size")
+		return 0, malformed(400, "chunk without a size")
 	}
 	n := 0
 	for _, c := range hex {
@@ -517,10 +533,10 @@
 		case 'a' <= c && c <= 'f':
 			n = n*16 + int(c-'a') + 10
 		default:
-			return 0, bad(400, "chunk size %.20q", hex)
+			return 0, malformed(400, "chunk size %.20q", hex)
 		}
-		if n > most {
-			return 0, bad(413, "body over its bound")
+		if n > limit {
+			return 0, malformed(413, "body over its bound")
 		}
 	}
 	return n, nil
--- a/http1/orca.go
+++ b/http1/orca.go
@@ -7,15 +7,15 @@
 	"strconv"
 )
 
-// LoadHeader is the response field in which servers report their load (ORCA, as Envoy and gRPC publish it): a value
-// that begins with "TEXT " lists name=number pairs, one that begins with "JSON " holds an OrcaLoadReport in JSON.
+// LoadHeader is the response field in which servers report their load, in the ORCA formats that Envoy and gRPC use. A value
+// that starts with "TEXT " lists name=number pairs; one that starts with "JSON " holds an OrcaLoadReport in JSON.
 const LoadHeader = "endpoint-load-metrics"
 
-// LoadReport is what a report says, by the names of OrcaLoadReport: utilisations from 0 up, rates a second, and the
-// application's own measures by name.
+// LoadReport holds the measures of a load report by their names in OrcaLoadReport: utilizations, where 1 is full use, rates
+// per second, and application-defined measures under their own names.
 type LoadReport map[string]float64
 
-// orcaReport is the part of OrcaLoadReport that is read.
+// orcaReport is the part of OrcaLoadReport that is decoded.
 type orcaReport struct {
 	CPU         *float64           `json:"cpu_utilization"`
 	Mem         *float64           `json:"mem_utilization"`
@@ -27,27 +27,27 @@
 	RequestCost map[string]float64 `json:"request_cost"`
 }
 
-// most pairs that a report may hold; the rest is dropped.
-const mostMeasures = 16
+// maxMeasures is how many measures of a report are kept; further ones are dropped.
+const maxMeasures = 16
 
-// ParseLoadReport reads a load report in either form; what is no number, or not finite, or below 0, is left out. It returns
-// nil for what is no report at all.
+// ParseLoadReport parses a load report in either format. Measures that are not finite numbers, or are negative, are left
+// out. It returns nil if v is not a load report.
 func ParseLoadReport(v []byte) LoadReport {
 	form, rest, ok := bytes.Cut(v, []byte(" "))
 	if !ok {
 		return nil
 	}
-	l := LoadReport{}
+	report := LoadReport{}
 	switch string(form) {
 	case "TEXT":
 		for pair := range bytes.SplitSeq(rest, []byte(",")) {
-			name, num, ok := bytes.Cut(bytes.TrimSpace(pair), []byte("="))
+			name, number, ok := bytes.Cut(bytes.TrimSpace(pair), []byte("="))
 			if !ok {
 				continue
 			}
 			name = bytes.TrimPrefix(bytes.TrimSpace(name), []byte("named_metrics."))
-			if x, err := strconv.ParseFloat(string(bytes.TrimSpace(num)), 64); err == nil {
-				l.put(string(name), x)
+			if value, err := strconv.ParseFloat(string(bytes.TrimSpace(number)), 64); err == nil {
+				report.add(string(name), value)
 			}
 		}
 	case "JSON":
@@ -55,23 +55,24 @@
 		if json.Unmarshal(rest, &r) != nil {
 			return nil
 		}
-		for name, x := range map[string]*float64{"cpu_utilization": r.CPU, "mem_utilization": r.Mem,
+		for name, value := range map[string]*float64{"cpu_utilization": r.CPU, "mem_utilization": r.Mem,
 			"application_utilization": r.Application, "rps_fractional": r.RPS, "eps": r.EPS} {
-			if x != nil {
-				l.put(name, *x)
+			if value != nil {
+				report.add(name, *value)
 			}
 		}
-		for name, x := range r.Named {
-			l.put(name, x)
+		for name, value := range r.Named {
+			report.add(name, value)
 		}
 	default:
 		return nil
 	}
-	return l
+	return report
 }
 
-func (l LoadReport) put(name string, x float64) {
-	if name != "" && x >= 0 && !math.IsInf(x, 0) && !math.IsNaN(x) && len(l) < mostMeasures {
+// add adds a measure, unless its name is empty, its value is invalid or the report is full.
+func (l LoadReport) add(name string, x float64) {
+	if name != "" && x >= 0 && !math.IsInf(x, 0) && !math.IsNaN(x) && len(l) < maxMeasures {
 		l[name] = x
 	}
 }
--- a/http1/write.go
+++ b/http1/write.go
@@ -5,35 +5,36 @@
 	"strconv"
 )
 
-var reasons = map[int]string{
+// reasonPhrases are the reason phrases of the statuses that are sent, by status.
+var reasonPhrases = map[int]string{
 	200: "OK", 204: "No Content", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed", 408: "Request Timeout",
 	413: "Content Too Large", 414: "URI Too Long", 429: "Too Many Requests", 431: "Request Header Fields Too Large",
 	500: "Internal Server Error", 501: "Not Implemented", 502: "Bad Gateway", 503: "Service Unavailable",
 	504: "Gateway Timeout", 505: "HTTP Version Not Supported",
 }
 
-// UnrunHeader marks a refusal by a server as proof that the op did not run.
+// UnrunHeader is the response field by which a server states that it rejected the op without running it.
 const UnrunHeader = "Op-Unrun"
 
-// AppendStatus appends the status line of a response; its fields follow.
+// AppendStatus appends the status line of a response. The caller appends the fields next.
 func AppendStatus(b []byte, status int) []byte {
 	b = append(b, "HTTP/1.1 "...)
 	b = strconv.AppendInt(b, int64(status), 10)
 	b = append(b, ' ')
-	reason := reasons[status]
-	if reason == "" {
-		reason = "Status"
+	phrase := reasonPhrases[status]
+	if phrase == "" {
+		phrase = "Status"
 	}
-	return append(append(b, reason...), "\r\n"...)
+	return append(append(b, phrase...), "\r\n"...)
 }
 
-// AppendRequest appends the first line of a request; its fields follow.
+// AppendRequest appends the first line of a request. The caller appends the fields next.
 func AppendRequest(b, method, target []byte) []byte {
 	b = append(append(b, method...), ' ')
 	return append(append(b, target...), " HTTP/1.1\r\n"...)
 }
 
-// AddConnectionClose returns a response with a field that says that its connection closes after it.
+// AddConnectionClose returns a copy of a response with a field that announces that the connection closes after it.
 func AddConnectionClose(response []byte) []byte {
 	end := bytes.IndexByte(response, '\n') + 1
 	b := make([]byte, 0, len(response)+32)
@@ -42,13 +43,13 @@
 	return append(b, response[end:]...)
 }
 
-// AppendField appends one field. Name and value are the caller's to keep free of line ends.
+// AppendField appends one field. The caller must ensure that name and value contain no line ends.
 func AppendField[T ~string | ~[]byte](b []byte, name string, value T) []byte {
 	b = append(append(b, name...), ": "...)
 	return append(append(b, value...), "\r\n"...)
 }
 
-// AppendBody ends the head and appends a body of known length.
+// AppendBody appends a Content-Length field, the end of the head, and the body.
 func AppendBody(b, body []byte) []byte {
 	b = append(b, "Content-Length: "...)
 	b = strconv.AppendInt(b, int64(len(body)), 10)
@@ -56,10 +57,11 @@
 	return append(b, body...)
 }
 
-// AppendForwardedBody ends the head of a response that is passed on and appends its body. One without a body by its nature, to a
-// HEAD request or of status 204 or 304, keeps the length that its server stated, if that may be stated at all.
-func AppendForwardedBody(b []byte, m *Message, head bool) []byte {
-	if !head && m.Status != 204 && m.Status != 304 {
+// AppendForwardedBody appends the end of the head of a forwarded response, and its body. A response that has no body by
+// definition, to a HEAD request (isHead) or with status 204 or 304, keeps the Content-Length that its server stated, except
+// with status 204, where the field is not allowed.
+func AppendForwardedBody(b []byte, m *Message, isHead bool) []byte {
+	if !isHead && m.Status != 204 && m.Status != 304 {
 		return AppendBody(b, m.Body)
 	}
 	if n := m.Get("Content-Length"); n != nil && m.Status != 204 {
@@ -68,13 +70,14 @@
 	return append(b, "\r\n"...)
 }
 
-// hops are the fields that belong to one connection and are never passed on (RFC 9110, 7.6.1); an Expect has been met by
-// then, for a request is whole before it travels on.
-var hops = []string{"Connection", "Proxy-Connection", "Keep-Alive", "TE", "Trailer", "Transfer-Encoding", "Upgrade",
+// hopByHopFields are the fields that apply to one connection and are never forwarded (RFC 9110, 7.6.1). Content-Length is
+// among them because AppendBody writes it anew, and Expect because a request is forwarded only once it has been received
+// completely.
+var hopByHopFields = []string{"Connection", "Proxy-Connection", "Keep-Alive", "TE", "Trailer", "Transfer-Encoding", "Upgrade",
 	"Content-Length", "Expect"}
 
-// AppendForwardedFields appends the fields of a message that may travel on: those of the connection, those that a Connection
-// field names and the length, which AppendBody writes anew, stay behind.
+// AppendForwardedFields appends the fields of a message that may be forwarded: all except the hop-by-hop fields and those
+// that a Connection field names.
 func AppendForwardedFields(b []byte, m *Message) []byte {
 	var named []byte
 	for _, f := range m.Fields {
@@ -83,7 +86,7 @@
 		}
 	}
 	for _, f := range m.Fields {
-		if ownHop(f.Name) || listed(named, f.Name) {
+		if isHopByHop(f.Name) || listContains(named, f.Name) {
 			continue
 		}
 		b = append(append(b, f.Name...), ": "...)
@@ -92,17 +95,18 @@
 	return b
 }
 
-func ownHop(name []byte) bool {
-	for _, h := range hops {
-		if equalFold(name, h) {
+// isHopByHop reports whether a field must not be forwarded.
+func isHopByHop(name []byte) bool {
+	for _, field := range hopByHopFields {
+		if equalFold(name, field) {
 			return true
 		}
 	}
 	return false
 }
 
-// listed tells whether a comma-separated list holds a name.
-func listed(list, name []byte) bool {
+// listContains reports whether a comma-separated list contains a name, ignoring case.
+func listContains(list, name []byte) bool {
 	for len(list) > 0 {
 		end := 0
 		for end < len(list) && list[end] != ',' {
--- a/proxy/admin.go
+++ b/proxy/admin.go
@@ -13,7 +13,7 @@
 	"vetchdoor/session"
 )
 
-// commands are those of the socket for people.
+// commands returns the commands of the admin socket.
 func (p *Proxy) commands() []session.Command {
 	return []session.Command{
 		{Words: "show tenant", Help: "[NAME]: tenants with a limit or a binding, as this proxy has them", Do: p.showTenant},
@@ -30,21 +30,21 @@
 	}
 }
 
-// Info is what show info prints.
+// Info returns the output of the admin command show info.
 func (p *Proxy) Info() string {
 	var b strings.Builder
 	_ = p.showInfo(&b, runtime.Command{})
 	return b.String()
 }
 
-// Stat is what show stat prints.
+// Stat returns the output of the admin command show stat.
 func (p *Proxy) Stat() string {
 	var b strings.Builder
 	_ = p.showStat(&b, runtime.Command{})
 	return b.String()
 }
 
-// TenantInfo is what show tenant prints of one.
+// TenantInfo returns the output of the admin command show tenant for one tenant.
 func (p *Proxy) TenantInfo(name string) string {
 	var b strings.Builder
 	_ = p.showTenant(&b, runtime.Command{Words: []string{"show", "tenant", "=" + name}})
@@ -52,28 +52,28 @@
 }
 
 func (p *Proxy) showInfo(w io.Writer, c runtime.Command) error {
-	t := p.now.Load()
+	t := p.current.Load()
 	fmt.Fprintf(w, "Name: vetchdoor\nRole: proxy\nProxy: %d\nZone: %s\nUptime_sec: %d\n", p.file.ID, p.file.Zone,
 		int(time.Since(p.started).Seconds()))
-	fmt.Fprintf(w, "Pilot: %s\nRun: %d\nMessage: %d\nJoined: %t\n", t.pilot, t.run, t.number, p.orders.joined())
-	fmt.Fprintf(w, "Ops: %d\nAcked: %d\nRejected: %d\nAborted: %d\nRetried: %d\nConnections: %d\nApplied: %d\nApplied_again: %d\n", p.tally.ops.Load(),
-		p.tally.acked.Load(), p.tally.rejected.Load(), p.tally.aborted.Load(), p.tally.retried.Load(), p.pool.OpenConnections(),
-		p.tally.applied.Load(), p.tally.again.Load())
+	fmt.Fprintf(w, "Pilot: %s\nRun: %d\nMessage: %d\nJoined: %t\n", t.pilot, t.run, t.number, p.pilotClient.joined())
+	fmt.Fprintf(w, "Ops: %d\nAcked: %d\nRejected: %d\nAborted: %d\nRetried: %d\nConnections: %d\nApplied: %d\nApplied_again: %d\n", p.counters.ops.Load(),
+		p.counters.acked.Load(), p.counters.rejected.Load(), p.counters.aborted.Load(), p.counters.retried.Load(), p.pool.OpenConnections(),
+		p.counters.applied.Load(), p.counters.appliedAgain.Load())
 	if p.ExtraInfo != nil {
 		p.ExtraInfo(w)
 	}
-	fmt.Fprintf(w, "Held: %d\nBorrowed: %d\nUnplaced: %d\nBindings: %d\nBindings_behind: %t\n", p.tally.held.Load(), p.tally.borrowed.Load(),
-		p.tally.unplaced.Load(), len(t.bindings.of), p.keeper.behind())
+	fmt.Fprintf(w, "Held: %d\nBorrowed: %d\nUnplaced: %d\nBindings: %d\nBindings_behind: %t\n", p.counters.held.Load(), p.counters.borrowed.Load(),
+		p.counters.unplaced.Load(), len(t.bindings.byTenant), p.bindingStore.behind())
 	return nil
 }
 
 func (p *Proxy) showTenant(w io.Writer, c runtime.Command) error {
-	t, now := p.now.Load(), time.Since(p.started)
+	t, now := p.current.Load(), time.Since(p.started)
 	names := map[string]bool{}
 	for name := range t.limits {
 		names[name] = true
 	}
-	for name := range t.bindings.of {
+	for name := range t.bindings.byTenant {
 		names[name] = true
 	}
 	if len(c.Words) > 2 {
@@ -81,27 +81,28 @@
 	}
 	fmt.Fprintln(w, "# tenant,rate,hand,fenced,room,seat,number,writes,")
 	for _, name := range slices.Sorted(maps.Keys(names)) {
-		l, limited := t.limits[name]
+		limit, limited := t.limits[name]
 		if !limited {
-			l = unlimited
+			limit = unlimited
 		}
-		b, writes := t.bindings.of[name], "open"
-		if _, bound := t.bindings.of[name]; bound && !b.Writes(now, t.bindings.wait) {
+		binding, writes := t.bindings.byTenant[name], "open"
+		if _, bound := t.bindings.byTenant[name]; bound && !binding.Writes(now, t.bindings.writeWait) {
 			writes = "held"
 		}
-		fmt.Fprintf(w, "%s,%g,%g,%t,%g,%s,%d,%s,\n", runtime.Quote("="+name), l.Rate, l.Hand, l.Fenced, l.Room, b.Seat, b.Number, writes)
+		fmt.Fprintf(w, "%s,%g,%g,%t,%g,%s,%d,%s,\n", runtime.Quote("="+name), limit.Rate, limit.Hand, limit.Fenced, limit.Room, binding.Seat, binding.Number, writes)
 	}
 	return nil
 }
 
-// each calls f for each table in force, the standing one first.
-func (t *tables) each(f func(*table)) {
+// forEachTable calls f once for each table in force: the standing table first, then the tables that op types are mapped to,
+// then the other named tables by ID.
+func (t *tables) forEachTable(f func(*table)) {
 	f(t.standing)
 	seen := map[*table]bool{t.standing: true}
-	for _, x := range t.byType {
-		if !seen[x] {
-			seen[x] = true
-			f(x)
+	for _, tbl := range t.byType {
+		if !seen[tbl] {
+			seen[tbl] = true
+			f(tbl)
 		}
 	}
 	var ids []control.TableID
@@ -110,15 +111,17 @@
 	}
 	slices.Sort(ids)
 	for _, id := range ids {
-		if x := t.named[id]; !seen[x] {
-			f(x)
+		if tbl := t.named[id]; !seen[tbl] {
+			f(tbl)
 		}
 	}
 }
 
+// status returns a server's state as the admin commands print it: DRAIN if it is withdrawn, DOWN if the proxy avoids it,
+// else UP.
 func (t *tables) status(e *server, now time.Time) string {
 	switch {
-	case t.out[e.id]:
+	case t.drained[e.id]:
 		return "DRAIN"
 	case e.avoided(now):
 		return "DOWN"
@@ -127,23 +130,23 @@
 }
 
 func (p *Proxy) showStat(w io.Writer, c runtime.Command) error {
-	t, now := p.now.Load(), time.Now()
+	t, now := p.current.Load(), time.Now()
 	fmt.Fprintln(w, "# pxname,svname,status,weight,addr,")
-	t.each(func(x *table) {
-		for _, l := range x.lines {
-			fmt.Fprintf(w, "%s,e%d,%s,%g,%s,\n", x.name, l.server.id, t.status(l.server, now), l.weight, l.server.address)
+	t.forEachTable(func(tbl *table) {
+		for _, l := range tbl.lines {
+			fmt.Fprintf(w, "%s,e%d,%s,%g,%s,\n", tbl.name, l.server.id, t.status(l.server, now), l.weight, l.server.address)
 		}
 	})
 	return nil
 }
 
 func (p *Proxy) showServers(w io.Writer, c runtime.Command) error {
-	t, now := p.now.Load(), time.Now()
+	t, now := p.current.Load(), time.Now()
 	fmt.Fprintln(w, "1\n# be_name srv_name srv_addr srv_port srv_uweight srv_op_state srv_zone srv_pack")
-	t.each(func(x *table) {
-		for _, l := range x.lines {
+	t.forEachTable(func(tbl *table) {
+		for _, l := range tbl.lines {
 			e := l.server
-			fmt.Fprintf(w, "%s e%d %s %d %g %s %d %d\n", x.name, e.id, e.Address.Addr(), e.Address.Port(), l.weight,
+			fmt.Fprintf(w, "%s e%d %s %d %g %s %d %d\n", tbl.name, e.id, e.Address.Addr(), e.Address.Port(), l.weight,
 				t.status(e, now), e.Zone, e.Pack)
 		}
 	})
@@ -151,22 +154,23 @@
 }
 
 func (p *Proxy) showMap(w io.Writer, c runtime.Command) error {
-	t := p.now.Load()
-	for i, x := range t.byType {
-		fmt.Fprintf(w, "%d %s %s\n", i, p.types[i].name, x.name)
+	t := p.current.Load()
+	for i, tbl := range t.byType {
+		fmt.Fprintf(w, "%d %s %s\n", i, p.types[i].name, tbl.name)
 	}
 	return nil
 }
 
 func (p *Proxy) showLevels(w io.Writer, c runtime.Command) error {
-	t := p.now.Load()
+	t := p.current.Load()
 	for i := range p.types {
-		l := t.level(i, p.file.Service.Again())
-		fmt.Fprintf(w, "%d %s %g %d\n", i, p.types[i].name, l.share, l.again)
+		lvl := t.level(i, p.file.Service.Again())
+		fmt.Fprintf(w, "%d %s %g %d\n", i, p.types[i].name, lvl.share, lvl.retry)
 	}
 	return nil
 }
 
+// setServer drains a server or makes it ready on an operator's command. The state holds until the pilot changes it.
 func (p *Proxy) setServer(w io.Writer, c runtime.Command) error {
 	change, err := runtime.ParseChange(c.Words)
 	if err != nil {
@@ -175,8 +179,8 @@
 	if change.Verb != runtime.SetState {
 		return fmt.Errorf("weights are the pilot's; only %s", strings.TrimSpace("set server */eN state drain|ready"))
 	}
-	p.mu.Lock() // no message of the pilot's between what is read and what is written
+	p.mu.Lock() // no message of the pilot may be applied between reading the tables and changing them
 	defer p.mu.Unlock()
-	t := p.now.Load()
-	return p.bring(&runtime.Message{Pilot: t.pilot, Run: t.run, Number: t.number, Changes: []runtime.Change{change}})
+	t := p.current.Load()
+	return p.applyLocked(&runtime.Message{Pilot: t.pilot, Run: t.run, Number: t.number, Changes: []runtime.Change{change}})
 }
--- a/proxy/admin_test.go
+++ b/proxy/admin_test.go
@@ -48,7 +48,7 @@
 		if err := p.apply(&runtime.Message{Pilot: "q", Run: 1, Number: n}); err != nil {
 			t.Error(err)
 		}
-		if at := p.now.Load().number; at < n {
+		if at := p.current.Load().number; at < n {
 			t.Errorf("at message %d after %d was applied", at, n)
 		}
 	}
--- a/proxy/apply_queued.go
+++ b/proxy/apply_queued.go
@@ -7,67 +7,70 @@
 	"vetchdoor/runtime"
 )
 
-// Reasons for which a message is refused; they are sent to the pilot.
+// Errors for a message that is refused because of its position in the sequence. Their texts are sent to the pilot.
 var (
 	errOtherRun       = errors.New("a message of another run than the stream's")
 	errOlderRun       = errors.New("a message of an older run than what is in force")
 	errMessageMissing = errors.New("a message is missing before this one")
 )
 
-// applyQueued applies the queued messages, in order, until the stream ends; what is left then is dropped, and the pilot, which
-// has no confirmation of it, sends it again or anew.
+// applyQueued applies the queued messages in order until the stream ends. Messages still queued at that point are dropped:
+// the pilot has no confirmation of them and sends them, or newer ones, on the next stream.
 func (s *pilotStream) applyQueued() {
 	for {
 		select {
 		case <-s.closed:
 			return
 		case m := <-s.queue:
-			if !s.stall(m) {
+			if !s.waitApplyDelay(m) {
 				return
 			}
 			s.apply(m)
-			s.free(m.Lines)
+			s.releaseLines(m.Lines)
 		}
 	}
 }
 
-// stall waits as long as a rehearsal has the proxy wait before it applies a message; false if the stream ended meanwhile.
-func (s *pilotStream) stall(m *runtime.Message) bool {
-	applyFor := s.orders.proxy.ApplyDelay
-	if applyFor == nil {
+// waitApplyDelay waits for the delay that Proxy.ApplyDelay returns for a message. It returns false if the stream ends
+// meanwhile.
+func (s *pilotStream) waitApplyDelay(m *runtime.Message) bool {
+	applyDelay := s.client.proxy.ApplyDelay
+	if applyDelay == nil {
 		return true
 	}
-	d := applyFor(m)
-	if d <= 0 {
+	delay := applyDelay(m)
+	if delay <= 0 {
 		return true
 	}
 	select {
-	case <-time.After(d):
+	case <-time.After(delay):
 		return true
 	case <-s.closed:
 		return false
 	}
 }
 
-// apply applies a message unless it has been applied already, and confirms it. One that cannot be applied ends the stream.
+// apply applies a message, unless it has been applied already, and confirms it to the pilot. If the message cannot be
+// applied, the stream ends.
 func (s *pilotStream) apply(m *runtime.Message) {
-	p := s.orders.proxy
-	duplicate, err := s.checkOrder(m, p.now.Load())
+	p := s.client.proxy
+	duplicate, err := s.checkOrder(m, p.current.Load())
 	if duplicate {
-		p.tally.again.Add(1)
+		p.counters.appliedAgain.Add(1)
 	} else if err == nil {
 		err = p.apply(m)
 	}
 	if err != nil {
-		s.refuseMessage(m, err)
+		s.rejectMessage(m, err)
 		return
 	}
 	confirmation := runtime.InForce{Run: m.Run, Number: m.Number, Checkpoint: m.Checkpoint, Again: duplicate}
 	_ = s.conn.Send(confirmation.Append(nil))
 }
 
-// checkOrder tells whether a message has been applied already. It refuses one of another run than the stream's, or of an older
-// one than is in force, and one with a gap before it.
+// checkOrder reports whether a message has been applied already. It returns an error if the message belongs to another pilot
+// or run than the stream, to an older run than the tables in force, or, on a resumed stream, does not directly follow the
+// last applied message.
 func (s *pilotStream) checkOrder(m *runtime.Message, inForce *tables) (duplicate bool, err error) {
 	samePilot := m.Pilot == inForce.pilot
 	sameRun := samePilot && m.Run == inForce.run
@@ -84,9 +87,9 @@
 	return false, nil
 }
 
-// refuseMessage tells the pilot why a message was not applied, and ends the stream.
-func (s *pilotStream) refuseMessage(m *runtime.Message, err error) {
-	s.orders.log.Warn("message refused", "run", m.Run, "number", m.Number, "error", err)
+// rejectMessage tells the pilot why a message was not applied, and ends the stream.
+func (s *pilotStream) rejectMessage(m *runtime.Message, err error) {
+	s.client.log.Warn("message refused", "run", m.Run, "number", m.Number, "error", err)
 	_ = s.conn.Send(runtime.Refused{Run: m.Run, Number: m.Number, Reason: err.Error()}.Append(nil))
 	s.conn.End()
 }
--- a/proxy/bindings.go
+++ b/proxy/bindings.go
@@ -18,42 +18,45 @@
 	"vetchdoor/tenancy"
 )
 
-// bindings are the tenants that are not where their names draw them, or were lately not. A change makes new ones.
+// bindings are the placements of tenants that differ from the default, which the tenant's name determines, or did so
+// recently. A value is immutable once published; every change makes a new one.
 type bindings struct {
-	of    map[string]tenancy.Binding
-	pilot string // whose orders they are; all of them up to the number. Empty: not all of anybody's
-	upTo  uint64
-	wait  time.Duration // what a write and its repeats may take
+	byTenant  map[string]tenancy.Binding
+	pilot     string        // the pilot whose orders up to upTo are all included; empty if no pilot's are complete
+	upTo      uint64        // order number
+	writeWait time.Duration // how long after the last write a repeat of it may still be in progress
 
-	// untold says that bindings are kept, so that tenants may have been moved, and no pilot has ever told this proxy which were.
-	untold bool
+	// unsynced is true if bindings are persisted, so that tenants may have been moved, but no pilot has yet sent this proxy
+	// a complete set.
+	unsynced bool
 }
 
-// holds tells whether a tenant's writes are to wait.
-func (b *bindings) holds(tenant string, t *control.OpType, now time.Duration) bool {
+// holdsWrites reports whether ops of type t must be rejected for now because they write and their tenant is being moved.
+func (b *bindings) holdsWrites(tenant string, t *control.OpType, now time.Duration) bool {
 	if t.Repeat == control.Retryable {
 		return false
 	}
-	x, bound := b.of[tenant]
-	return bound && !x.Writes(now, b.wait)
+	binding, bound := b.byTenant[tenant]
+	return bound && !binding.Writes(now, b.writeWait)
 }
 
-// take returns the bindings after a message and those that it changed, by tenant.
-func (b *bindings) take(m *runtime.Message, now time.Duration) (*bindings, map[string]tenancy.Binding) {
+// apply returns the bindings after a message, and the bindings that it changed, by tenant. If the message holds no binding
+// it returns b itself.
+func (b *bindings) apply(m *runtime.Message, now time.Duration) (*bindings, map[string]tenancy.Binding) {
 	any := func(c runtime.Change) bool { return c.Verb == runtime.SetBinding || c.Verb == runtime.ClearBindings }
 	if !slices.ContainsFunc(m.Changes, any) {
 		return b, nil
 	}
 	next := *b
 	n, changed := &next, map[string]tenancy.Binding{}
-	n.of = maps.Clone(b.of)
+	n.byTenant = maps.Clone(b.byTenant)
 	set := func(tenant string, number uint64, seat tenancy.Seat, held bool) {
-		x, ok := n.of[tenant]
+		x, ok := n.byTenant[tenant]
 		if !ok {
 			x = tenancy.Bound()
 		}
-		n.of[tenant] = x.Take(now, n.wait, m.Pilot, number, seat, held)
-		changed[tenant] = n.of[tenant]
+		n.byTenant[tenant] = x.Take(now, n.writeWait, m.Pilot, number, seat, held)
+		changed[tenant] = n.byTenant[tenant]
 	}
 	for _, c := range m.Changes {
 		switch c.Verb {
@@ -65,67 +68,72 @@
 				n.upTo = max(n.upTo, c.Number)
 			}
 		case runtime.ClearBindings:
-			n.pilot, n.upTo, n.untold = m.Pilot, c.Number, false
-			for name, x := range n.of {
+			n.pilot, n.upTo, n.unsynced = m.Pilot, c.Number, false
+			for name, x := range n.byTenant {
 				if x.Pilot != m.Pilot || x.Number <= c.Number {
 					set(name, c.Number, tenancy.Seat{}, false)
 				}
-				n.upTo = max(n.upTo, n.of[name].Number)
+				n.upTo = max(n.upTo, n.byTenant[name].Number)
 			}
 		}
 	}
 	return n, changed
 }
 
-// sweep leaves out those that are home again and open, which are none.
-func (b *bindings) sweep(now time.Duration) (*bindings, map[string]tenancy.Binding) {
-	gone := map[string]tenancy.Binding{}
-	for name, x := range b.of {
-		if !x.Held && x.Seat.Equal(tenancy.Seat{}) && x.Writes(now, b.wait) && x.Number <= b.upTo {
-			gone[name] = x
+// dropDefaults returns the bindings without those that equal the default placement and admit writes, and the dropped ones by
+// tenant. A binding newer than upTo is kept. If nothing is dropped it returns b itself.
+func (b *bindings) dropDefaults(now time.Duration) (*bindings, map[string]tenancy.Binding) {
+	dropped := map[string]tenancy.Binding{}
+	for name, binding := range b.byTenant {
+		if !binding.Held && binding.Seat.Equal(tenancy.Seat{}) && binding.Writes(now, b.writeWait) && binding.Number <= b.upTo {
+			dropped[name] = binding
 		}
 	}
-	if len(gone) == 0 {
+	if len(dropped) == 0 {
 		return b, nil
 	}
-	n := *b
-	n.of = maps.Clone(b.of)
-	for name := range gone {
-		delete(n.of, name)
+	remaining := *b
+	remaining.byTenant = maps.Clone(b.byTenant)
+	for name := range dropped {
+		delete(remaining.byTenant, name)
 	}
-	return &n, gone
+	return &remaining, dropped
 }
 
-// keeper keeps bindings on disk: a file of lines, the newest of a tenant counts, the last of all says whose they are. It is
-// written beside the proxy's work; what applies a message waits for it a moment, no longer.
-type keeper struct {
-	path  string
-	log   *slog.Logger
-	mu    sync.Mutex
-	all   *bindings // the newest, to be written
-	next  map[string]tenancy.Binding
-	waits []chan struct{}
-	late  bool
-	wake  chan struct{}
-	done  chan struct{}
-	lines int
-	end   sync.Once
+// bindingStore persists bindings in a file of JSON lines. The newest line of a tenant counts, and the last line without a
+// tenant names the pilot whose orders the bindings are. A goroutine writes the file; the application of a message waits for
+// it for at most maxSaveWait.
+type bindingStore struct {
+	path      string
+	log       *slog.Logger
+	mu        sync.Mutex                 // guards latest, pending, waiters and lagging
+	latest    *bindings                  // newest bindings, to be written
+	pending   map[string]tenancy.Binding // bindings changed since the last write
+	waiters   []chan struct{}            // closed after the next write
+	lagging   bool                       // the last write failed or was too slow; message application no longer waits
+	wake      chan struct{}              // signals run that there is something to write
+	done      chan struct{}              // closed when run returns
+	lines     int                        // lines in the file
+	closeOnce sync.Once
 }
 
-// keptLine is a line of the file.
-type keptLine struct {
+// storedLine is one line of the file. A line with a tenant sets or removes its binding. A line without one states whose
+// orders the bindings are.
+type storedLine struct {
 	Tenant  *string          `json:"tenant,omitempty"`
-	Binding *tenancy.Binding `json:"binding,omitempty"` // none: the tenant is home
+	Binding *tenancy.Binding `json:"binding,omitempty"` // nil: the tenant has its default placement
 	Pilot   string           `json:"pilot,omitempty"`
-	UpTo    uint64           `json:"up_to,omitempty"`
+	UpTo    uint64           `json:"up_to,omitempty"` // number of the last order included
 }
 
-// patience is how long a message waits for the disk.
-const patience = 200 * time.Millisecond
+// maxSaveWait is how long the application of a message waits for its bindings to be written to disk.
+const maxSaveWait = 200 * time.Millisecond
 
-// openBindings reads what was kept; without a path nothing is.
-func openBindings(path string, wait, now time.Duration, log *slog.Logger) (*bindings, *keeper, error) {
-	b := &bindings{of: map[string]tenancy.Binding{}, wait: wait}
+// openBindings reads the stored bindings and opens the store. With an empty path nothing is persisted and the store is nil.
+// wait is the duration for which writes of a moved tenant are held; now is the time since the proxy's start. It returns an
+// error if the file cannot be read or written, or a complete line of it cannot be parsed.
+func openBindings(path string, wait, now time.Duration, log *slog.Logger) (*bindings, *bindingStore, error) {
+	b := &bindings{byTenant: map[string]tenancy.Binding{}, writeWait: wait}
 	if path == "" {
 		return b, nil, nil
 	}
@@ -133,110 +141,114 @@
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, nil, err
 	}
-	b.untold = true
+	b.unsynced = true
 	lines := bytes.Split(text, []byte("\n"))
 	for i, line := range lines {
-		var l keptLine
-		if i == len(lines)-1 { // what stands behind the last line's end was cut off while it was written, and never confirmed
+		var stored storedLine
+		if i == len(lines)-1 { // empty, or a line cut off while it was written, which was never confirmed
 			break
 		}
-		if err := json.Unmarshal(line, &l); err != nil {
-			return nil, nil, fmt.Errorf("%s:%d: not a line of bindings, or torn: %w; without the file the proxy starts as a new one", path, i+1, err)
+		if err := json.Unmarshal(line, &stored); err != nil {
+			return nil, nil, fmt.Errorf("%s:%d: corrupt line of tenant bindings: %w; without the file the proxy starts with none",
+				path, i+1, err)
 		}
 		switch {
-		case l.Tenant != nil && l.Binding != nil:
-			b.of[*l.Tenant] = l.Binding.Kept(now)
-		case l.Tenant != nil:
-			delete(b.of, *l.Tenant)
+		case stored.Tenant != nil && stored.Binding != nil:
+			b.byTenant[*stored.Tenant] = stored.Binding.Kept(now)
+		case stored.Tenant != nil:
+			delete(b.byTenant, *stored.Tenant)
 		default:
-			b.pilot, b.upTo = l.Pilot, l.UpTo
-			b.untold = b.untold && l.Pilot == ""
+			b.pilot, b.upTo = stored.Pilot, stored.UpTo
+			b.unsynced = b.unsynced && stored.Pilot == ""
 		}
 	}
-	k := &keeper{path: path, log: log, wake: make(chan struct{}, 1), done: make(chan struct{}), all: b}
-	if err := k.anew(b); err != nil {
+	k := &bindingStore{path: path, log: log, wake: make(chan struct{}, 1), done: make(chan struct{}), latest: b}
+	if err := k.rewrite(b); err != nil {
 		return nil, nil, err
 	}
 	return b, k, nil
 }
 
-func appendLine(out []byte, l keptLine) []byte {
+func appendLine(out []byte, l storedLine) []byte {
 	text, err := json.Marshal(l)
-	if err != nil { // none of its fields can fail
+	if err != nil { // cannot happen: every field type marshals
 		panic(err)
 	}
 	return append(append(out, text...), '\n')
 }
 
-// whose is the line that says whose the bindings are.
-func (b *bindings) whose(out []byte) []byte {
-	return appendLine(out, keptLine{Pilot: b.pilot, UpTo: b.upTo})
+// appendOwner appends the line that states whose orders the bindings are.
+func (b *bindings) appendOwner(out []byte) []byte {
+	return appendLine(out, storedLine{Pilot: b.pilot, UpTo: b.upTo})
 }
 
-// anew writes the whole file.
-func (k *keeper) anew(b *bindings) error {
+// rewrite replaces the file with one that holds only the given bindings.
+func (k *bindingStore) rewrite(b *bindings) error {
 	var out []byte
-	for _, name := range slices.Sorted(maps.Keys(b.of)) {
-		x := b.of[name]
-		out = appendLine(out, keptLine{Tenant: &name, Binding: &x})
+	for _, name := range slices.Sorted(maps.Keys(b.byTenant)) {
+		binding := b.byTenant[name]
+		out = appendLine(out, storedLine{Tenant: &name, Binding: &binding})
 	}
-	k.lines = len(b.of) + 1
-	return files.Replace(k.path, b.whose(out))
+	k.lines = len(b.byTenant) + 1
+	return files.Replace(k.path, b.appendOwner(out))
 }
 
-// keep has a change written and waits for it a moment.
-func (k *keeper) keep(all *bindings, changed map[string]tenancy.Binding) {
+// save queues changed bindings for writing, and waits for the write for at most maxSaveWait. all are the bindings after the
+// change.
+func (k *bindingStore) save(all *bindings, changed map[string]tenancy.Binding) {
 	if k == nil {
 		return
 	}
 	written := make(chan struct{})
 	k.mu.Lock()
-	if k.all = all; k.next == nil {
-		k.next = map[string]tenancy.Binding{}
+	if k.latest = all; k.pending == nil {
+		k.pending = map[string]tenancy.Binding{}
 	}
-	maps.Copy(k.next, changed)
-	k.waits = append(k.waits, written)
-	late := k.late
+	maps.Copy(k.pending, changed)
+	k.waiters = append(k.waiters, written)
+	lagging := k.lagging
 	k.mu.Unlock()
 	select {
 	case k.wake <- struct{}{}:
 	default:
 	}
-	if late { // it was too slow already; nobody waits for it until it has caught up
+	if lagging { // the disk is already too slow or failing: do not wait until a write has succeeded
 		return
 	}
 	select {
 	case <-written:
-	case <-time.After(patience):
-		k.log.Error("the disk is slow: bindings of tenants are in force before they are kept", "file", k.path)
+	case <-time.After(maxSaveWait):
+		k.log.Error("slow disk: tenant bindings take effect before they are written", "file", k.path)
 		k.mu.Lock()
-		k.late = true
+		k.lagging = true
 		k.mu.Unlock()
 	}
 }
 
-func (k *keeper) start() {
+// start starts the goroutine that writes the file.
+func (k *bindingStore) start() {
 	if k != nil {
 		go k.run()
 	}
 }
 
-func (k *keeper) run() {
+// run writes the file on each wake signal until close.
+func (k *bindingStore) run() {
 	defer close(k.done)
 	for range k.wake {
 		k.mu.Lock()
-		all, next, waits := k.all, k.next, k.waits
-		k.next, k.waits = nil, nil
+		all, changed, waits := k.latest, k.pending, k.waiters
+		k.pending, k.waiters = nil, nil
 		k.mu.Unlock()
 		if len(waits) == 0 {
 			continue
 		}
-		err := k.write(all, next)
+		err := k.write(all, changed)
 		k.mu.Lock()
-		k.late = err != nil
+		k.lagging = err != nil
 		k.mu.Unlock()
 		if err != nil {
-			k.log.Error("bindings of tenants could not be kept on disk", "file", k.path, "error", err)
+			k.log.Error("tenant bindings could not be written to disk", "file", k.path, "error", err)
 		}
 		for _, w := range waits {
 			close(w)
@@ -244,47 +256,49 @@
 	}
 }
 
-// write appends what changed, or writes all anew where the file has grown long or the last write failed.
-func (k *keeper) write(all *bindings, next map[string]tenancy.Binding) error {
+// write appends the changed bindings to the file. It rewrites the whole file instead if the last write failed or was too
+// slow, or if the file holds more than 1000 lines beyond four per binding.
+func (k *bindingStore) write(all *bindings, changed map[string]tenancy.Binding) error {
 	k.mu.Lock()
-	failed := k.late
+	failed := k.lagging
 	k.mu.Unlock()
-	if k.lines > 4*len(all.of)+1000 || failed {
-		return k.anew(all)
+	if k.lines > 4*len(all.byTenant)+1000 || failed {
+		return k.rewrite(all)
 	}
 	var out []byte
-	for _, name := range slices.Sorted(maps.Keys(next)) {
-		l := keptLine{Tenant: &name}
-		if x, ok := all.of[name]; ok {
-			l.Binding = &x
+	for _, name := range slices.Sorted(maps.Keys(changed)) {
+		stored := storedLine{Tenant: &name}
+		if binding, ok := all.byTenant[name]; ok {
+			stored.Binding = &binding
 		}
-		out = appendLine(out, l)
+		out = appendLine(out, stored)
 	}
-	k.lines += len(next) + 1
+	k.lines += len(changed) + 1
 	f, err := os.OpenFile(k.path, os.O_APPEND|os.O_WRONLY, 0)
 	if err != nil {
 		return err
 	}
-	_, err = f.Write(all.whose(out))
+	_, err = f.Write(all.appendOwner(out))
 	if err == nil {
 		err = f.Sync()
 	}
 	return errors.Join(err, f.Close())
 }
 
-// behind tells whether the disk does not keep up.
-func (k *keeper) behind() bool {
+// behind reports whether the disk is too slow or its writes fail.
+func (k *bindingStore) behind() bool {
 	if k == nil {
 		return false
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.late
+	return k.lagging
 }
 
-func (k *keeper) close() {
+// close writes what is pending, and returns once the writer has ended.
+func (k *bindingStore) close() {
 	if k != nil {
-		k.end.Do(func() { close(k.wake) })
+		k.closeOnce.Do(func() { close(k.wake) })
 		<-k.done
 	}
 }
--- a/proxy/orders_test.go
+++ b/proxy/pilot_client_test.go
@@ -15,11 +15,11 @@
 // A welcome that is read while its stream ends makes no stream of it: sums would go nowhere until the next one.
 func TestLateWelcome(t *testing.T) {
 	p := start(t, nil)
-	p.orders.end()
-	s := newPilotStream(p.orders)
+	p.pilotClient.end()
+	s := newPilotStream(p.pilotClient)
 	s.Closed(nil)
 	s.Data(nil, runtime.Welcome{Pilot: "p", Run: 1, Wire: runtime.Wire}.Append(nil))
-	if p.orders.joined() {
+	if p.pilotClient.joined() {
 		t.Error("joined by a stream that is over")
 	}
 }
--- a/proxy/pilot_stream.go
+++ b/proxy/pilot_stream.go
@@ -10,71 +10,74 @@
 	"vetchdoor/stream"
 )
 
-// Reasons for which what a pilot sends is refused; they are sent to it.
+// Errors for invalid input from a pilot. Their texts are sent to the pilot.
 var (
-	errSecondWelcome = errors.New("a second welcome")
-	errNotWelcomed   = errors.New("a message before the welcome")
-	errWindow        = errors.New("more lines than the window")
+	errSecondWelcome  = errors.New("a second welcome")
+	errNotWelcomed    = errors.New("a message before the welcome")
+	errWindowExceeded = errors.New("more lines than the window")
 )
 
-// pilotStream is one stream to a pilot: it receives commands and queues messages for applyQueued. Data and Closed are called by
-// the connection.
+// pilotStream is one stream to a pilot. It receives commands and queues messages for applyQueued. The connection calls Data
+// and Closed.
 type pilotStream struct {
-	orders   *orders
-	closed   chan struct{}         // closed as the stream ends
-	welcomed chan struct{}         // closed with the welcome
-	queue    chan *runtime.Message // received, not yet applied
+	client   *pilotClient
+	closed   chan struct{}         // closed when the stream ends
+	welcomed chan struct{}         // closed when the pilot's welcome arrives
+	queue    chan *runtime.Message // messages received and not yet applied
 
-	// Used by Data alone, and by applyQueued for messages that come after the welcome.
+	// Used by Data only, except that applyQueued reads welcome, for messages that arrive after it was set.
 	scanner  *runtime.Scanner
-	refused  bool // the pilot sent what cannot be taken: nothing more is
+	rejected bool // the pilot sent invalid input; further input is ignored
 	welcome  runtime.Welcome
-	redirect string // the address of another pilot that this one named; under orders.mu
+	redirect string // address of another pilot named by this one; guarded by client.mu
 
-	mu           sync.Mutex
+	mu           sync.Mutex // guards the fields below
 	conn         *stream.Conn
-	queuedLines  int
+	queuedLines  int // lines of the queued messages and of the one being applied
 	lastReceived time.Time
 }
 
-func newPilotStream(o *orders) *pilotStream {
+// newPilotStream returns a stream without a connection; see setConn.
+func newPilotStream(o *pilotClient) *pilotStream {
 	return &pilotStream{
-		orders:       o,
+		client:       o,
 		closed:       make(chan struct{}),
 		welcomed:     make(chan struct{}),
-		queue:        make(chan *runtime.Message, queueLength),
+		queue:        make(chan *runtime.Message, maxQueuedMessages),
 		scanner:      runtime.NewScanner(runtime.Orders),
 		lastReceived: time.Now(),
 	}
 }
 
-// setConn notes the connection. The dialler does so, and join: a pilot may speak before the dial has returned.
+// setConn records the connection. Both serve and join call it, because the pilot may send its welcome before the dial has
+// returned.
 func (s *pilotStream) setConn(conn *stream.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.conn = conn
 }
 
-// silence is how long nothing has come.
+// silence returns the time since data was last received.
 func (s *pilotStream) silence() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return time.Since(s.lastReceived)
 }
 
+// noteReceived records that data was received now.
 func (s *pilotStream) noteReceived() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lastReceived = time.Now()
 }
 
-// Closed notes that the stream ended.
+// Closed is called by the connection when it has ended.
 func (s *pilotStream) Closed(*stream.Conn) { close(s.closed) }
 
-// Data takes in what the pilot sends. After the first command that is refused, which ends the stream, it takes nothing more.
+// Data processes input from the pilot. The first invalid command ends the stream, and all input after it is ignored.
 func (s *pilotStream) Data(c *stream.Conn, b []byte) {
 	s.noteReceived()
-	if s.refused {
+	if s.rejected {
 		return
 	}
 	s.scanner.Feed(b)
@@ -87,20 +90,21 @@
 			err = s.handle(c, line[0])
 		}
 		if err != nil {
-			s.refuse(c, err)
+			s.reject(c, err)
 			return
 		}
 	}
 }
 
-// refuse tells the pilot why it is not listened to any more, and ends the stream.
-func (s *pilotStream) refuse(c *stream.Conn, err error) {
-	s.orders.log.Warn("pilot sent what cannot be taken; the stream is closed", "error", err)
-	s.refused = true
+// reject tells the pilot why its input was not accepted, and ends the stream.
+func (s *pilotStream) reject(c *stream.Conn, err error) {
+	s.client.log.Warn("invalid input from the pilot; closing the stream", "error", err)
+	s.rejected = true
 	_ = c.Send(runtime.Refused{Reason: err.Error()}.Append(nil))
 	c.End()
 }
 
+// handle processes one command. It returns an error if the command is invalid.
 func (s *pilotStream) handle(c *stream.Conn, cmd runtime.Command) error {
 	switch {
 	case cmd.Is("welcome"):
@@ -108,18 +112,19 @@
 	case cmd.Is("refused"), cmd.Is("away"):
 		return s.handleGoAway(c, cmd)
 	case cmd.Is("send", "tables"):
-		return s.handleAsk(c, cmd)
+		return s.handleSendTables(c, cmd)
 	case cmd.Is("ping"):
-		return nil // Data has noted that something came
+		return nil // Data has recorded the arrival
 	case cmd.Is("apply"):
 		return s.handleMessage(cmd)
 	case s.welcome.Wire > runtime.Wire:
-		s.orders.log.Debug("a command of a later version is passed over", "command", cmd.String())
+		s.client.log.Debug("ignoring a command of a later protocol version", "command", cmd.String())
 		return nil
 	}
 	return fmt.Errorf("not a command of a pilot's stream: %s", cmd)
 }
 
+// handleWelcome makes this stream the current one.
 func (s *pilotStream) handleWelcome(c *stream.Conn, cmd runtime.Command) error {
 	welcome, err := runtime.ParseWelcome(cmd)
 	if err != nil {
@@ -128,35 +133,36 @@
 	if isClosed(s.welcomed) {
 		return errSecondWelcome
 	}
-	if s.orders.join(s, c, welcome) {
-		s.orders.log.Info("joined a pilot", "pilot", welcome.Pilot, "run", welcome.Run, "resumed", welcome.Resumed)
+	if s.client.join(s, c, welcome) {
+		s.client.log.Info("joined a pilot", "pilot", welcome.Pilot, "run", welcome.Run, "resumed", welcome.Resumed)
 	}
 	return nil
 }
 
+// handleGoAway closes the stream at the pilot's request, and records the pilot that the proxy is redirected to, if any.
 func (s *pilotStream) handleGoAway(c *stream.Conn, cmd runtime.Command) error {
 	away, err := runtime.ParseGoAway(cmd)
 	if err != nil {
 		return err
 	}
-	s.orders.mu.Lock()
+	s.client.mu.Lock()
 	s.redirect = away.Redirect
-	s.orders.mu.Unlock()
-	s.orders.log.Info("sent away by the pilot", "reason", away.Reason, "try", away.Redirect)
+	s.client.mu.Unlock()
+	s.client.log.Info("dismissed by the pilot", "reason", away.Reason, "try", away.Redirect)
 	c.Close()
 	return nil
 }
 
-// handleAsk sends the lines of the tables that the pilot asks for; of those that are not held any more it says nothing.
-func (s *pilotStream) handleAsk(c *stream.Conn, cmd runtime.Command) error {
+// handleSendTables sends the lines of the requested tables. Tables that are no longer in force are skipped.
+func (s *pilotStream) handleSendTables(c *stream.Conn, cmd runtime.Command) error {
 	ask, err := runtime.ParseAsk(cmd)
 	if err != nil {
 		return err
 	}
-	held := s.orders.proxy.now.Load()
+	held := s.client.proxy.current.Load()
 	for _, digest := range ask {
-		if table := held.holding(digest); table != nil {
-			holding := runtime.Holding{Digest: digest, Lines: table.content()}
+		if table := held.tableByDigest(digest); table != nil {
+			holding := runtime.Holding{Digest: digest, Lines: table.wireLines()}
 			_ = c.Send(holding.Append(nil))
 		}
 	}
@@ -172,35 +178,37 @@
 	if err != nil {
 		return err
 	}
-	if !s.reserve(m.Lines) {
-		return errWindow
+	if !s.reserveLines(m.Lines) {
+		return errWindowExceeded
 	}
 	select {
 	case s.queue <- m:
 		return nil
 	default:
-		return errWindow
+		return errWindowExceeded
 	}
 }
 
-// reserve takes lines of the window for a message; false if they are not free.
-func (s *pilotStream) reserve(lines int) bool {
+// reserveLines reserves window space for a message. It returns false if there is not enough; a message may always exceed an
+// empty window.
+func (s *pilotStream) reserveLines(lines int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.queuedLines > 0 && s.queuedLines+lines > windowLines {
+	if s.queuedLines > 0 && s.queuedLines+lines > maxQueuedLines {
 		return false
 	}
 	s.queuedLines += lines
 	return true
 }
 
-// free gives back the lines of a message that has been applied.
-func (s *pilotStream) free(lines int) {
+// releaseLines returns the window space of a message that has been applied.
+func (s *pilotStream) releaseLines(lines int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.queuedLines -= lines
 }
 
+// isClosed reports whether c is closed. Nothing is ever sent on c.
 func isClosed(c <-chan struct{}) bool {
 	select {
 	case <-c:
--- a/proxy/placement.go
+++ b/proxy/placement.go
@@ -9,137 +9,145 @@
 	"vetchdoor/tenancy"
 )
 
-// groupKind is which groups writes of a type are drawn among, by which servers drop their repeats and may take them at all.
+// groupKind is the kind of group that the writes of an op type are assigned to. It depends on which servers drop each
+// other's repeats and on whether the writes must stay in the proxy's own zone.
 type groupKind int
 
 const (
-	packs groupKind = iota
-	zones
-	ownPacks // of the proxy's zone
+	allPacks groupKind = iota
+	allZones
+	ownZonePacks // packs of the proxy's zone
 	ownZone
-	groupKinds
+	groupKindCount
 )
 
+// kindOf returns the group kind of a deduplicated op type.
 func kindOf(t *control.OpType) groupKind {
 	switch {
 	case t.Group == control.GroupZone && t.OwnZoneOnly:
 		return ownZone
 	case t.Group == control.GroupZone:
-		return zones
+		return allZones
 	case t.OwnZoneOnly:
-		return ownPacks
+		return ownZonePacks
 	}
-	return packs
+	return allPacks
 }
 
-// ofZones tells whether the groups are whole zones.
-func (k groupKind) ofZones() bool { return k == zones || k == ownZone }
+// isZone reports whether the groups are whole zones.
+func (k groupKind) isZone() bool { return k == allZones || k == ownZone }
 
-// writeGroups are the groups that deduplicated writes are drawn among, and the subsets of tenants among them. A proxy has one, which
-// its tenants use too.
+// writeGroups are the groups that deduplicated writes are assigned to, with cached subsets of them for tenants. The proxy
+// and its tenants share one value.
 type writeGroups struct {
-	byKind      [groupKinds]tenancy.Groups
-	subsets     [groupKinds]subsetCache
-	nextSubsets [groupKinds]subsetCache // among the groups to come, while there are any
+	byKind      [groupKindCount]tenancy.Groups
+	subsets     [groupKindCount]subsetCache
+	nextSubsets [groupKindCount]subsetCache // among the next groups, while the settings change the groups
 }
 
+// newWriteGroups returns the write groups that the settings name, for a proxy in the given zone.
 func newWriteGroups(s *files.Service, zone int) *writeGroups {
 	g, own := &writeGroups{}, tenancy.PodOf(zone, 0)
-	g.byKind[packs], g.byKind[zones] = s.WriteGroups()
-	g.byKind[ownPacks], g.byKind[ownZone] = g.byKind[packs].Within(own), g.byKind[zones].Within(own)
+	g.byKind[allPacks], g.byKind[allZones] = s.WriteGroups()
+	g.byKind[ownZonePacks], g.byKind[ownZone] = g.byKind[allPacks].Within(own), g.byKind[allZones].Within(own)
 	return g
 }
 
-// groupsFor returns the groups of a kind that a write may go to. It must not be changed.
+// groupsFor returns the groups of a kind that a write may go to. The caller must not modify the result.
 func (g *writeGroups) groupsFor(kind groupKind, w tenancy.Write) []tenancy.PodID {
-	if w.All() { // none is drawn
+	if w.All() { // the tenant may use all groups: nothing to draw or cache
 		return g.byKind[kind].Subset(w)
 	}
 	return g.subsets[kind].getOrDraw(w, g.byKind[kind].Subset)
 }
 
-// draw returns the group of a write among its subset; false where there is none, or where the groups to come would draw another.
+// draw returns the group that a write is assigned to among its subset. It returns false if there is no group, or if the
+// groups are being changed and the next groups would assign another one.
 func (g *writeGroups) draw(kind groupKind, w tenancy.Write, subset []tenancy.PodID) (tenancy.PodID, bool) {
 	groups := &g.byKind[kind]
-	if w.All() || !groups.Joint() { // no subset is drawn
+	if w.All() || !groups.Joint() { // no next subset to cache
 		return groups.Draw(w, subset)
 	}
 	return groups.DrawFrom(w, subset, g.nextSubsets[kind].getOrDraw(w, groups.NextSubset))
 }
 
-// placement is the group that all tries of one write go to, through this proxy or another.
+// placement is the group that all tries of one write must go to, whichever proxies they are sent through.
 type placement struct {
-	zone  bool // the group is a zone, not a pack
-	group tenancy.PodID
-	pods  []tenancy.PodID // of a zone: those that its tenant uses; nil: all
+	isZone bool // the group is a zone, not a pack
+	group  tenancy.PodID
+	pods   []tenancy.PodID // if the group is a zone: the pods in it that the tenant uses; nil for all
 }
 
-// has tells whether a server may take a try.
-func (g *placement) has(e *server) bool {
-	if !g.zone {
+// contains reports whether a try of the write may go to e.
+func (g *placement) contains(e *server) bool {
+	if !g.isZone {
 		return e.pod() == g.group
 	}
 	return tenancy.ZoneOf(e.pod()) == g.group && (g.pods == nil || slices.Contains(g.pods, e.pod()))
 }
 
-// place returns where a write of a type may go; nil: wherever its tenant's ops may, for it may run anywhere or no server knows a
-// repeat of it. It is not known where the settings name no group, while they change to others that would draw another one, where
-// no pilot has told yet of tenants that were moved, and for a tenant that is fenced off from the group.
-func (p *Proxy) place(i int, who *tenant, key []byte, now *tables, l tenancy.Limit, at time.Duration) (g *placement, known bool) {
-	t := &p.types[i]
+// placeWrite returns the placement of an op of the given type. The placement is nil if the op may go to any server that its
+// tenant may use, because it may run anywhere or because no server can recognize a repeat of it. known is false, and the op
+// must be rejected, if the settings name no group, if they are changing to groups that would assign another one, if no pilot
+// has yet sent this proxy the placements of moved tenants, or if the tenant is fenced and the group is outside its fence.
+func (p *Proxy) placeWrite(typeIndex int, owner *tenant, key []byte, current *tables, limit tenancy.Limit,
+	sinceStart time.Duration) (g *placement, known bool) {
+	t := &p.types[typeIndex]
 	if !files.Grouped(t.OpType) {
 		return nil, true
 	}
 	kind, w := kindOf(&t.OpType), tenancy.Write{}
-	if who != nil {
-		w = p.tenants.write(kind, who, now.bindings)
+	if owner != nil {
+		w = p.tenants.writeOf(kind, owner, current.bindings)
 	}
 	if w.Key = string(key); w.Key == "" && w.All() {
 		return nil, true
 	}
-	if who != nil && now.bindings.untold {
+	if owner != nil && current.bindings.unsynced {
 		return nil, false
 	}
 	var subset []tenancy.PodID
-	if who != nil && kind == packs {
-		subset = p.tenants.subset(who, now.byType[i], now.bindings, l, at)
+	if owner != nil && kind == allPacks {
+		subset = p.tenants.packSubset(owner, current.byType[typeIndex], current.bindings, limit, sinceStart)
 	} else {
 		subset = p.groups.groupsFor(kind, w)
 	}
 	group, known := p.groups.draw(kind, w, subset)
-	if !known || l.Fenced && !w.All() && group != subset[0] {
+	if !known || limit.Fenced && !w.All() && group != subset[0] {
 		return nil, false
 	}
-	g = &placement{zone: kind.ofZones(), group: group}
-	if g.zone && who != nil {
-		g.pods = p.tenants.podsInZone(kind, who, now.byType[i], now.bindings, group, len(subset))
-		if l.Fenced && len(g.pods) > 1 {
+	g = &placement{isZone: kind.isZone(), group: group}
+	if g.isZone && owner != nil {
+		g.pods = p.tenants.podsInZone(kind, owner, current.byType[typeIndex], current.bindings, group, len(subset))
+		if limit.Fenced && len(g.pods) > 1 {
 			g.pods = g.pods[:1]
 		}
 	}
 	return g, true
 }
 
-// write is what a tenant's writes are drawn by.
-func (t *tenants) write(kind groupKind, x *tenant, b *bindings) tenancy.Write {
-	seat := b.of[x.name].Seat
-	if kind.ofZones() {
+// writeOf returns what the group of a tenant's write is drawn by, without the write's key.
+func (t *tenants) writeOf(kind groupKind, owner *tenant, current *bindings) tenancy.Write {
+	seat := current.byTenant[owner.name].Seat
+	if kind.isZone() {
 		seat = seat.InZones()
 	}
-	return tenancy.Write{Tenant: x.name, Seat: seat, Count: t.count}
+	return tenancy.Write{Tenant: owner.name, Seat: seat, Count: t.subsetSize}
 }
 
-// subset returns the packs that a tenant's deduplicated writes may go to. Neither the table in force nor the time nor the pilot's
-// limits take part, for they differ from proxy to proxy.
-func (t *tenants) subset(x *tenant, _ *table, b *bindings, _ tenancy.Limit, _ time.Duration) []tenancy.PodID {
-	return t.groups.groupsFor(packs, t.write(packs, x, b))
+// packSubset returns the packs that a tenant's deduplicated writes may go to. The table, the limit and the time are ignored,
+// because they differ between proxies and all proxies must agree on the packs.
+func (t *tenants) packSubset(owner *tenant, _ *table, current *bindings, _ tenancy.Limit, _ time.Duration) []tenancy.PodID {
+	return t.groups.groupsFor(allPacks, t.writeOf(allPacks, owner, current))
 }
 
-// podsInZone returns the pods of a zone, one of several, that a tenant's writes of a kind go to there: its part of a subset, of those
-// with a line in the table; nil for all. Servers of the whole zone know a repeat, so that proxies need not agree on them.
-func (t *tenants) podsInZone(kind groupKind, x *tenant, table *table, b *bindings, zone tenancy.PodID, several int) []tenancy.PodID {
-	seat := b.of[x.name].Seat
-	count := t.count
+// podsInZone returns the pods of a zone that a tenant's writes go to; nil for all. It draws them from the pods that have a
+// server in the table. zoneCount is the number of zones in the tenant's subset, over which its pods are spread. Proxies need
+// not agree on the pods, because all servers of the zone recognize each other's repeats.
+func (t *tenants) podsInZone(kind groupKind, owner *tenant, table *table, current *bindings, zone tenancy.PodID,
+	zoneCount int) []tenancy.PodID {
+	seat := current.byTenant[owner.name].Seat
+	count := t.subsetSize
 	if seat.Size > 0 {
 		count = seat.Size
 	}
@@ -150,8 +158,7 @@
 	if inZone == nil {
 		return nil
 	}
-	seat.Size = (count + several - 1) / several
-	return inZone.subsets[kind].getOrDraw(tenancy.Write{Tenant: x.name, Seat: seat, Count: seat.Size}, func(w tenancy.Write) []tenancy.PodID {
-		return w.Seat.Among(w.Tenant, inZone.live, w.Count)
-	})
+	seat.Size = (count + zoneCount - 1) / zoneCount
+	return inZone.subsets[kind].getOrDraw(tenancy.Write{Tenant: owner.name, Seat: seat, Count: seat.Size},
+		func(w tenancy.Write) []tenancy.PodID { return w.Seat.Among(w.Tenant, inZone.live, w.Count) })
 }
--- a/proxy/places_test.go
+++ b/proxy/placement_test.go
@@ -57,7 +57,7 @@
 
 // groupOf is where a proxy lets a write go; 0 and false where it refuses it.
 func groupOf(p *Proxy, who *tenant, key string, tab *tables, l tenancy.Limit) (tenancy.PodID, bool) {
-	g, known := p.place(0, who, []byte(key), tab, l, 0)
+	g, known := p.placeWrite(0, who, []byte(key), tab, l, 0)
 	if !known || g == nil {
 		return 0, false
 	}
@@ -70,7 +70,7 @@
 	of := &files.Tenants{Header: "Tenant", Subset: 1}
 	old, told := placing(t, of, byPack)
 	fresh, untold := placing(t, of, byPack)
-	told.bindings = &bindings{of: map[string]tenancy.Binding{}}
+	told.bindings = &bindings{byTenant: map[string]tenancy.Binding{}}
 	var err error
 	if untold.bindings, _, err = openBindings(filepath.Join(t.TempDir(), "bindings"), 0, 0, slog.New(slog.DiscardHandler)); err != nil {
 		t.Fatal(err)
@@ -79,7 +79,7 @@
 	const all = 200
 	for i := range all {
 		who := tenantOf(i)
-		told.bindings.of[who.name] = tenancy.Bound().Take(0, 0, "p", 1, tenancy.Seat{Draw: 1}, false)
+		told.bindings.byTenant[who.name] = tenancy.Bound().Take(0, 0, "p", 1, tenancy.Seat{Draw: 1}, false)
 		first, known := groupOf(old, who, "key", told, unlimited)
 		second, also := groupOf(fresh, who, "key", untold, unlimited)
 		if known && also && first != second {
@@ -96,7 +96,7 @@
 	p, tab := placing(t, &files.Tenants{Header: "Tenant"}, byPack) // limits alone; no subsets
 	used := map[tenancy.PodID]int{}
 	for i := range 200 {
-		g, known := p.place(0, tenantOf(i), nil, tab, unlimited, 0)
+		g, known := p.placeWrite(0, tenantOf(i), nil, tab, unlimited, 0)
 		if !known {
 			t.Fatal("refused")
 		}
@@ -117,7 +117,7 @@
 	fenced := unlimited
 	fenced.Fenced = true
 	who, refused := tenantOf(1), 0
-	if pods := p.tenants.podsOfTable(who, tab.byType[0], tab.bindings, fenced, 0); pods != nil {
+	if pods := p.tenants.allowedPods(who, tab.byType[0], tab.bindings, fenced, 0); pods != nil {
 		t.Fatalf("its reads go to %v", pods)
 	}
 	for i := range 200 {
@@ -138,11 +138,11 @@
 	doubled := 0
 	for i := range 200 {
 		pick := func() tenancy.PodID {
-			g, known := p.place(0, nil, fmt.Appendf(nil, "key-%d", i), tab, unlimited, 0)
+			g, known := p.placeWrite(0, nil, fmt.Appendf(nil, "key-%d", i), tab, unlimited, 0)
 			if !known {
 				t.Fatal("refused")
 			}
-			e := tab.pickFor(0, time.Now(), func(e *server) bool { return e.Zone == p.zone && (g == nil || g.has(e)) })
+			e := tab.pickFor(0, time.Now(), func(e *server) bool { return e.Zone == p.zone && (g == nil || g.contains(e)) })
 			return e.pod()
 		}
 		if first, second := pick(), pick(); first != second {
@@ -184,7 +184,7 @@
 	}
 	random, all := rand.New(rand.NewPCG(uint64(usual), 5)), someServers(12)
 	kept, tab := newProxy()
-	tab.bindings = &bindings{of: map[string]tenancy.Binding{}}
+	tab.bindings = &bindings{byTenant: map[string]tenancy.Binding{}}
 	for number := range uint64(1500) {
 		if number%10 == 0 { // at times no server is another
 			change := message(2+number, fmt.Sprintf("del server t0/e%d", random.IntN(12)), lineOf(random.IntN(12), 1))
@@ -196,23 +196,23 @@
 		}
 		who := tenantOf(random.IntN(3))
 		if number%5 == 0 {
-			tab.bindings.of[who.name] = tenancy.Binding{Seat: seats[random.IntN(len(seats))]}
+			tab.bindings.byTenant[who.name] = tenancy.Binding{Seat: seats[random.IntN(len(seats))]}
 		}
 		fresh, same := newProxy()
 		same.bindings = tab.bindings
 		same.byType = slices.Repeat([]*table{newTable("t0", tab.byType[0].lines, nil, len(opTypes), 0, rng())}, len(opTypes))
 		i, key := random.IntN(len(opTypes)), fmt.Append(nil, random.IntN(9))
-		got, known := kept.place(i, who, key, tab, unlimited, 0)
-		want, alsoKnown := fresh.place(i, who, key, same, unlimited, 0)
+		got, known := kept.placeWrite(i, who, key, tab, unlimited, 0)
+		want, alsoKnown := fresh.placeWrite(i, who, key, same, unlimited, 0)
 		kind := kindOf(&kept.types[i].OpType)
-		write := kept.tenants.write(kind, who, tab.bindings)
+		write := kept.tenants.writeOf(kind, who, tab.bindings)
 		write.Key = string(key)
 		groups := kept.groups.byKind[kind]
 		if group, ok := groups.Draw(write, groups.Subset(write)); known != ok || known && got.group != group {
 			t.Fatalf("op type %d, %s: %+v %t, drawn anew %v %t", i, who.name, got, known, group, ok)
 		}
 		if known != alsoKnown || !reflect.DeepEqual(got, want) {
-			t.Fatalf("op type %d, %s at %v, usual %d: %+v %t, with nothing kept %+v %t", i, who.name, tab.bindings.of[who.name].Seat,
+			t.Fatalf("op type %d, %s at %v, usual %d: %+v %t, with nothing kept %+v %t", i, who.name, tab.bindings.byTenant[who.name].Seat,
 				usual, got, known, want, alsoKnown)
 		}
 	}
@@ -229,7 +229,7 @@
 				who, key := tenantOf(1), []byte("5b0c1c2e-6f1d-4e0e-9a38-0f6f3a1d2b4c")
 				b.ReportAllocs()
 				for b.Loop() {
-					if _, known := p.place(0, who, key, tab, unlimited, 0); !known {
+					if _, known := p.placeWrite(0, who, key, tab, unlimited, 0); !known {
 						b.Fatal("refused")
 					}
 				}
--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -1,6 +1,7 @@
-// Package proxy is vetchdoor's own obedient proxy. It carries ops from clients to servers by the tables that its pilot
-// publishes and decides nothing: it picks evenly by weight, avoids a server after a run of its own failures, tries again
-// only as ordered and only where that is safe, and lets in no more than its levels say. Start is the way in.
+// Package proxy implements vetchdoor's own proxy. It forwards ops from clients to servers according to the tables, weights
+// and levels that its pilot publishes and makes no balancing decisions itself: it distributes ops by weight, avoids a server
+// for a while after consecutive failures of its own tries, retries only where the level allows it and it is safe, and admits
+// no more ops than the levels permit. New creates a Proxy and Start runs it.
 package proxy
 
 import (
@@ -29,64 +30,70 @@
 	"vetchdoor/upstream"
 )
 
-// Proxy is a running proxy.
+// Proxy is a running proxy. New creates it.
 type Proxy struct {
-	file     *files.Proxy
-	log      *slog.Logger
-	zone     int
-	types    []opType
-	server   *serve.Server
-	pool     *upstream.Pool
-	servers  servers
-	now      holder
-	mu       sync.Mutex // held while tables change
-	rng      *rand.Rand // under mu
-	token    string
-	standing []control.EndpointID
-	orders   *orders
-	admin    *session.Listener // for people; nil without one
-	pushed   time.Time         // when sums were last pushed
-	cancel   context.CancelFunc
-	stopping sync.Once
-	done     sync.WaitGroup
-	started  time.Time
-	tally    tally
-	tenants  *tenants // nil: ops are nobody's
-	groups   *writeGroups
-	keeper   *keeper // of bindings; nil: they are not kept
-
-	// ExtraInfo, if not nil at Start, adds lines to show info.
+	file         *files.Proxy
+	log          *slog.Logger
+	zone         int // index of the proxy's zone in the service's list of zones
+	types        []opType
+	server       *serve.Server
+	pool         *upstream.Pool
+	servers      servers
+	current      tablesPointer        // tables in force
+	mu           sync.Mutex           // serializes changes of the tables; also guards rng after Start, and sumsSentAt
+	rng          *rand.Rand           // guarded by mu
+	token        string               // random; lets the pilot distinguish this process from another one with the same proxy ID
+	standing     []control.EndpointID // servers of the standing table
+	pilotClient  *pilotClient         // holds the stream to a pilot; set by Start
+	admin        *session.Listener    // admin command listener; nil if the settings give no address
+	sumsSentAt   time.Time            // when sums were last sent to the pilot
+	cancel       context.CancelFunc
+	stopping     sync.Once
+	done         sync.WaitGroup
+	started      time.Time
+	counters     counters
+	tenants      *tenants // nil if ops are not attributed to tenants
+	groups       *writeGroups
+	bindingStore *bindingStore // nil if tenant bindings are not persisted
+
+	// ExtraInfo, if set before Start, appends lines to the output of the admin command show info.
 	ExtraInfo func(io.Writer)
 
-	// Net, if not nil at Start, is what connections to clients, servers and pilots run over; else sockets.
+	// Net, if set before Start, provides the connections to clients, servers and pilots. Nil means operating system sockets.
 	Net stream.Net
 
-	// ApplyDelay, if not nil, is how long a message stalls the proxy before it applies; a rehearsal's way of a slow one.
+	// ApplyDelay, if set before Start, returns how long to wait before a message is applied. Tests use it to simulate a slow
+	// proxy.
 	ApplyDelay func(m *runtime.Message) time.Duration
 }
 
-// tally counts since the start, for people.
-type tally struct{ ops, acked, rejected, aborted, retried, held, borrowed, unplaced, applied, again atomic.Int64 }
+// counters are totals since the start, shown by the admin command show info. held counts ops rejected because their tenant
+// is being moved, borrowed counts tries at a pod outside the tenant's subset, unplaced counts ops rejected because no server
+// of their write group could be determined or used, and appliedAgain counts messages received again after they had been
+// applied.
+type counters struct{ ops, acked, rejected, aborted, retried, held, borrowed, unplaced, applied, appliedAgain atomic.Int64 }
 
-// opType is what the proxy keeps for one op type.
+// opType is the proxy's state for one op type. The match fields and headerValue are empty if the op type does not match on
+// them.
 type opType struct {
 	control.OpType
-	name    string
-	method  []byte
-	prefix  []byte
-	header  string
-	value   []byte
-	mu      sync.Mutex
-	credit  float64 // of what may be let in
-	ops     atomic.Int64
-	unacked atomic.Int64
-	rank    float64 // by revenue: 0 for the least, 1 for the most
+	name        string
+	method      []byte // request method to match
+	pathPrefix  []byte // prefix of the request target to match
+	header      string // name of the header field to match
+	headerValue []byte
+	mu          sync.Mutex   // guards credit
+	credit      float64      // admission credit accumulated from the admitted share; one op costs 1
+	ops         atomic.Int64 // ops received since the last sums
+	unacked     atomic.Int64 // ops not acked since the last sums; ops rejected by admission are not counted
+	rank        float64      // rank by revenue, from 0 (least) to 1 (most)
 }
 
-// New makes a proxy from its file; Start runs it.
+// New creates a proxy from its settings. It returns an error if a server address, the tenant rules or the stored bindings
+// are invalid. Start runs the proxy.
 func New(file *files.Proxy, log *slog.Logger) (*Proxy, error) {
 	p := &Proxy{file: file, log: log.With("proxy", file.ID), zone: file.Service.ZoneIndex(file.Zone), started: time.Now(),
-		servers: servers{byID: map[control.EndpointID]*server{}, born: time.Now()}}
+		servers: servers{byID: map[control.EndpointID]*server{}, started: time.Now()}}
 	seed := file.Seed
 	if seed == 0 {
 		seed = rand.Uint64()
@@ -98,9 +105,9 @@
 	for i := range types {
 		t, m := &p.types[i], file.Service.OpTypes[i].Match
 		t.OpType, t.name = types[i], file.Service.OpTypes[i].Name
-		t.method, t.prefix = []byte(m.Method), []byte(m.PathPrefix)
+		t.method, t.pathPrefix = []byte(m.Method), []byte(m.PathPrefix)
 		if name, value, ok := strings.Cut(m.Header, ": "); ok {
-			t.header, t.value = name, []byte(value)
+			t.header, t.headerValue = name, []byte(value)
 		}
 	}
 	pool := file.Pool
@@ -109,15 +116,15 @@
 	for i := range p.types {
 		p.types[i].rank = rank(types, i)
 	}
-	lines, err := p.drawStanding()
+	lines, err := p.chooseStanding()
 	if err != nil {
 		return nil, err
 	}
-	p.now.Store(newTables(len(types), lines, p.rng))
-	p.servers.keep(p.now.Load())
+	p.current.Store(newTables(len(types), lines, p.rng))
+	p.servers.retain(p.current.Load())
 	p.groups = newWriteGroups(&file.Service, p.zone)
 	if names := file.Service.Unplaced(); len(names) > 0 {
-		p.log.Warn("writes are refused: they are deduplicated by pack, and the settings name no write_packs", "op_types", names)
+		p.log.Warn("rejecting writes that are deduplicated by pack: the settings name no write_packs", "op_types", names)
 	}
 	if file.Tenants != nil {
 		if p.tenants, err = newTenants(file.Tenants); err != nil {
@@ -125,15 +132,17 @@
 		}
 		p.tenants.groups = p.groups
 		write, window := tenancy.Needs(types, file.Service.WriteLife.Span())
-		if p.now.Load().bindings, p.keeper, err = openBindings(file.Tenants.Bindings, write+window, 0, p.log); err != nil {
+		if p.current.Load().bindings, p.bindingStore, err = openBindings(file.Tenants.Bindings, write+window, 0, p.log); err != nil {
 			return nil, err
 		}
 	}
-	p.server = &serve.Server{Handle: p.handle, Drain: keepIdle, Open: func(c *serve.Conn) bool { c.Data = &scratch{}; return true }}
+	p.server = &serve.Server{Handle: p.handle, Drain: stopIdleTimeout,
+		Open: func(c *serve.Conn) bool { c.Data = &scratch{}; return true }}
 	return p, nil
 }
 
-// rank is where an op type stands by its revenue: 1 if none earns more, else the share of the others that earn less.
+// rank returns the rank of op type i by revenue: 1 if no other type earns more, else the share of the other types that earn
+// less.
 func rank(types []control.OpType, i int) float64 {
 	below, above := 0, 0
 	for _, t := range types {
@@ -149,8 +158,9 @@
 	return float64(below) / float64(len(types)-1)
 }
 
-// drawStanding draws the table that the proxy starts with: from the servers of its zone if at least three are there.
-func (p *Proxy) drawStanding() ([]line, error) {
+// chooseStanding draws at random the servers of the standing table, which the proxy uses until a pilot assigns tables. It
+// draws from the servers of the proxy's own zone if there are at least three of them, else from all servers.
+func (p *Proxy) chooseStanding() ([]line, error) {
 	var own, all []files.StandingServer
 	for _, s := range p.file.Servers {
 		all = append(all, s)
@@ -182,8 +192,8 @@
 	return lines, nil
 }
 
-// Start listens for clients and people and dials the pilots. If it fails nothing is left of the proxy, and Stop and Kill do
-// nothing.
+// Start listens for clients and admin connections and starts dialling pilots. If it returns an error, everything that it
+// started has been shut down again, and Stop and Kill do nothing.
 func (p *Proxy) Start() error {
 	p.pool.Net, p.server.Net = p.Net, p.Net
 	if err := p.server.Start(p.file.Listen); err != nil {
@@ -198,67 +208,68 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	p.cancel = cancel
-	p.pushed = time.Now()
-	p.orders = newOrders(p)
-	p.keeper.start()
+	p.sumsSentAt = time.Now()
+	p.pilotClient = newPilotClient(p)
+	p.bindingStore.start()
 	p.done.Add(2)
-	go func() { defer p.done.Done(); p.orders.run(ctx) }()
-	go func() { defer p.done.Done(); p.pushSums(ctx) }()
+	go func() { defer p.done.Done(); p.pilotClient.run(ctx) }()
+	go func() { defer p.done.Done(); p.sendSumsPeriodically(ctx) }()
 	p.log.Info("proxy runs", "listen", p.server.Address(), "zone", p.file.Zone, "standing", len(p.standing))
 	return nil
 }
 
-// Address is where clients reach it.
+// Address returns the address on which the proxy accepts clients.
 func (p *Proxy) Address() string { return p.server.Address() }
 
-// keepIdle is how long a proxy that stops keeps a client's connection on which no request comes. A client that asks more
-// often learns by an answer that its connection closes; one that does not finds it closed.
-const keepIdle = 2 * time.Second
+// stopIdleTimeout is how long a stopping proxy keeps a client connection on which no request arrives. A client that sends a
+// request within this time learns from the response that the connection closes; an idle client finds its connection closed.
+const stopIdleTimeout = 2 * time.Second
 
-// Stop ends it in order: no new connections; each request that comes on an open one answered, with the word that the
-// connection closes after it, until the clients have gone or have been idle for long, or the context ends; the last sums
-// sent, then the stream closed. A second call shortens nothing.
+// Stop shuts the proxy down gracefully. It accepts no new connections and answers requests on open connections with a
+// response that announces the close, until the clients have closed, the connections have been idle for stopIdleTimeout, or
+// ctx ends. It then sends the last sums and closes the stream to the pilot. A concurrent second call waits for the first one
+// and does not shorten it.
 func (p *Proxy) Stop(ctx context.Context) {
-	if p.cancel == nil { // it never ran
+	if p.cancel == nil { // Start was not called or failed
 		return
 	}
 	p.stopping.Do(func() { p.stop(ctx) })
 }
 
-// answerWithin is how long a proxy that stops answers at most: idle connections are closed, and what came until then is
-// answered in its time.
-func (p *Proxy) answerWithin() time.Duration {
+// stopTimeout returns the longest time for which a stopping proxy may keep answering requests: stopIdleTimeout, plus the
+// longest op timeout for requests that arrive until then, plus one second.
+func (p *Proxy) stopTimeout() time.Duration {
 	longest := time.Duration(0)
 	for i := range p.types {
 		longest = max(longest, p.types[i].OpTimeout)
 	}
-	return keepIdle + longest + time.Second
+	return stopIdleTimeout + longest + time.Second
 }
 
 func (p *Proxy) stop(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, p.answerWithin())
+	ctx, cancel := context.WithTimeout(ctx, p.stopTimeout())
 	defer cancel()
 	p.server.Stop(ctx)
 	p.sendSums(time.Now())
-	p.orders.end()
+	p.pilotClient.end()
 	p.cancel()
 	p.done.Wait()
 	if p.admin != nil {
 		p.admin.Stop()
 	}
 	p.pool.Close()
-	p.keeper.close()
-	p.log.Info("proxy ended", "ops", p.tally.ops.Load())
+	p.bindingStore.close()
+	p.log.Info("proxy stopped", "ops", p.counters.ops.Load())
 }
 
-// typeOf tells an op's type: the first whose rule matches; below 0 if none does.
+// typeOf returns the index of the first op type whose match rule fits the request, or -1 if none does.
 func (p *Proxy) typeOf(m *http1.Message) int {
 	for i := range p.types {
 		t := &p.types[i]
-		if len(t.method) > 0 && !bytes.Equal(t.method, m.Method) || !bytes.HasPrefix(m.Target, t.prefix) {
+		if len(t.method) > 0 && !bytes.Equal(t.method, m.Method) || !bytes.HasPrefix(m.Target, t.pathPrefix) {
 			continue
 		}
-		if t.header != "" && !bytes.Equal(m.Get(t.header), t.value) {
+		if t.header != "" && !bytes.Equal(m.Get(t.header), t.headerValue) {
 			continue
 		}
 		return i
@@ -266,7 +277,7 @@
 	return -1
 }
 
-// admit tells whether an op is let in, thinning evenly.
+// admit reports whether an op is admitted at the given share. It spaces the admitted ops evenly among all ops of the type.
 func (t *opType) admit(share float64) bool {
 	if share >= 1 {
 		return true
@@ -280,181 +291,190 @@
 	return true
 }
 
-// scratch is what a client's connection reuses from op to op.
-type scratch struct{ out, in []byte }
+// scratch holds the buffers that a client connection reuses from op to op.
+type scratch struct{ request, response []byte }
 
-// handle carries one op.
+// handle processes one request: it applies admission, forwards the op to a server, retries where allowed, and answers the
+// client.
 func (p *Proxy) handle(c *serve.Conn, m *http1.Message) {
 	arrived := time.Now()
-	s := c.Data.(*scratch)
-	i := p.typeOf(m)
-	if i < 0 {
-		p.answer(c, s, 404, "no op type matches", 0)
+	buffers := c.Data.(*scratch)
+	typeIndex := p.typeOf(m)
+	if typeIndex < 0 {
+		p.answer(c, buffers, 404, "no op type matches", 0)
 		return
 	}
-	t := &p.types[i]
+	t := &p.types[typeIndex]
 	t.ops.Add(1)
-	p.tally.ops.Add(1)
-	now := p.now.Load()
-	l := now.level(i, p.file.Service.Again())
-	if !t.admit(l.share) {
-		p.refuse(c, s, "not let in")
+	p.counters.ops.Add(1)
+	current := p.current.Load()
+	opLevel := current.level(typeIndex, p.file.Service.Again())
+	if !t.admit(opLevel.share) {
+		p.reject(c, buffers, "not let in")
 		return
 	}
-	whose := p.tenants.of(c, m)
-	allowed := unlimited
-	if whose != nil {
-		if l, ok := now.limits[whose.name]; ok {
-			allowed = l
+	owner := p.tenants.identify(c, m)
+	tenantLimit := unlimited
+	if owner != nil {
+		if limit, ok := current.limits[owner.name]; ok {
+			tenantLimit = limit
 		}
 	}
-	if !whose.admit(allowed, t.rank, arrived.Sub(p.started)) {
-		p.refuse(c, s, "over the tenant's limit")
+	if !owner.admit(tenantLimit, t.rank, arrived.Sub(p.started)) {
+		p.reject(c, buffers, "over the tenant's limit")
 		return
 	}
-	defer whose.done()
-	if whose != nil && now.bindings.holds(whose.name, &t.OpType, arrived.Sub(p.started)) {
-		p.tally.held.Add(1)
-		p.refuse(c, s, "the tenant is being moved")
+	defer owner.opDone()
+	if owner != nil && current.bindings.holdsWrites(owner.name, &t.OpType, arrived.Sub(p.started)) {
+		p.counters.held.Add(1)
+		p.reject(c, buffers, "the tenant is being moved")
 		return
 	}
 	key := m.Get("Idempotency-Key")
-	group, known := p.place(i, whose, key, now, allowed, arrived.Sub(p.started))
+	group, known := p.placeWrite(typeIndex, owner, key, current, tenantLimit, arrived.Sub(p.started))
 	if !known {
-		p.tally.unplaced.Add(1)
-		p.refuse(c, s, "the write's group is not known")
+		p.counters.unplaced.Add(1)
+		p.reject(c, buffers, "the write's group is not known")
 		return
 	}
 	deadline := arrived.Add(t.OpTimeout)
-	s.out = p.request(s.out[:0], m)
-	head := string(m.Method) == "HEAD"
-	state := tries{opType: t.OpType, keyed: len(key) > 0}
+	buffers.request = p.request(buffers.request[:0], m)
+	isHead := string(m.Method) == "HEAD"
+	history := tryHistory{opType: t.OpType, hasKey: len(key) > 0}
 	var tried []*server
 	call := &upstream.Call{}
 	c.OnGone(call.Cancel)
 	defer c.OnGone(nil)
-	var last *upstream.Failure
+	var lastFailure *upstream.Failure
 	for {
-		begin := time.Now()
-		pick := func(in func(*server) bool) *server {
-			return now.pickFor(i, begin, func(e *server) bool {
-				return in(e) && (!t.OwnZoneOnly || e.Zone == p.zone) && !slices.Contains(tried, e) && state.at(e.Server, begin)
+		tryStart := time.Now()
+		pick := func(mayUse func(*server) bool) *server {
+			return current.pickFor(typeIndex, tryStart, func(target *server) bool {
+				return mayUse(target) && (!t.OwnZoneOnly || target.Zone == p.zone) && !slices.Contains(tried, target) &&
+					history.mayRunAt(target.Server, tryStart)
 			})
 		}
-		var e *server
+		var target *server
 		if group != nil {
-			e = pick(group.has)
+			target = pick(group.contains)
 		} else {
-			e = p.pickAnywhere(i, whose, now, allowed, begin.Sub(p.started), pick)
+			target = p.pickUngrouped(typeIndex, owner, current, tenantLimit, tryStart.Sub(p.started), pick)
 		}
-		if e == nil {
+		if target == nil {
 			break
 		}
-		state.sent()
+		history.recordSent()
 		until := deadline
-		if l.again >= control.OnceMore && state.made < most(l.again) && p.file.Service.TryShare > 0 {
-			if short := begin.Add(time.Duration(p.file.Service.TryShare * float64(t.TargetLatency))); short.Before(until) {
+		if opLevel.retry >= control.OnceMore && history.count < maxTries(opLevel.retry) && p.file.Service.TryShare > 0 {
+			if short := tryStart.Add(time.Duration(p.file.Service.TryShare * float64(t.TargetLatency))); short.Before(until) {
 				until = short
 			}
 		}
-		a, fail := p.pool.Send(call, e.address, s.out, until, head)
-		took := time.Since(begin)
-		p.tenants.met(whose, e, fail != nil || a.Status >= 500, took)
-		if fail == nil {
-			status := a.Status // the answer is given back by passOn
-			if p.passOn(c, s, a, e, took, &state, begin, l.again, deadline, head) {
+		response, failure := p.pool.Send(call, target.address, buffers.request, until, isHead)
+		took := time.Since(tryStart)
+		p.tenants.recordTry(owner, target, failure != nil || response.Status >= 500, took)
+		if failure == nil {
+			status := response.Status // read first: forwardResponse releases the response
+			if p.forwardResponse(c, buffers, response, target, took, &history, tryStart, opLevel.retry, deadline, isHead) {
 				if status >= 500 {
 					t.unacked.Add(1)
 				} else {
-					p.tally.acked.Add(1)
+					p.counters.acked.Add(1)
 				}
 				return
 			}
 		} else {
-			if fail.Cancelled {
-				e.met(false, took, nil, 0, 0)
+			if failure.Cancelled {
+				target.recordTry(false, took, nil, 0, 0)
 				t.unacked.Add(1)
-				p.tally.aborted.Add(1)
+				p.counters.aborted.Add(1)
 				c.CloseAfter()
 				return
 			}
-			e.met(false, took, nil, p.file.Service.OutlierAfter, p.file.Service.OutlierFor.Span())
-			state.failedAt(e, begin, fail.NotSent)
+			target.recordTry(false, took, nil, p.file.Service.OutlierAfter, p.file.Service.OutlierFor.Span())
+			history.recordFailure(target, tryStart, failure.NotSent)
 		}
-		last = fail
-		tried = append(tried, e)
-		if !state.may(l.again) || !time.Now().Before(deadline) || !whose.try() {
+		lastFailure = failure
+		tried = append(tried, target)
+		if !history.mayRetry(opLevel.retry) || !time.Now().Before(deadline) || !owner.spendTry() {
 			break
 		}
-		p.tally.retried.Add(1)
-		now = p.now.Load() // withdrawals since the first try bind this one
-		l = now.level(i, p.file.Service.Again())
-		if whose != nil && now.bindings.holds(whose.name, &t.OpType, time.Since(p.started)) {
-			break // its tenant is being moved since
+		p.counters.retried.Add(1)
+		current = p.current.Load() // reload, so that a server drained since the previous try is not used
+		opLevel = current.level(typeIndex, p.file.Service.Again())
+		if owner != nil && current.bindings.holdsWrites(owner.name, &t.OpType, time.Since(p.started)) {
+			break // the tenant began to move after the op was admitted
 		}
 	}
 	t.unacked.Add(1)
-	p.tally.aborted.Add(1)
-	p.giveUp(c, s, last, group != nil, len(state.ran) > 0)
+	p.counters.aborted.Add(1)
+	p.answerFailure(c, buffers, lastFailure, group != nil, len(history.mayHaveRun) > 0)
 }
 
-// refuse answers an op that is not let in, and surely did not run.
-func (p *Proxy) refuse(c *serve.Conn, s *scratch, text string) {
-	p.tally.rejected.Add(1)
-	p.answer(c, s, 503, text, p.retryAfter())
+// reject answers an op that was not admitted, and was therefore not run, with status 503 and a Retry-After field.
+func (p *Proxy) reject(c *serve.Conn, buffers *scratch, text string) {
+	p.counters.rejected.Add(1)
+	p.answer(c, buffers, 503, text, p.retryAfter())
 }
 
-// giveUp answers an op of which no more tries may be made: last is why the last one failed, nil if there was no server to try.
-func (p *Proxy) giveUp(c *serve.Conn, s *scratch, last *upstream.Failure, placed, ran bool) {
+// answerFailure answers an op for which no further try is allowed or possible. lastFailure is why the last try got no
+// response; nil if no try was made or the last one got an error response. placed reports whether the op was bound to a write
+// group, ran whether any try may have run.
+func (p *Proxy) answerFailure(c *serve.Conn, buffers *scratch, lastFailure *upstream.Failure, placed, ran bool) {
 	switch {
-	case last != nil && last.Timeout:
-		p.answer(c, s, 504, "no answer in time", p.retryAfter())
-	case last == nil && placed && !ran:
-		p.tally.unplaced.Add(1)
-		p.answer(c, s, 503, "no server of the write's group", p.retryAfter())
-	case last == nil && !ran:
-		p.answer(c, s, 503, "no server", p.retryAfter())
-	case !ran: // the client may well try again
-		p.answer(c, s, 503, "no server took it", p.retryAfter())
+	case lastFailure != nil && lastFailure.Timeout:
+		p.answer(c, buffers, 504, "no answer in time", p.retryAfter())
+	case lastFailure == nil && placed && !ran:
+		p.counters.unplaced.Add(1)
+		p.answer(c, buffers, 503, "no server of the write's group", p.retryAfter())
+	case lastFailure == nil && !ran:
+		p.answer(c, buffers, 503, "no server", p.retryAfter())
+	case !ran: // the client may safely retry
+		p.answer(c, buffers, 503, "no server took it", p.retryAfter())
 	default:
-		p.answer(c, s, 502, "no answer", p.retryAfter())
+		p.answer(c, buffers, 502, "no answer", p.retryAfter())
 	}
 }
 
-// pickAnywhere picks a server for a try that may run in any group: of its tenant's subset, or the pod that it may borrow.
-func (p *Proxy) pickAnywhere(i int, whose *tenant, now *tables, l tenancy.Limit, at time.Duration, pick func(func(*server) bool) *server) *server {
-	subset := p.tenants.podsOfTable(whose, now.byType[i], now.bindings, l, at)
-	writes := p.types[i].Repeat != control.Retryable
-	e, borrowed := p.tenants.pickOf(whose, now.byType[i], subset, l.Limited(), writes, at, now.bindings.wait, func(subset []tenancy.PodID) *server {
-		return pick(func(e *server) bool { return subset == nil || slices.Contains(subset, e.pod()) })
-	})
+// pickUngrouped picks a server for a try that is not bound to a write group: from the tenant's subset, or from the pod that
+// the tenant may borrow while its subset is unavailable. It returns nil if no server can be used.
+func (p *Proxy) pickUngrouped(typeIndex int, owner *tenant, current *tables, limit tenancy.Limit,
+	sinceStart time.Duration, pick func(func(*server) bool) *server) *server {
+	subset := p.tenants.allowedPods(owner, current.byType[typeIndex], current.bindings, limit, sinceStart)
+	writes := p.types[typeIndex].Repeat != control.Retryable
+	target, borrowed := p.tenants.pickServer(owner, current.byType[typeIndex], subset, limit.Limited(), writes, sinceStart,
+		current.bindings.writeWait, func(subset []tenancy.PodID) *server {
+			return pick(func(target *server) bool { return subset == nil || slices.Contains(subset, target.pod()) })
+		})
 	if borrowed {
-		p.tally.borrowed.Add(1)
+		p.counters.borrowed.Add(1)
 	}
-	return e
+	return target
 }
 
-// passOn hands an answer to the client, unless it is a refusal after which another try may follow. The server's connection is given
-// back before the client is written to, which may be slow to read.
-func (p *Proxy) passOn(c *serve.Conn, s *scratch, a *upstream.Response, e *server, took time.Duration, state *tries,
-	begin time.Time, again control.Again, deadline time.Time, head bool) bool {
-	good := a.Status < 500
-	e.met(good, took, p.load(a.Get(http1.LoadHeader)), p.file.Service.OutlierAfter, p.file.Service.OutlierFor.Span())
+// forwardResponse records the outcome of a try and forwards the response to the client. It returns false, without
+// forwarding, if the response is a failure after which another try is allowed. The server connection is released before the
+// client is written to, because the client may read slowly.
+func (p *Proxy) forwardResponse(c *serve.Conn, buffers *scratch, response *upstream.Response, target *server,
+	took time.Duration, history *tryHistory, tryStart time.Time, retry control.Again, deadline time.Time, isHead bool) bool {
+	good := response.Status < 500
+	target.recordTry(good, took, p.parseLoad(response.Get(http1.LoadHeader)), p.file.Service.OutlierAfter,
+		p.file.Service.OutlierFor.Span())
 	if !good {
-		state.failedAt(e, begin, a.Status == 503 && len(a.Get(http1.UnrunHeader)) > 0)
-		if state.may(again) && time.Now().Before(deadline) {
-			a.Release()
+		history.recordFailure(target, tryStart, response.Status == 503 && len(response.Get(http1.UnrunHeader)) > 0)
+		if history.mayRetry(retry) && time.Now().Before(deadline) {
+			response.Release()
 			return false
 		}
 	}
-	b := http1.AppendStatus(s.in[:0], a.Status)
-	b = http1.AppendForwardedFields(b, a.Message)
-	if !good && a.Get("Retry-After") == nil {
+	b := http1.AppendStatus(buffers.response[:0], response.Status)
+	b = http1.AppendForwardedFields(b, response.Message)
+	if !good && response.Get("Retry-After") == nil {
 		b = http1.AppendField(b, "Retry-After", p.retryAfterText())
 	}
-	s.in = http1.AppendForwardedBody(b, a.Message, head)
-	a.Release()
-	_ = c.Answer(s.in)
+	buffers.response = http1.AppendForwardedBody(b, response.Message, isHead)
+	response.Release()
+	_ = c.Answer(buffers.response)
 	return true
 }
 
@@ -465,24 +485,25 @@
 	return time.Second
 }
 
-// retryAfterText is in whole seconds, as RFC 9110 has it, and never 0.
+// retryAfterText returns the value of the Retry-After field: whole seconds, as RFC 9110 requires, rounded up and at least 1.
 func (p *Proxy) retryAfterText() string {
 	return strconv.Itoa(max(1, int((p.retryAfter()+time.Second-1)/time.Second)))
 }
 
-// answer is the proxy's own.
-func (p *Proxy) answer(c *serve.Conn, s *scratch, status int, text string, after time.Duration) {
-	b := http1.AppendStatus(s.in[:0], status)
+// answer sends a plain-text response that originates from the proxy itself. A Retry-After field is added if after is
+// positive.
+func (p *Proxy) answer(c *serve.Conn, buffers *scratch, status int, text string, retryAfter time.Duration) {
+	b := http1.AppendStatus(buffers.response[:0], status)
 	b = http1.AppendField(b, "Content-Type", "text/plain; charset=utf-8")
 	b = http1.AppendField(b, "Via", "1.1 p"+strconv.Itoa(int(p.file.ID)))
-	if after > 0 {
+	if retryAfter > 0 {
 		b = http1.AppendField(b, "Retry-After", p.retryAfterText())
 	}
-	s.in = http1.AppendBody(b, append([]byte(text), '\n'))
-	_ = c.Answer(s.in)
+	buffers.response = http1.AppendBody(b, append([]byte(text), '\n'))
+	_ = c.Answer(buffers.response)
 }
 
-// request writes what is sent to a server.
+// request appends to b the request that is sent to a server.
 func (p *Proxy) request(b []byte, m *http1.Message) []byte {
 	b = http1.AppendRequest(b, m.Method, m.Target)
 	b = http1.AppendForwardedFields(b, m)
@@ -490,8 +511,9 @@
 	return http1.AppendBody(b, m.Body)
 }
 
-// load reads a load report in the order of the service's measures.
-func (p *Proxy) load(v []byte) []float64 {
+// parseLoad parses a server's load report and returns its values in the order of the service's measures, 0 for a measure
+// that the report lacks. It returns nil if there is no usable report or no measure is configured.
+func (p *Proxy) parseLoad(v []byte) []float64 {
 	if len(v) == 0 || len(p.file.Service.Measures) == 0 {
 		return nil
 	}
@@ -506,8 +528,8 @@
 	return out
 }
 
-// pushSums sends what was met to the pilot, each period.
-func (p *Proxy) pushSums(ctx context.Context) {
+// sendSumsPeriodically sends the collected sums to the pilot every report period until ctx ends.
+func (p *Proxy) sendSumsPeriodically(ctx context.Context) {
 	t := time.NewTicker(p.file.Service.ReportEvery.Span())
 	defer t.Stop()
 	for {
@@ -520,63 +542,66 @@
 	}
 }
 
-// sendSums sends the sums since the last ones; without a stream they add up.
+// sendSums sends the sums collected since the last report. While no pilot is joined it sends nothing, and the sums keep
+// accumulating.
 func (p *Proxy) sendSums(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.sweepBindings()
-	if !p.orders.joined() {
+	p.dropDefaultBindings()
+	if !p.pilotClient.joined() {
 		return
 	}
-	s := runtime.Sums{Window: now.Sub(p.pushed)}
-	p.pushed = now
+	s := runtime.Sums{Window: now.Sub(p.sumsSentAt)}
+	p.sumsSentAt = now
 	for i := range p.types {
 		t := &p.types[i]
 		s.Types = append(s.Types, runtime.TypeSum{OpType: i, Ops: int(t.ops.Swap(0)), Unacked: int(t.unacked.Swap(0))})
 	}
 	for _, e := range p.servers.all() {
-		if sum, ok := e.sum(); ok {
+		if sum, ok := e.takeSum(); ok {
 			s.Servers = append(s.Servers, sum)
 		}
 	}
-	s.Tenants = p.tenants.take()
-	p.orders.send(s.Append(nil))
+	s.Tenants = p.tenants.takeSums()
+	p.pilotClient.send(s.Append(nil))
 }
 
-// sweepBindings forgets tenants that are home again.
-func (p *Proxy) sweepBindings() {
-	t := *p.now.Load()
-	b, gone := t.bindings.sweep(time.Since(p.started))
-	if len(gone) == 0 {
+// dropDefaultBindings removes bindings that no longer differ from the default placement. p.mu must be held.
+func (p *Proxy) dropDefaultBindings() {
+	next := *p.current.Load()
+	remaining, dropped := next.bindings.dropDefaults(time.Since(p.started))
+	if len(dropped) == 0 {
 		return
 	}
-	t.bindings = b
-	p.now.Store(&t)
-	p.keeper.keep(b, gone)
+	next.bindings = remaining
+	p.current.Store(&next)
+	p.bindingStore.save(remaining, dropped)
 }
 
-// apply brings a message into force, whole.
+// apply puts a pilot's message into force. Either all its changes take effect or, if it returns an error, none.
 func (p *Proxy) apply(m *runtime.Message) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.bring(m)
+	return p.applyLocked(m)
 }
 
-// bring does so; p.mu is held.
-func (p *Proxy) bring(m *runtime.Message) error {
-	n, err := p.now.Load().apply(m, &p.servers, len(p.types), p.rng)
+// applyLocked is apply for callers that hold p.mu.
+func (p *Proxy) applyLocked(m *runtime.Message) error {
+	next, err := p.current.Load().apply(m, &p.servers, len(p.types), p.rng)
 	if err != nil {
 		return err
 	}
-	before := n.bindings
+	before := next.bindings
 	var changed map[string]tenancy.Binding
-	if n.bindings, changed = before.take(m, time.Since(p.started)); n.bindings != before {
-		p.keeper.keep(n.bindings, changed)
-	}
-	p.now.Store(n)
-	p.tally.applied.Add(1)
-	if slices.ContainsFunc(m.Changes, func(c runtime.Change) bool { return c.Verb != runtime.SetWeight && c.Verb != runtime.SetState }) {
-		for _, e := range p.servers.keep(n) {
+	if next.bindings, changed = before.apply(m, time.Since(p.started)); next.bindings != before {
+		p.bindingStore.save(next.bindings, changed)
+	}
+	p.current.Store(next)
+	p.counters.applied.Add(1)
+	if slices.ContainsFunc(m.Changes, func(c runtime.Change) bool {
+		return c.Verb != runtime.SetWeight && c.Verb != runtime.SetState
+	}) {
+		for _, e := range p.servers.retain(next) {
 			p.pool.CloseIdle(e.address)
 		}
 	}
@@ -593,7 +618,8 @@
 	return nil
 }
 
-// Kill ends it as a killed process would: connections break, nothing is said.
+// Kill stops the proxy abruptly, as if its process had been killed: connections break, and neither clients nor the pilot are
+// notified.
 func (p *Proxy) Kill() {
 	if p.cancel == nil {
 		return
@@ -605,18 +631,18 @@
 	if p.admin != nil {
 		p.admin.Close()
 	}
-	p.keeper.close()
+	p.bindingStore.close()
 }
 
-// closeServer breaks the clients' connections.
+// closeServer closes the client listener and all client connections at once.
 func (p *Proxy) closeServer() {
-	gone, cancel := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	p.server.Stop(gone)
+	p.server.Stop(ctx)
 }
 
-// OpenConnections is how many it has open to servers.
+// OpenConnections returns the number of open connections to servers.
 func (p *Proxy) OpenConnections() int64 { return p.pool.OpenConnections() }
 
-// ConnectionsOpened is how many it has opened to servers so far.
+// ConnectionsOpened returns the number of connections to servers opened since the start.
 func (p *Proxy) ConnectionsOpened() int64 { return p.pool.TotalOpened.Load() }
--- a/proxy/proxy_test.go
+++ b/proxy/proxy_test.go
@@ -106,7 +106,7 @@
 	}
 	now := time.Now()
 	for range 3 {
-		s.byID[3].met(false, 0, nil, 3, time.Hour)
+		s.byID[3].recordTry(false, 0, nil, 3, time.Hour)
 	}
 	all := func(*server) bool { return true }
 	deal := func(n int) (got [4]int) {
@@ -118,7 +118,7 @@
 	if got := deal(3000); got[1] != 0 || got[3] != 0 || got[2] < 1998 || got[2] > 2002 {
 		t.Fatalf("%v", got)
 	}
-	s.byID[3].avoid = time.Time{}
+	s.byID[3].avoidUntil = time.Time{}
 	if got := deal(40); got[3] < 8 || got[3] > 12 {
 		t.Fatalf("back with a burst or not at all: %v", got)
 	}
@@ -126,7 +126,7 @@
 		t.Fatal("a withdrawn server was picked")
 	}
 	for _, e := range s.byID {
-		e.avoid = now.Add(time.Hour)
+		e.avoidUntil = now.Add(time.Hour)
 	}
 	if x.pickFor(0, now, all) == nil {
 		t.Fatal("nobody, where all are avoided")
@@ -161,7 +161,7 @@
 // An op sees a whole table, the old or the new: each message pairs a server with a level, and no pick finds another pair.
 func TestSwapInABurst(t *testing.T) {
 	s := someServers(4)
-	var now holder
+	var now tablesPointer
 	now.Store(newTables(1, nil, rng()))
 	step := func(i int) {
 		x, err := now.Load().apply(message(uint64(i), "clear table t0", lineOf(i%4, 1), lineOf((i+1)%4, 1), "set map op-types * t0",
@@ -224,18 +224,18 @@
 		{"unrun leaves the group", dedup, true, true, control.OnceMore, 1, time.Hour, true},
 		{"another pack", pack, true, false, control.OnceMore, 2, 0, false},
 	} {
-		x := tries{opType: c.op, keyed: c.keyed}
-		x.sent()
-		x.failedAt(s.byID[0], t0, c.unrun)
-		if got := x.may(c.again) && x.at(s.byID[c.to].Server, t0.Add(c.after)); got != c.want {
+		x := tryHistory{opType: c.op, hasKey: c.keyed}
+		x.recordSent()
+		x.recordFailure(s.byID[0], t0, c.unrun)
+		if got := x.mayRetry(c.again) && x.mayRunAt(s.byID[c.to].Server, t0.Add(c.after)); got != c.want {
 			t.Errorf("%s: %t", c.name, got)
 		}
 	}
-	x := tries{opType: free}
+	x := tryHistory{opType: free}
 	for i := range 3 {
-		x.sent()
-		x.failedAt(s.byID[0], t0, false)
-		if x.may(control.TwiceMore) != (i < 2) || i > 0 && x.may(control.OnceMore) {
+		x.recordSent()
+		x.recordFailure(s.byID[0], t0, false)
+		if x.mayRetry(control.TwiceMore) != (i < 2) || i > 0 && x.mayRetry(control.OnceMore) {
 			t.Errorf("after %d tries", i+1)
 		}
 	}
@@ -545,7 +545,7 @@
 		t.Fatal(err)
 	}
 	who := &tenant{name: "delo", account: &account{}}
-	subset := x.podsOfTable(who, tab.byType[0], tab.bindings, unlimited, 0)
+	subset := x.allowedPods(who, tab.byType[0], tab.bindings, unlimited, 0)
 	if len(subset) != 2 {
 		t.Fatalf("%v", subset)
 	}
@@ -561,14 +561,14 @@
 		out = append(out, fmt.Sprintf("set server */e%d state drain", id))
 	}
 	sick, err := tab.apply(message(2, out...), s, 1, rng())
-	if err != nil || !slices.Equal(x.podsOfTable(who, sick.byType[0], sick.bindings, unlimited, 0), subset) {
+	if err != nil || !slices.Equal(x.allowedPods(who, sick.byType[0], sick.bindings, unlimited, 0), subset) {
 		t.Errorf("a tenant whose servers are withdrawn was handed others: %v", err)
 	}
-	if (*tenants)(nil).podsOfTable(who, tab.byType[0], tab.bindings, unlimited, 0) != nil || (*tenants)(nil).of(nil, nil) != nil || !(*tenant)(nil).try() {
+	if (*tenants)(nil).allowedPods(who, tab.byType[0], tab.bindings, unlimited, 0) != nil || (*tenants)(nil).identify(nil, nil) != nil || !(*tenant)(nil).spendTry() {
 		t.Error("without tenants nothing is bound")
 	}
 	limited, err := tab.apply(message(2, "set tenant =delo rate 2 tries 0 fence on hand * room 1"), s, 1, rng())
-	if err != nil || len(limited.limits) != 1 || len(x.podsOfTable(who, limited.byType[0], limited.bindings, limited.limits["delo"], 0)) != 1 {
+	if err != nil || len(limited.limits) != 1 || len(x.allowedPods(who, limited.byType[0], limited.bindings, limited.limits["delo"], 0)) != 1 {
 		t.Fatal(err)
 	}
 	in := 0
@@ -576,7 +576,7 @@
 	for i := range 100 { // ten seconds of ten ops each
 		if who.admit(limited.limits["delo"], 1, time.Duration(i)*100*time.Millisecond) {
 			in++
-			who.done()
+			who.opDone()
 		}
 	}
 	if in < 19 || in > 22 {
@@ -586,14 +586,14 @@
 	if err != nil || len(handful.limits) != 1 {
 		t.Fatal(err)
 	}
-	who.done() // of the first above
+	who.opDone() // of the first above
 	for n := range 6 {
 		if who.admit(handful.limits["delo"], 1, 0) != (n < 3) {
 			t.Errorf("%d ops in hand beside another", n)
 		}
 	}
 	roomy, err := tab.apply(message(2, "set tenant =delo rate * tries 0.2 fence off hand * room 1.5"), s, 1, rng())
-	if err != nil || len(x.podsOfTable(who, roomy.byType[0], roomy.bindings, roomy.limits["delo"], 0)) != 3 || roomy.limits["delo"].Limited() {
+	if err != nil || len(x.allowedPods(who, roomy.byType[0], roomy.bindings, roomy.limits["delo"], 0)) != 3 || roomy.limits["delo"].Limited() {
 		t.Errorf("room for half as many pods more: %v, %v", roomy, err)
 	}
 	if free, err := limited.apply(message(3, "set tenant =delo rate * tries 0.2 fence off hand * room 1"), s, 1, rng()); err != nil || len(free.limits) != 0 {
@@ -606,7 +606,7 @@
 	for range 100 {
 		ask(t, p, "GET / HTTP/1.1\r\nHost: h\r\nNewsroom: delo\r\n\r\n")
 	}
-	if n := p.tally.retried.Load(); n < 10 || n > 25 {
+	if n := p.counters.retried.Load(); n < 10 || n > 25 {
 		t.Errorf("%d tries beyond the first for 100 ops", n)
 	}
 }
@@ -653,7 +653,7 @@
 		}
 	}
 	state("drain")
-	if status := get("delo"); status != 200 || p.tally.borrowed.Load() != 1 {
+	if status := get("delo"); status != 200 || p.counters.borrowed.Load() != 1 {
 		t.Errorf("%d", status)
 	}
 	if status := write(); time.Since(wrote) < 300*time.Millisecond && status != 503 {
@@ -674,8 +674,8 @@
 	newcomer := "" // one that nobody knows, at the same pod
 	for i := 0; newcomer == ""; i++ {
 		x := &tenant{name: fmt.Sprint("n", i), account: &account{}}
-		table := p.now.Load()
-		if s := p.tenants.podsOfTable(x, table.byType[1], table.bindings, unlimited, 0); s[0] == tenancy.PodID(home) {
+		table := p.current.Load()
+		if s := p.tenants.allowedPods(x, table.byType[1], table.bindings, unlimited, 0); s[0] == tenancy.PodID(home) {
 			newcomer = x.name
 		}
 	}
@@ -701,10 +701,10 @@
 	for i := range 100 {
 		all.Go(func() {
 			for j := range 100 {
-				who := x.named(fmt.Sprintf("newsroom %d;\x00\n%d", i, j))
+				who := x.lookup(fmt.Sprintf("newsroom %d;\x00\n%d", i, j))
 				who.admit(unlimited, 1, 0)
-				x.met(who, &server{id: 1, Server: runtime.Server{Zone: j % 3, Pack: i}}, false, time.Millisecond)
-				who.done()
+				x.recordTry(who, &server{id: 1, Server: runtime.Server{Zone: j % 3, Pack: i}}, false, time.Millisecond)
+				who.opDone()
 			}
 		})
 	}
@@ -712,10 +712,10 @@
 	x.mu.Lock()
 	known := len(x.known)
 	x.mu.Unlock()
-	if sums := x.take(); known > mostTenants+1 || len(sums) > mostSums+300 {
+	if sums := x.takeSums(); known > maxTenants+1 || len(sums) > maxTenantSums+300 {
 		t.Errorf("%d kept, %d sums", known, len(sums))
 	}
-	late := x.named("one more")
+	late := x.lookup("one more")
 	if !late.shared || late.name != "one more" {
 		t.Errorf("%+v", late)
 	}
--- a/proxy/room_probe.go
+++ b/proxy/room_probe.go
@@ -9,12 +9,13 @@
 	"vetchdoor/stream"
 )
 
-// probeTimeout bounds the dial of a probe for room, and the wait for its answer.
+// probeTimeout bounds the dial of a room probe, and then the wait for its result.
 const probeTimeout = time.Second
 
-// hasRoom probes a pilot, on a stream of its own, for whether it would admit this proxy.
-func (o *orders) hasRoom(address string) bool {
-	probe := &roomProbe{scanner: runtime.NewScanner(runtime.Orders), answer: make(chan bool, 1)}
+// hasRoom asks the pilot at address, on a separate stream, whether it would admit this proxy. Errors and timeouts count as
+// no.
+func (o *pilotClient) hasRoom(address string) bool {
+	probe := &roomProbe{scanner: runtime.NewScanner(runtime.Orders), result: make(chan bool, 1)}
 	conn, err := stream.Dial(o.proxy.Net, address, probeTimeout, probe)
 	if err != nil {
 		return false
@@ -22,7 +23,7 @@
 	defer conn.Close()
 	_ = conn.Send(runtime.RoomProbe{Proxy: control.ProxyID(o.proxy.file.ID)}.Append(nil))
 	select {
-	case room := <-probe.answer:
+	case room := <-probe.result:
 		return room
 	case <-time.After(probeTimeout):
 		return false
@@ -32,19 +33,20 @@
 // roomProbe handles the stream of one probe.
 type roomProbe struct {
 	scanner *runtime.Scanner
-	answer  chan bool // holds one answer
+	result  chan bool // buffered, for the single result
 	once    sync.Once
 }
 
-// Data takes the first line that comes for the answer.
+// Data takes the first line received as the result.
 func (r *roomProbe) Data(_ *stream.Conn, b []byte) {
 	r.scanner.Feed(b)
 	if line, ok, err := r.scanner.Next(); ok || err != nil {
-		r.report(ok && line[0].Is(runtime.Room))
+		r.sendResult(ok && line[0].Is(runtime.Room))
 	}
 }
 
-// Closed means that there is no room, unless an answer came before.
-func (r *roomProbe) Closed(*stream.Conn) { r.report(false) }
+// Closed reports no room, unless a result was received before.
+func (r *roomProbe) Closed(*stream.Conn) { r.sendResult(false) }
 
-func (r *roomProbe) report(room bool) { r.once.Do(func() { r.answer <- room }) }
+// sendResult delivers the result; only the first call has an effect.
+func (r *roomProbe) sendResult(room bool) { r.once.Do(func() { r.result <- room }) }
--- a/proxy/stop_test.go
+++ b/proxy/stop_test.go
@@ -73,7 +73,7 @@
 	for i := range clients {
 		all.Go(func() { outcomes[i] = keepAsking(p.Address()) })
 	}
-	for p.tally.acked.Load() < 4*clients {
+	for p.counters.acked.Load() < 4*clients {
 		time.Sleep(time.Millisecond)
 	}
 	all.Go(func() { p.Stop(context.Background()) })
--- a/proxy/tables.go
+++ b/proxy/tables.go
@@ -14,114 +14,116 @@
 	"vetchdoor/tenancy"
 )
 
-// server is all that the proxy knows of one endpoint.
+// server is the proxy's record of one endpoint. Its counters cover the time since the last sums.
 type server struct {
 	id control.EndpointID
 	runtime.Server
-	address string
+	address string // runtime.Server.Address as a string
 
-	mu       sync.Mutex
-	failures int       // of its own tries, in a row
-	avoid    time.Time // until then
-	tries    int       // since the last sums
-	failed   int
-	latency  time.Duration // total of the good ones
-	load     []float64     // the newest report
+	mu         sync.Mutex // guards the fields below
+	failures   int        // consecutive failures of this proxy's own tries
+	avoidUntil time.Time  // the server is avoided until then
+	tries      int
+	failed     int
+	latency    time.Duration // total over the successful tries
+	load       []float64     // newest load report
 }
 
-// line is a server in a table.
+// line is one server of a table.
 type line struct {
 	server *server
 	weight float64
 }
 
-// table is a set of lines; a change makes a new one. Its pickers carry over how far each server's turn is.
+// table is an immutable set of servers with weights; a change makes a new table. Its pickers continue from those of the
+// previous table, so that a change does not disturb the distribution of ops.
 type table struct {
 	name    string
-	lines   []line // by endpoint
-	levels  map[int]level
-	picks   []*picker   // by op type
-	subsets *podSubsets // of tenants
+	lines   []line        // sorted by endpoint
+	levels  map[int]level // levels of this table alone, by op type
+	pickers []*picker     // by op type
+	subsets *podSubsets   // pods of the table, and the subsets of tenants
 
-	once   sync.Once
+	once   sync.Once // computes digest
 	digest uint64
 }
 
-// content is its lines as the wire bears them.
-func (t *table) content() (out []runtime.Line) {
+// wireLines returns the lines in the form of the runtime API.
+func (t *table) wireLines() (out []runtime.Line) {
 	for _, l := range t.lines {
 		out = append(out, runtime.Line{Endpoint: l.server.id, Server: l.server.Server, Weight: l.weight})
 	}
 	return out
 }
 
-// tells is its digest.
-func (t *table) tells() uint64 {
-	t.once.Do(func() { t.digest = runtime.Digest(t.content()) })
+// contentDigest returns the digest of the table's lines.
+func (t *table) contentDigest() uint64 {
+	t.once.Do(func() { t.digest = runtime.Digest(t.wireLines()) })
 	return t.digest
 }
 
-// digests are those of the tables that op types go by; 0 for the standing one.
+// digests returns the digests of the tables that op types use, by op type; 0 stands for the standing table.
 func (t *tables) digests() (out []uint64) {
-	for _, x := range t.byType {
-		if x == t.standing {
+	for _, tbl := range t.byType {
+		if tbl == t.standing {
 			out = append(out, 0)
 		} else {
-			out = append(out, x.tells())
+			out = append(out, tbl.contentDigest())
 		}
 	}
 	return out
 }
 
-// holding returns the table with a digest that an op type goes by; nil if there is none.
-func (t *tables) holding(digest uint64) *table {
-	for _, x := range t.byType {
-		if x != t.standing && x.tells() == digest {
-			return x
+// tableByDigest returns the table with the given digest among those that op types use; nil if there is none.
+func (t *tables) tableByDigest(digest uint64) *table {
+	for _, tbl := range t.byType {
+		if tbl != t.standing && tbl.contentDigest() == digest {
+			return tbl
 		}
 	}
 	return nil
 }
 
-// level is how much of an op type is let in and how tries are repeated.
+// level is the admitted share of an op type, 1 or more for all ops, and its retry policy.
 type level struct {
 	share float64
-	again control.Again
+	retry control.Again
 }
 
-// tables is all that a proxy goes by, whole at any time: a message makes a new one, and an op keeps the one it began
-// with.
+// tables is the complete state that a pilot has published to the proxy. It is immutable: a message makes a new value, and a
+// try uses one value throughout.
 type tables struct {
 	pilot    string
 	run      uint64
-	number   uint64 // of the last message applied
-	named    map[control.TableID]*table
-	byType   []*table // what each op type goes by; the standing table if nothing else
-	standing *table
-	out      map[control.EndpointID]bool
-	levels   map[int]level            // for all tables
-	limits   map[string]tenancy.Limit // of tenants, by the pilot
+	number   uint64                      // of the last message applied
+	named    map[control.TableID]*table  // tables of the current run, by ID
+	byType   []*table                    // table of each op type; the standing table if none is assigned
+	standing *table                      // chosen from the settings at the start
+	drained  map[control.EndpointID]bool // servers that new ops must not use
+	levels   map[int]level               // by op type, for all tables
+	limits   map[string]tenancy.Limit    // limits that the pilot set, by tenant
 	bindings *bindings
 }
 
-// bench of servers, by id; one record each, kept while any table names it.
+// servers are the server records by endpoint. A record is kept for as long as any table names its server.
 type servers struct {
-	mu   sync.Mutex
-	byID map[control.EndpointID]*server
-	born time.Time // of the proxy
+	mu      sync.Mutex
+	byID    map[control.EndpointID]*server
+	started time.Time // start of the proxy
 }
 
-// get returns the record of an endpoint at a place: the one that is held, or a new one, held once keep finds it named.
-func (s *servers) get(id control.EndpointID, at runtime.Server) *server {
+// get returns the record of an endpoint: the stored one if its address, zone and pack are those given, else a new one, which
+// retain stores once a table names it.
+func (s *servers) get(id control.EndpointID, location runtime.Server) *server {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if e := s.byID[id]; e != nil && e.Server == at {
+	if e := s.byID[id]; e != nil && e.Server == location {
 		return e
 	}
-	return &server{id: id, Server: at, address: at.Address.String()}
+	return &server{id: id, Server: location, address: location.Address.String()}
 }
 
-// all returns the records by id.
+// all returns the records, sorted by endpoint.
 func (s *servers) all() []*server {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -133,8 +135,9 @@
 	return out
 }
 
-// keep holds the records that tables name, the newer of two of one endpoint, and returns those that none names now.
-func (s *servers) keep(t *tables) (dropped []*server) {
+// retain stores the records that the tables name and returns the records that no table names any more. If an endpoint has
+// two records, the newer one replaces the older.
+func (s *servers) retain(t *tables) (dropped []*server) {
 	named := map[control.EndpointID]*server{}
 	each := func(t *table) {
 		for _, l := range t.lines {
@@ -142,11 +145,11 @@
 		}
 	}
 	each(t.standing)
-	for _, x := range t.byType {
-		each(x)
+	for _, tbl := range t.byType {
+		each(tbl)
 	}
-	for _, x := range t.named {
-		each(x)
+	for _, tbl := range t.named {
+		each(tbl)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -159,9 +162,9 @@
 	return dropped
 }
 
-// newTables are those of a proxy that has just started.
+// newTables returns the tables of a proxy that no pilot has sent anything yet: all op types use the standing table.
 func newTables(types int, standing []line, rng *rand.Rand) *tables {
-	t := &tables{named: map[control.TableID]*table{}, out: map[control.EndpointID]bool{}, levels: map[int]level{},
+	t := &tables{named: map[control.TableID]*table{}, drained: map[control.EndpointID]bool{}, levels: map[int]level{},
 		byType: make([]*table, types), bindings: &bindings{}}
 	t.standing = newTable("standing", standing, nil, types, 0, rng)
 	for i := range t.byType {
@@ -170,15 +173,16 @@
 	return t
 }
 
-// newTable builds a table and its pickers; those of the table before it, if any, hand on where they stand.
+// newTable builds a table and its pickers. If before is not nil, the pickers continue from those of before, and its levels
+// are copied.
 func newTable(name string, lines []line, before *table, types int, now time.Duration, rng *rand.Rand) *table {
-	t := &table{name: name, lines: lines, levels: map[int]level{}, picks: make([]*picker, types)}
-	for i := range t.picks {
+	t := &table{name: name, lines: lines, levels: map[int]level{}, pickers: make([]*picker, types)}
+	for i := range t.pickers {
 		var from *picker
 		if before != nil {
-			from = before.picks[i]
+			from = before.pickers[i]
 		}
-		t.picks[i] = newPicker(lines, from, rand.New(rand.NewPCG(rng.Uint64(), rng.Uint64())))
+		t.pickers[i] = newPicker(lines, from, rand.New(rand.NewPCG(rng.Uint64(), rng.Uint64())))
 	}
 	if before != nil {
 		for k, v := range before.levels {
@@ -189,39 +193,40 @@
 	return t
 }
 
-// apply returns the tables after a message. Nothing of it takes effect where one change cannot be: the error says which.
-func (t *tables) apply(m *runtime.Message, s *servers, types int, rng *rand.Rand) (*tables, error) {
-	n := &tables{pilot: m.Pilot, run: m.Run, number: m.Number, standing: t.standing, byType: slices.Clone(t.byType),
+// apply returns the tables after a message. If any change of the message is invalid, it returns an error that names the
+// change.
+func (t *tables) apply(m *runtime.Message, records *servers, types int, rng *rand.Rand) (*tables, error) {
+	next := &tables{pilot: m.Pilot, run: m.Run, number: m.Number, standing: t.standing, byType: slices.Clone(t.byType),
 		bindings: t.bindings}
 	if t.pilot == m.Pilot && t.run == m.Run {
-		n.named = maps.Clone(t.named)
-	} else { // tables of another run keep their users, not their names
-		n.named = map[control.TableID]*table{}
+		next.named = maps.Clone(t.named)
+	} else { // op types keep using the tables of the previous run, but their IDs no longer refer to them
+		next.named = map[control.TableID]*table{}
 	}
-	n.out, n.levels, n.limits = maps.Clone(t.out), maps.Clone(t.levels), t.limits
-	if n.pilot != t.pilot || n.run != t.run {
-		n.limits = nil
+	next.drained, next.levels, next.limits = maps.Clone(t.drained), maps.Clone(t.levels), t.limits
+	if next.pilot != t.pilot || next.run != t.run {
+		next.limits = nil
 	}
-	lines := map[control.TableID][]line{} // of tables being changed
-	fresh := map[control.EndpointID]*server{}
+	lines := map[control.TableID][]line{} // lines of the tables that the message changes
+	newRecords := map[control.EndpointID]*server{}
 	record := func(id control.EndpointID, at runtime.Server) *server {
-		if e := fresh[id]; e != nil && e.Server == at {
+		if e := newRecords[id]; e != nil && e.Server == at {
 			return e
 		}
-		fresh[id] = s.get(id, at)
-		return fresh[id]
+		newRecords[id] = records.get(id, at)
+		return newRecords[id]
 	}
 	edit := func(id control.TableID) []line {
 		if l, ok := lines[id]; ok {
 			return l
 		}
-		if old := n.named[id]; old != nil {
+		if old := next.named[id]; old != nil {
 			return slices.Clone(old.lines)
 		}
 		return nil
 	}
 	levels, adopted := map[control.TableID]map[int]level{}, map[control.TableID]*table{}
-	var bound []runtime.Change
+	var mapChanges []runtime.Change
 	each := func(mask uint16, f func(int)) error {
 		if mask>>types != 0 {
 			return fmt.Errorf("op type beyond the %d that there are", types)
@@ -262,7 +267,7 @@
 			}
 			lines[c.Table] = l
 		case runtime.AdoptTable:
-			from := t.holding(c.Digest)
+			from := t.tableByDigest(c.Digest)
 			if from == nil {
 				err = fmt.Errorf("no op type goes by a table of digest %x", c.Digest)
 				break
@@ -273,36 +278,36 @@
 			lines[c.Table], levels[c.Table] = nil, map[int]level{}
 		case runtime.SetState:
 			if c.Out {
-				n.out[c.Endpoint] = true
+				next.drained[c.Endpoint] = true
 			} else {
-				delete(n.out, c.Endpoint)
+				delete(next.drained, c.Endpoint)
 			}
 		case runtime.SetTenant:
-			n.limits = maps.Clone(n.limits)
-			if n.limits == nil {
-				n.limits = map[string]tenancy.Limit{}
+			next.limits = maps.Clone(next.limits)
+			if next.limits == nil {
+				next.limits = map[string]tenancy.Limit{}
 			}
-			if n.limits[c.Tenant] = c.Limit(); c.Limit().Free() {
-				delete(n.limits, c.Tenant)
+			if next.limits[c.Tenant] = c.Limit(); c.Limit().Free() {
+				delete(next.limits, c.Tenant)
 			}
 		case runtime.ClearState:
-			clear(n.out)
+			clear(next.drained)
 		case runtime.SetMap:
-			bound = append(bound, c)
-			if _, ok := lines[c.Table]; !ok && n.named[c.Table] == nil {
-				lines[c.Table] = nil // one with no lines yet is empty
+			mapChanges = append(mapChanges, c)
+			if _, ok := lines[c.Table]; !ok && next.named[c.Table] == nil {
+				lines[c.Table] = nil // a table without lines so far is created empty
 			}
 			err = each(c.OpTypes, func(int) {})
 		case runtime.SetLevel:
 			err = each(c.OpTypes, func(i int) {
 				l := level{c.Level, c.Again}
 				if c.Table == control.Everywhere {
-					n.levels[i] = l
+					next.levels[i] = l
 					return
 				}
 				if levels[c.Table] == nil {
 					levels[c.Table] = map[int]level{}
-					if old := n.named[c.Table]; old != nil {
+					if old := next.named[c.Table]; old != nil {
 						levels[c.Table] = maps.Clone(old.levels)
 					}
 				}
@@ -317,87 +322,90 @@
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(lines)) {
-		old := n.named[id]
+		old := next.named[id]
 		before := old
 		if adopted[id] != nil {
 			before = adopted[id]
 		}
-		changed := newTable(fmt.Sprintf("t%d", id), lines[id], before, types, time.Since(s.born), rng)
+		changed := newTable(fmt.Sprintf("t%d", id), lines[id], before, types, time.Since(records.started), rng)
 		if levels[id] != nil {
 			changed.levels = levels[id]
 		}
-		for i, used := range n.byType {
+		for i, used := range next.byType {
 			if old != nil && used == old {
-				n.byType[i] = changed
+				next.byType[i] = changed
 			}
 		}
-		n.named[id] = changed
+		next.named[id] = changed
 	}
-	for _, c := range bound {
-		_ = each(c.OpTypes, func(i int) { n.byType[i] = n.named[c.Table] })
+	for _, c := range mapChanges {
+		_ = each(c.OpTypes, func(i int) { next.byType[i] = next.named[c.Table] })
 	}
-	return n, nil
+	return next, nil
 }
 
+// find returns the position of an endpoint in lines sorted by endpoint, and whether it is there.
 func find(l []line, id control.EndpointID) (int, bool) {
 	return slices.BinarySearchFunc(l, id, func(x line, id control.EndpointID) int {
 		return int(int64(x.server.id) - int64(id))
 	})
 }
 
-// level returns how much of an op type is let in and how its tries are repeated: the lower share holds, and the
-// table's own way of trying again where it has one.
+// level returns the level in force for an op type. The share is the lower of the table's own and the one for all tables. The
+// retry policy is the table's own if it has a level, else the one for all tables, else usual.
 func (t *tables) level(opType int, usual control.Again) level {
 	all, ok := t.levels[opType]
 	if !ok {
 		all = level{1, usual}
 	}
 	if own, ok := t.byType[opType].levels[opType]; ok {
-		return level{min(own.share, all.share), own.again}
+		return level{min(own.share, all.share), own.retry}
 	}
 	return all
 }
 
-// picker deals the servers of a table out evenly by weight: the one whose turn comes first, earliest deadline first,
-// its next turn a step of 1/weight later.
+// picker distributes ops over the servers of a table in proportion to their weights, by earliest deadline first. In virtual
+// time, a server is due again 1/weight after its last pick, and the server with the earliest deadline is picked next.
 type picker struct {
-	mu    sync.Mutex
-	rng   *rand.Rand
-	turn  float64 // of the last one dealt
-	lines []line
-	next  []float64
+	mu          sync.Mutex
+	rng         *rand.Rand
+	virtualTime float64 // deadline of the last server picked
+	lines       []line
+	deadlines   []float64 // by line
 }
 
+// newPicker returns a picker for the lines. If from is not nil, the servers that both have keep the share of their interval
+// that is left until their deadlines.
 func newPicker(lines []line, from *picker, rng *rand.Rand) *picker {
-	p := &picker{rng: rng, lines: lines, next: make([]float64, len(lines))}
+	p := &picker{rng: rng, lines: lines, deadlines: make([]float64, len(lines))}
 	var held map[*server]float64
 	if from != nil {
 		from.mu.Lock()
 		defer from.mu.Unlock()
-		p.turn = from.turn
-		if slices.EqualFunc(lines, from.lines, func(a, b line) bool { return a.server == b.server }) { // weights alone differ
+		p.virtualTime = from.virtualTime
+		if slices.EqualFunc(lines, from.lines, func(a, b line) bool { return a.server == b.server }) { // only weights differ
 			for i, l := range lines {
-				p.next[i] = p.turn + (from.next[i]-from.turn)*from.lines[i].weight/l.weight
+				p.deadlines[i] = p.virtualTime + (from.deadlines[i]-from.virtualTime)*from.lines[i].weight/l.weight
 			}
 			return p
 		}
 		held = make(map[*server]float64, len(from.lines))
 		for i, l := range from.lines {
-			held[l.server] = (from.next[i] - from.turn) * l.weight
+			held[l.server] = (from.deadlines[i] - from.virtualTime) * l.weight
 		}
 	}
 	for i, l := range lines {
 		part, ok := held[l.server]
 		if !ok {
-			part = rng.Float64() // so that proxies do not all begin with the same server
+			part = rng.Float64() // random, so that proxies do not all start with the same server
 		}
-		p.next[i] = p.turn + part/l.weight
+		p.deadlines[i] = p.virtualTime + part/l.weight
 	}
 	return p
 }
 
-// pick deals the next server that may be used; nil if none may. One that could not be used for a while takes its turn
-// anew, so that it is not made up for with a burst.
+// pick returns the next server for which may returns true; nil if there is none. A server whose deadline has passed because
+// it could not be used for a while gets a new deadline, so that it does not receive a burst of ops when it returns.
 func (p *picker) pick(may func(*server) bool) *server {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -406,43 +414,45 @@
 		if !may(l.server) {
 			continue
 		}
-		if p.next[i] < p.turn {
-			p.next[i] = p.turn + p.rng.Float64()/l.weight
+		if p.deadlines[i] < p.virtualTime {
+			p.deadlines[i] = p.virtualTime + p.rng.Float64()/l.weight
 		}
-		if best < 0 || p.next[i] < p.next[best] {
+		if best < 0 || p.deadlines[i] < p.deadlines[best] {
 			best = i
 		}
 	}
 	if best < 0 {
 		return nil
 	}
-	p.turn = p.next[best]
-	p.next[best] += 1 / p.lines[best].weight
+	p.virtualTime = p.deadlines[best]
+	p.deadlines[best] += 1 / p.lines[best].weight
 	return p.lines[best].server
 }
 
-// holder hands the tables in force to ops.
-type holder struct{ atomic.Pointer[tables] }
+// tablesPointer holds the tables in force. Ops load it without a lock.
+type tablesPointer struct{ atomic.Pointer[tables] }
 
-// pickFor picks a server for an op of a type: not one that is out, nor one that may refuses; of the others, one that is
-// not avoided, or if all are, any.
+// pickFor picks a server for an op type among those that are not drained and for which may returns true. It prefers servers
+// that are not avoided, and returns nil if there is no server.
 func (t *tables) pickFor(opType int, now time.Time, may func(*server) bool) *server {
-	in := func(e *server) bool { return !t.out[e.id] && may(e) }
-	p := t.byType[opType].picks[opType]
+	in := func(e *server) bool { return !t.drained[e.id] && may(e) }
+	p := t.byType[opType].pickers[opType]
 	if e := p.pick(func(e *server) bool { return in(e) && !e.avoided(now) }); e != nil {
 		return e
 	}
 	return p.pick(in)
 }
 
+// avoided reports whether the server is avoided at the given time because of consecutive failures.
 func (e *server) avoided(now time.Time) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return now.Before(e.avoid)
+	return now.Before(e.avoidUntil)
 }
 
-// met books a try. After so many own failures in a row the server is avoided for a while.
-func (e *server) met(good bool, took time.Duration, load []float64, after int, span time.Duration) {
+// recordTry records the outcome of a try. After outlierAfter consecutive failures (0: never) the server is avoided for
+// avoidFor. load is the load report of the response, nil if there is none.
+func (e *server) recordTry(good bool, took time.Duration, load []float64, outlierAfter int, avoidFor time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.tries++
@@ -454,13 +464,13 @@
 		return
 	}
 	e.failed++
-	if e.failures++; after > 0 && e.failures >= after {
-		e.failures, e.avoid = 0, time.Now().Add(span)
+	if e.failures++; outlierAfter > 0 && e.failures >= outlierAfter {
+		e.failures, e.avoidUntil = 0, time.Now().Add(avoidFor)
 	}
 }
 
-// sum takes what was met since the last call.
-func (e *server) sum() (runtime.ServerSum, bool) {
+// takeSum returns the sum of the tries since the last call, and resets it. It returns false if there were no tries.
+func (e *server) takeSum() (runtime.ServerSum, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.tries == 0 {
--- a/proxy/tenants.go
+++ b/proxy/tenants.go
@@ -16,87 +16,90 @@
 	"vetchdoor/tenancy/match"
 )
 
-// tenants tells whose an op is and keeps each tenant to its subset of the servers.
+// tenants attributes ops to tenants and confines each tenant to its subset of the servers.
 type tenants struct {
-	match *match.Matcher
-	count int // pods of a subset; 0: all
-	mu    sync.Mutex
-	known map[string]*tenant
-	sums  map[sumKey]*runtime.TenantSum // since the last ones were sent
+	matcher    *match.Matcher
+	subsetSize int                           // pods in a tenant's subset; 0: all
+	mu         sync.Mutex                    // guards known and sums
+	known      map[string]*tenant            // tenants that sent ops, at most maxTenants and the shared one
+	sums       map[sumKey]*runtime.TenantSum // since the last sums were sent
 
-	groups *writeGroups // the proxy's; before it gives them, there are none
+	groups *writeGroups // shared with the proxy; without groups until the proxy sets it
 }
 
-// sumKey is what is summed up: a tenant at a pod.
+// sumKey identifies one sum: a tenant's tries at one pod.
 type sumKey struct {
 	name string
 	pod  tenancy.PodID
 }
 
-// unlimited is the limit of tenants of which the pilot says nothing.
+// unlimited is the limit of tenants for which the pilot has set none.
 var unlimited = tenancy.Unlimited("")
 
-// tenant is one that sent ops lately.
+// tenant is one tenant that sent ops.
 type tenant struct {
 	name   string
-	shared bool // its account is that of all beyond the bound
+	shared bool // the account is shared by all tenants beyond maxTenants
 	*account
 }
 
-// account is what a tenant may spend on tries beyond the first.
+// account is a tenant's use of its limits, its retry budget, and its borrowing of a pod outside its subset.
 type account struct {
-	mu     sync.Mutex
-	budget tenancy.Budget
-	credit tenancy.Credit
-	lent   tenancy.Lent
+	mu     sync.Mutex     // guards the fields below
+	budget tenancy.Budget // tries beyond the first
+	credit tenancy.Credit // success rate; decides whether the tenant may borrow a pod
+	lent   tenancy.Lent   // where the tenant's writes went last
 
-	allowance tenancy.Allowance
+	allowance tenancy.Allowance // op rate and ops in progress
 }
 
-// Bounds of what is kept of tenants; those beyond share one account of tries, and their subsets are drawn each time.
+// Bounds on the state kept for tenants. Tenants beyond maxTenants share one account of tries, and subsets beyond
+// maxCachedSubsets are drawn on each use.
 const (
-	mostTenants = 4096
-	mostDrawn   = 4096
-	mostSums    = 1024 // tenants at pods in one period; the rest is summed up as one
+	maxTenants       = 4096
+	maxCachedSubsets = 4096
+	maxTenantSums    = 1024 // sums in one report period; further tries are added up as one tenant, per pod
 )
 
+// newTenants returns an error if the rules that identify tenants are invalid.
 func newTenants(f *files.Tenants) (*tenants, error) {
 	m, err := match.New(match.Rules{Header: f.Header, PathPrefix: f.PathPrefix, Networks: f.Networks, Known: f.Known})
 	if err != nil {
 		return nil, err
 	}
-	return &tenants{match: m, count: f.Subset, known: map[string]*tenant{}, sums: map[sumKey]*runtime.TenantSum{},
+	return &tenants{matcher: m, subsetSize: f.Subset, known: map[string]*tenant{}, sums: map[sumKey]*runtime.TenantSum{},
 		groups: &writeGroups{}}, nil
 }
 
-// of tells the tenant of an op; nil where there are none.
-func (t *tenants) of(c *serve.Conn, m *http1.Message) *tenant {
+// identify returns the tenant of a request; nil if ops are not attributed to tenants.
+func (t *tenants) identify(c *serve.Conn, m *http1.Message) *tenant {
 	if t == nil {
 		return nil
 	}
 	var field []byte
-	if h := t.match.Header(); h != "" {
+	if h := t.matcher.Header(); h != "" {
 		field = m.Get(h)
 	}
 	var client netip.Addr
 	if at, err := netip.ParseAddrPort(c.Remote()); err == nil {
 		client = at.Addr()
 	}
-	return t.named(t.match.Of(field, m.Target, client))
+	return t.lookup(t.matcher.Of(field, m.Target, client))
 }
 
-// named returns the record of a tenant.
-func (t *tenants) named(name string) *tenant {
+// lookup returns the record of a tenant, which it creates if needed. Tenants beyond maxTenants get a record that is not kept
+// and whose account they share.
+func (t *tenants) lookup(name string) *tenant {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	x := t.known[name]
-	if x != nil {
-		return x
+	record := t.known[name]
+	if record != nil {
+		return record
 	}
-	if len(t.known) < mostTenants {
-		x = &tenant{name: name, account: &account{}}
-		t.known[name] = x
-		return x
+	if len(t.known) < maxTenants {
+		record = &tenant{name: name, account: &account{}}
+		t.known[name] = record
+		return record
 	}
 	shared := t.known[tenancy.Folded]
 	if shared == nil {
@@ -106,7 +109,8 @@
 	return &tenant{name, true, shared.account}
 }
 
-// admit earns an op's share of a try and tells whether a tenant's limit lets the op in; one that is in is in hand until done.
+// admit reports whether the tenant's limit admits an op of the given revenue rank, and counts the op as in progress if so.
+// It also adds the op's share of a retry to the tenant's budget. A nil tenant admits every op.
 func (x *tenant) admit(l tenancy.Limit, rank float64, now time.Duration) bool {
 	if x == nil {
 		return true
@@ -117,8 +121,8 @@
 	return x.allowance.Admit(now, l.Rate, l.Hand, rank)
 }
 
-// done takes an op out of hand.
-func (x *tenant) done() {
+// opDone records that an admitted op has ended.
+func (x *tenant) opDone() {
 	if x != nil {
 		x.mu.Lock()
 		x.allowance.Done()
@@ -126,8 +130,8 @@
 	}
 }
 
-// try spends one; without tenants nobody counts.
-func (x *tenant) try() bool {
+// spendTry reports whether the retry budget allows another try, and charges it. A nil tenant allows every try.
+func (x *tenant) spendTry() bool {
 	if x == nil {
 		return true
 	}
@@ -136,29 +140,29 @@
 	return x.budget.Try()
 }
 
-// pod is where a server stands among those that tenants share: its pack within its zone.
+// pod returns the pod that the server belongs to: its pack within its zone.
 func (e *server) pod() tenancy.PodID { return tenancy.PodOf(e.Zone, e.Pack) }
 
-// podSubsets draws the subsets of tenants among the pods of a table and keeps them.
+// podSubsets draws the subsets of tenants from the pods of a table, and caches them.
 type podSubsets struct {
 	pods *tenancy.Pods
 
-	mu         sync.Mutex
-	candidates []tenancy.Pod // what subsets are drawn among
-	holds      time.Duration // until then, since the proxy's start
+	mu         sync.Mutex    // guards candidates and validUntil
+	candidates []tenancy.Pod // pods that subsets are drawn from
+	validUntil time.Duration // when candidates must be recomputed, since the proxy's start
 	cache      subsetCache
 
-	zones map[tenancy.PodID]*zonePods // by the id that stands for the zone
+	zones map[tenancy.PodID]*zonePods // by the pod ID that stands for the zone, see tenancy.ZoneOf
 }
 
-// zonePods are the pods of a zone with a line in a table, and the subsets of tenants among them. They don't change: a table with
-// other servers has others.
+// zonePods are the pods of a zone that have a server in a table, and the cached subsets of tenants among them. The pods are
+// fixed; a table with other servers has its own zonePods.
 type zonePods struct {
 	live    []tenancy.Pod
-	subsets [groupKinds]subsetCache // apart by kind, for a tenant may use another number of zones by each
+	subsets [groupKindCount]subsetCache // separate by kind, because a tenant may use a different number of zones for each
 }
 
-// zonesOf sorts pods by their zones.
+// zonesOf groups pods by zone.
 func zonesOf(live []tenancy.Pod) map[tenancy.PodID]*zonePods {
 	zones := map[tenancy.PodID]*zonePods{}
 	for _, pod := range live {
@@ -171,20 +175,21 @@
 	return zones
 }
 
-// subsetCache keeps the subsets that were drawn for tenants, for as many as there is room for.
+// subsetCache caches the subsets drawn for tenants, for at most maxCachedSubsets of them.
 type subsetCache struct {
 	mu       sync.Mutex
 	byTenant map[string]cachedSubset
 }
 
-// cachedSubset is a tenant's subset of pods, or of groups, and what it was drawn by.
+// cachedSubset is a tenant's subset of pods or groups, with the parameters that it was drawn by.
 type cachedSubset struct {
 	seat  tenancy.Seat
 	count int
 	pods  []tenancy.PodID
 }
 
-// getOrDraw returns the subset of a write's tenant, drawn anew where its seat or size is another.
+// getOrDraw returns the subset of a write's tenant. It calls draw if no subset is cached for the tenant's current placement
+// and count.
 func (s *subsetCache) getOrDraw(w tenancy.Write, draw func(tenancy.Write) []tenancy.PodID) []tenancy.PodID {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -196,20 +201,21 @@
 		return cached.pods
 	}
 	cached = cachedSubset{w.Seat, w.Count, draw(w)}
-	if ok || len(s.byTenant) < mostDrawn {
+	if ok || len(s.byTenant) < maxCachedSubsets {
 		s.byTenant[w.Tenant] = cached
 	}
 	return cached.pods
 }
 
-// clear forgets them all.
+// clear empties the cache.
 func (s *subsetCache) clear() {
 	s.mu.Lock()
 	s.byTenant = nil
 	s.mu.Unlock()
 }
 
-// podSubsetsAfter returns the subsets for a table's new lines: those that there were where its servers are the same.
+// podSubsetsAfter returns the subsets for the lines of a new table. It reuses those of the previous table if the servers are
+// the same.
 func podSubsetsAfter(before *table, lines []line, now time.Duration) *podSubsets {
 	if before != nil && slices.EqualFunc(lines, before.lines, func(a, b line) bool { return a.server == b.server }) {
 		return before.subsets
@@ -229,40 +235,42 @@
 	return &podSubsets{pods: pods, zones: zonesOf(pods.Live())}
 }
 
-// podsOfTable returns the pods that a tenant may use of a table; nil for all. It is drawn from the pods with a line, withdrawn
-// or not, and those that lost theirs lately: a tenant that makes its servers sick must not be handed others.
-func (t *tenants) podsOfTable(x *tenant, table *table, b *bindings, l tenancy.Limit, now time.Duration) []tenancy.PodID {
+// allowedPods returns the pods of a table that a tenant may use; nil for all. The subset is drawn from pods with a server in
+// the table, drained or not, and from pods that lost their last server recently: a tenant whose ops make its servers fail
+// must not be given other servers at once.
+func (t *tenants) allowedPods(owner *tenant, table *table, current *bindings, limit tenancy.Limit,
+	now time.Duration) []tenancy.PodID {
 	if t == nil || len(table.lines) == 0 {
 		return nil
 	}
-	seat := b.of[x.name].Seat
-	if t.count == 0 && seat.Size == 0 && len(seat.Pods) == 0 {
+	seat := current.byTenant[owner.name].Seat
+	if t.subsetSize == 0 && seat.Size == 0 && len(seat.Pods) == 0 {
 		return nil
 	}
-	count := t.count
+	count := t.subsetSize
 	if seat.Size > 0 {
 		count = seat.Size
 	}
-	if count > 1 { // one alone stays one: a second would not know what the first has written
-		count = int(math.Ceil(float64(count) * l.Room))
+	if count > 1 { // a subset of one pod is not enlarged: a second pod would not have what was written to the first
+		count = int(math.Ceil(float64(count) * limit.Room))
 	}
-	pods := table.subsets.podsFor(tenancy.Write{Tenant: x.name, Seat: seat, Count: count}, now)
-	if l.Fenced && len(pods) > 1 {
+	pods := table.subsets.subsetFor(tenancy.Write{Tenant: owner.name, Seat: seat, Count: count}, now)
+	if limit.Fenced && len(pods) > 1 {
 		return pods[:1]
 	}
 	return pods
 }
 
-// podsFor returns the pods that a tenant may use.
-func (s *podSubsets) podsFor(w tenancy.Write, now time.Duration) []tenancy.PodID {
+// subsetFor returns a tenant's subset of the pods.
+func (s *podSubsets) subsetFor(w tenancy.Write, now time.Duration) []tenancy.PodID {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.candidates == nil || now >= s.holds {
-		var holds time.Duration
-		if s.candidates, holds = s.pods.Draw(now); holds < math.MaxInt64-now {
-			holds += now
+	if s.candidates == nil || now >= s.validUntil {
+		var until time.Duration
+		if s.candidates, until = s.pods.Draw(now); until < math.MaxInt64-now {
+			until += now
 		}
-		s.holds = holds
+		s.validUntil = until
 		s.cache.clear()
 	}
 	return s.cache.getOrDraw(w, func(w tenancy.Write) []tenancy.PodID {
@@ -270,65 +278,66 @@
 	})
 }
 
-// pickOf picks a server for a try of a tenant's op: of its subset, or where nothing of that can be used of the one pod that
-// it may borrow, unless it is limited or its own tries did not go well. Writes change between the two only once no repeat of
-// the last one can follow.
-func (t *tenants) pickOf(x *tenant, table *table, subset []tenancy.PodID, limited, writes bool, now, wait time.Duration,
+// pickServer picks a server for a try of a tenant's op, and reports whether it belongs to a borrowed pod. It uses the
+// tenant's subset. If no server of the subset can be used, it borrows one pod, unless the tenant is limited, shares its
+// account, or had too many failed tries. Writes switch between the subset and the borrowed pod only after no repeat of the
+// last write can follow, because the servers of one do not recognize repeats sent to the other.
+func (t *tenants) pickServer(owner *tenant, table *table, subset []tenancy.PodID, limited, writes bool, now, wait time.Duration,
 	pick func([]tenancy.PodID) *server) (e *server, borrowed bool) {
 	if t == nil || subset == nil {
 		return pick(subset), false
 	}
-	x.mu.Lock()
-	pod, away := x.lent.At(now, wait)
-	lends := !x.shared && !limited && x.credit.Lends() && (!writes || x.lent.May(now, wait))
-	long := x.lent.Long(now)
-	x.mu.Unlock()
-	if away = away && writes && !x.shared; away && long && pick(subset) != nil {
-		return nil, false // it must come home, so its writes wait
-	} else if away {
+	owner.mu.Lock()
+	pod, borrowing := owner.lent.At(now, wait)
+	mayBorrow := !owner.shared && !limited && owner.credit.Lends() && (!writes || owner.lent.May(now, wait))
+	overdue := owner.lent.Long(now)
+	owner.mu.Unlock()
+	if borrowing = borrowing && writes && !owner.shared; borrowing && overdue && pick(subset) != nil {
+		return nil, false // the subset is usable again, so the writes must return to it and wait until that is safe
+	} else if borrowing {
 		e = pick([]tenancy.PodID{pod})
-	} else if e = pick(subset); e == nil && lends {
-		if pod, away = table.subsets.pods.Spare(x.name, subset); away {
+	} else if e = pick(subset); e == nil && mayBorrow {
+		if pod, borrowing = table.subsets.pods.Spare(owner.name, subset); borrowing {
 			e = pick([]tenancy.PodID{pod})
 		}
 	}
-	if e != nil && writes && !x.shared {
-		x.mu.Lock()
-		x.lent.Wrote(now, pod, away)
-		x.mu.Unlock()
+	if e != nil && writes && !owner.shared {
+		owner.mu.Lock()
+		owner.lent.Wrote(now, pod, borrowing)
+		owner.mu.Unlock()
 	}
-	return e, away && e != nil
+	return e, borrowing && e != nil
 }
 
-// met sums up a try of a tenant at a server.
-func (t *tenants) met(x *tenant, e *server, failed bool, took time.Duration) {
-	if t == nil || x == nil {
+// recordTry adds a try of a tenant at a server to the sums and to the tenant's credit.
+func (t *tenants) recordTry(owner *tenant, e *server, failed bool, took time.Duration) {
+	if t == nil || owner == nil {
 		return
 	}
-	x.mu.Lock()
-	x.credit.Met(!failed)
-	x.mu.Unlock()
-	k := sumKey{x.name, e.pod()}
+	owner.mu.Lock()
+	owner.credit.Met(!failed)
+	owner.mu.Unlock()
+	key := sumKey{owner.name, e.pod()}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	s := t.sums[k]
-	if s == nil && len(t.sums) >= mostSums {
-		k.name = tenancy.Folded
-		s = t.sums[k]
+	sum := t.sums[key]
+	if sum == nil && len(t.sums) >= maxTenantSums {
+		key.name = tenancy.Folded
+		sum = t.sums[key]
 	}
-	if s == nil {
-		s = &runtime.TenantSum{Tenant: k.name, Pod: uint32(k.pod)}
-		t.sums[k] = s
+	if sum == nil {
+		sum = &runtime.TenantSum{Tenant: key.name, Pod: uint32(key.pod)}
+		t.sums[key] = sum
 	}
-	s.Ops++
-	s.Busy += took
+	sum.Ops++
+	sum.Busy += took
 	if failed {
-		s.Failed++
+		sum.Failed++
 	}
 }
 
-// take returns what was summed up since the last call, by tenant and pod.
-func (t *tenants) take() (out []runtime.TenantSum) {
+// takeSums returns the sums since the last call, sorted by tenant and pod, and resets them.
+func (t *tenants) takeSums() (out []runtime.TenantSum) {
 	if t == nil {
 		return nil
 	}
--- a/proxy/repeat_test.go
+++ b/proxy/two_proxies_test.go
@@ -38,8 +38,8 @@
 	const all = 200
 	for i := range all {
 		who := &tenant{name: fmt.Sprint("tenant-", i), account: &account{}}
-		first := tenants.subset(who, one.byType[0], one.bindings, unlimited, 0)
-		second := tenants.subset(who, other.byType[0], other.bindings, unlimited, 0)
+		first := tenants.packSubset(who, one.byType[0], one.bindings, unlimited, 0)
+		second := tenants.packSubset(who, other.byType[0], other.bindings, unlimited, 0)
 		if !slices.Equal(first, second) {
 			doubled++
 		}
@@ -81,15 +81,15 @@
 		if p.tenants != nil {
 			who = &tenant{name: fmt.Sprint("tenant-", i), account: &account{}}
 		}
-		group, known := p.place(0, who, fmt.Appendf(nil, "key-%d", i), tab, unlimited, 0)
+		group, known := p.placeWrite(0, who, fmt.Appendf(nil, "key-%d", i), tab, unlimited, 0)
 		if !known {
 			return 0, false
 		}
-		e := tab.pickFor(0, time.Now(), group.has)
+		e := tab.pickFor(0, time.Now(), group.contains)
 		if e == nil {
 			t.Fatalf("write %d: no server of its group", i)
 		}
-		if group.zone {
+		if group.isZone {
 			return tenancy.ZoneOf(e.pod()), true
 		}
 		return e.pod(), true
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -1,6 +1,6 @@
-// Package upstream sends HTTP/1.1 requests over pooled netpoll connections, one request a connection at a time. Send is
-// the way in. What went wrong it tells by whether the request may have run, since that decides whether it may be sent
-// again.
+// Package upstream sends HTTP/1.1 requests over pooled netpoll connections, one request at a time per connection, without
+// pipelining. Pool.Send sends a request. A Failure reports whether the request may have run, which decides whether it may be
+// sent again.
 package upstream
 
 import (
@@ -17,53 +17,56 @@
 	"vetchdoor/stream"
 )
 
-// Failure is how a request went without an answer.
+// Failure is the error of a request that got no response.
 type Failure struct {
-	NotSent   bool // surely nothing of it was sent
-	Timeout   bool
-	Cancelled bool // given up by the caller
-	Stale     bool // the connection had been kept and ended before a byte of an answer: its server may have closed it unseen
+	NotSent   bool // no byte of the request was sent
+	Timeout   bool // the deadline passed
+	Cancelled bool // the caller cancelled the call
+	Stale     bool // a reused connection ended before a byte of the response: the server may have closed it while idle
 	Err       error
 }
 
 func (f *Failure) Error() string { return f.Err.Error() }
 func (f *Failure) Unwrap() error { return f.Err }
 
-// Pool keeps the connections to servers. Its fields are set before the first Send.
+// Pool keeps connections to servers. Its exported settings must be set before the first Send.
 type Pool struct {
 	Bounds         http1.Bounds
-	PerServer      int           // connections to one server at most; 0: 256
-	IdleTimeout    time.Duration // 0: 15 seconds
+	PerServer      int           // maximum number of connections to one server; 0: 256
+	IdleTimeout    time.Duration // how long an idle connection is kept; 0: 15 seconds
 	ConnectTimeout time.Duration // 0: 250 milliseconds
-	Net            stream.Net    // nil: sockets
+	Net            stream.Net    // nil: operating system sockets
 
-	mu          sync.Mutex
-	servers     map[string]*server
+	mu          sync.Mutex         // guards servers, closed and the lists in servers
+	servers     map[string]*server // by address
 	closed      bool
-	stop        chan struct{}
-	TotalOpened atomic.Int64 // connections opened so far
-	open        atomic.Int64
+	stop        chan struct{} // closed by Close
+	TotalOpened atomic.Int64  // connections opened so far
+	open        atomic.Int64  // connections open now
 }
 
+// server holds the connections to one address.
 type server struct {
-	idle []*conn // the newest last
-	open int
+	idle []*conn // most recently used last
+	open int     // connections open or being dialled, idle or in use
 }
 
+// conn is one connection to a server.
 type conn struct {
-	nc     netpoll.Connection
-	parser *http1.Parser
-	server string
-	since  time.Time // idle since
-	kept   bool      // it has been idle
+	nc        netpoll.Connection
+	parser    *http1.Parser
+	address   string
+	idleSince time.Time // when it was last returned to the pool
+	reused    bool      // it has carried a request before
 }
 
-// errFull says that all connections to a server are in use.
-var errFull = errors.New("upstream: all connections in use")
+// errPoolFull is the failure when the maximum number of connections to a server is in use.
+var errPoolFull = errors.New("upstream: all connections in use")
 
-// OpenConnections is how many connections are open now.
+// OpenConnections returns the number of connections that are open now, idle or in use.
 func (p *Pool) OpenConnections() int64 { return p.open.Load() }
 
+// init sets defaults and starts the goroutine that closes idle connections, on the first call. p.mu must be held.
 func (p *Pool) init() {
 	if p.servers != nil {
 		return
@@ -81,50 +84,52 @@
 	if p.Bounds == (http1.Bounds{}) {
 		p.Bounds = http1.DefaultBounds
 	}
-	go p.sweep()
+	go p.closeIdlePeriodically()
 }
 
-// Call is one request under way; another goroutine may give it up.
+// Call is one request in progress. Another goroutine may cancel it.
 type Call struct {
-	mu   sync.Mutex
-	nc   netpoll.Connection
-	gone bool
+	mu        sync.Mutex         // guards the fields below
+	nc        netpoll.Connection // connection in use; nil while there is none
+	cancelled bool
 }
 
-// Cancel ends the call: its connection ends, which is what tells the server. It is shut down, not closed: netpoll would
-// take its buffers back while the caller still reads from them.
+// Cancel cancels the call and ends its connection, which is how the server notices. The connection is shut down rather than
+// closed, because on close netpoll would reclaim buffers from which Send may still be reading.
 func (c *Call) Cancel() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.gone = true
+	c.cancelled = true
 	if c.nc != nil {
 		stream.Shut(c.nc)
 	}
 }
 
-func (c *Call) given() bool {
+// isCancelled reports whether Cancel has been called.
+func (c *Call) isCancelled() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.gone
+	return c.cancelled
 }
 
-// hold notes the connection in use; false if the call was given up meanwhile.
-func (c *Call) hold(nc netpoll.Connection) bool {
+// setConn records the connection in use. It returns false if the call has been cancelled.
+func (c *Call) setConn(nc netpoll.Connection) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.nc = nc
-	return !c.gone
+	return !c.cancelled
 }
 
-// Response is a response. Its message holds until Release, which must be called: netpoll takes the bytes of the last Peek back at
-// the next Peek or Release of its connection, or as it is closed, and none of these comes before.
+// Response is a server's response. Its message is valid until Release, which must be called. netpoll reclaims the bytes
+// returned by the last Peek at the next Peek or Release of the connection, or when it is closed, so Release is the first of
+// these calls.
 type Response struct {
 	*http1.Message
 	pool *Pool
 	conn *conn
 }
 
-// Release gives the connection back.
+// Release returns the connection to the pool, or closes it if it cannot be reused.
 func (a *Response) Release() {
 	c := a.conn
 	keep := !a.Close
@@ -133,59 +138,61 @@
 		keep = r.Skip(size) == nil && r.Release() == nil && r.Len() == 0
 		c.parser.Reset()
 	}
-	a.pool.put(c, keep)
+	a.pool.release(c, keep)
 }
 
-// Send sends a request, whole in req, and waits for its answer until the deadline. head says that no body will answer.
-func (p *Pool) Send(call *Call, address string, req []byte, deadline time.Time, head bool) (*Response, *Failure) {
-	c, fail := p.get(call, address, deadline)
+// Send sends the complete request req to address and waits for the response until the deadline. isHead states that the
+// request is a HEAD request, whose response has no body.
+func (p *Pool) Send(call *Call, address string, req []byte, deadline time.Time, isHead bool) (*Response, *Failure) {
+	c, fail := p.acquire(call, address, deadline)
 	if fail != nil {
 		return nil, fail
 	}
-	if !call.hold(c.nc) {
-		p.put(c, false)
-		return nil, &Failure{NotSent: true, Cancelled: true, Err: errors.New("upstream: given up")}
+	if !call.setConn(c.nc) {
+		p.release(c, false)
+		return nil, &Failure{NotSent: true, Cancelled: true, Err: errors.New("upstream: call cancelled")}
 	}
-	a, f := p.exchange(call, c, req, deadline, head)
-	call.hold(nil)
+	response, f := p.exchange(call, c, req, deadline, isHead)
+	call.setConn(nil)
 	if f != nil {
-		p.put(c, false)
+		p.release(c, false)
 	}
-	return a, f
+	return response, f
 }
 
-func (p *Pool) exchange(call *Call, c *conn, req []byte, deadline time.Time, head bool) (*Response, *Failure) {
+// exchange writes a request to a connection and reads the response.
+func (p *Pool) exchange(call *Call, c *conn, req []byte, deadline time.Time, isHead bool) (*Response, *Failure) {
 	answered := false
 	fail := func(err error) *Failure {
-		f := &Failure{Err: fmt.Errorf("%s: %w", c.server, err), Timeout: errors.Is(err, netpoll.ErrReadTimeout)}
-		f.Cancelled = call.given()
-		f.Stale = c.kept && !answered && !f.Timeout && !f.Cancelled
+		f := &Failure{Err: fmt.Errorf("%s: %w", c.address, err), Timeout: errors.Is(err, netpoll.ErrReadTimeout)}
+		f.Cancelled = call.isCancelled()
+		f.Stale = c.reused && !answered && !f.Timeout && !f.Cancelled
 		return f
 	}
-	left := time.Until(deadline)
-	if left <= 0 {
+	remaining := time.Until(deadline)
+	if remaining <= 0 {
 		f := fail(netpoll.ErrReadTimeout)
 		f.NotSent = true
 		return nil, f
 	}
-	_ = c.nc.SetWriteTimeout(left)
+	_ = c.nc.SetWriteTimeout(remaining)
 	if _, err := c.nc.Write(req); err != nil {
 		return nil, fail(err)
 	}
-	if head {
+	if isHead {
 		c.parser.ExpectHeadResponse()
 	}
-	m, begun, err := c.receive(deadline, head)
+	m, begun, err := c.receive(deadline, isHead)
 	if answered = begun; err != nil {
 		return nil, fail(err)
 	}
 	return &Response{Message: m, pool: p, conn: c}, nil
 }
 
-// receive reads an answer, past the interim ones before it. begun says whether a byte of any came.
-func (c *conn) receive(deadline time.Time, head bool) (m *http1.Message, begun bool, err error) {
+// receive reads a final response and skips interim ones before it. begun reports whether any byte of a response arrived.
+func (c *conn) receive(deadline time.Time, isHead bool) (m *http1.Message, begun bool, err error) {
 	r := c.nc.Reader()
-	var ended error // why nothing more comes
+	var ended error // why no more bytes will arrive; nil while they may
 	for {
 		n := r.Len()
 		begun = begun || n > 0
@@ -194,7 +201,7 @@
 		case err == nil && m.Status >= http.StatusOK:
 			return m, begun, nil
 		case err == nil:
-			if err = c.passOver(m, head); err != nil {
+			if err = c.skipInterim(m, isHead); err != nil {
 				return nil, begun, err
 			}
 			continue
@@ -203,13 +210,13 @@
 		case !errors.Is(err, http1.ErrIncomplete):
 			return nil, begun, err
 		}
-		if ended = c.await(n+1, deadline); errors.Is(ended, netpoll.ErrReadTimeout) {
+		if ended = c.waitFor(n+1, deadline); errors.Is(ended, netpoll.ErrReadTimeout) {
 			return nil, begun, ended
 		}
 	}
 }
 
-// parse reads a message from the first n bytes; ended says that no more come.
+// parse parses a message from the first n bytes received. ended states that no more bytes will arrive.
 func (c *conn) parse(n int, ended bool) (*http1.Message, error) {
 	if n == 0 {
 		return nil, http1.ErrIncomplete
@@ -221,31 +228,31 @@
 	return c.parser.Parse(b, ended)
 }
 
-// passOver drops an interim answer.
-func (c *conn) passOver(m *http1.Message, head bool) error {
+// skipInterim discards an interim (1xx) response.
+func (c *conn) skipInterim(m *http1.Message, isHead bool) error {
 	if c.nc.Reader().Skip(m.Size) != nil {
 		return netpoll.ErrConnClosed
 	}
 	c.parser.Reset()
-	if head {
+	if isHead {
 		c.parser.ExpectHeadResponse()
 	}
 	return nil
 }
 
-// await waits until there are n bytes.
-func (c *conn) await(n int, deadline time.Time) error {
-	left := time.Until(deadline)
-	if left <= 0 {
+// waitFor waits until n bytes are available, the connection ends, or the deadline passes.
+func (c *conn) waitFor(n int, deadline time.Time) error {
+	remaining := time.Until(deadline)
+	if remaining <= 0 {
 		return netpoll.ErrReadTimeout
 	}
-	_ = c.nc.SetReadTimeout(left)
+	_ = c.nc.SetReadTimeout(remaining)
 	_, err := c.nc.Reader().Peek(n)
 	return err
 }
 
-// get takes an idle connection or opens one.
-func (p *Pool) get(call *Call, address string, deadline time.Time) (*conn, *Failure) {
+// acquire returns an idle connection to address, the most recently used one, or opens a new one.
+func (p *Pool) acquire(call *Call, address string, deadline time.Time) (*conn, *Failure) {
 	p.mu.Lock()
 	p.init()
 	if p.closed {
@@ -268,7 +275,7 @@
 	}
 	if s.open >= p.PerServer {
 		p.mu.Unlock()
-		return nil, &Failure{NotSent: true, Err: fmt.Errorf("%s: %w", address, errFull)}
+		return nil, &Failure{NotSent: true, Err: fmt.Errorf("%s: %w", address, errPoolFull)}
 	}
 	s.open++
 	p.mu.Unlock()
@@ -286,29 +293,30 @@
 	}
 	p.TotalOpened.Add(1)
 	p.open.Add(1)
-	return &conn{nc: nc, server: address, parser: http1.NewResponseParser(p.Bounds)}, nil
+	return &conn{nc: nc, address: address, parser: http1.NewResponseParser(p.Bounds)}, nil
 }
 
-// drop closes a connection; p.mu is held.
+// drop closes a connection, which the caller removes from the idle list. p.mu must be held.
 func (p *Pool) drop(s *server, c *conn) {
 	s.open--
 	p.open.Add(-1)
 	go c.nc.Close()
 }
 
-func (p *Pool) put(c *conn, keep bool) {
+// release returns a connection to the idle list, or closes it if keep is false or it cannot be reused.
+func (p *Pool) release(c *conn, keep bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	s := p.servers[c.server]
+	s := p.servers[c.address]
 	if !keep || p.closed || !c.nc.IsActive() {
 		p.drop(s, c)
 		return
 	}
-	c.since, c.kept = time.Now(), true
+	c.idleSince, c.reused = time.Now(), true
 	s.idle = append(s.idle, c)
 }
 
-// CloseIdle closes the idle connections to a server that ops no longer go to.
+// CloseIdle closes the idle connections to address, for a server that is no longer used.
 func (p *Pool) CloseIdle(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -320,8 +328,8 @@
 	}
 }
 
-// sweep closes what stood idle too long.
-func (p *Pool) sweep() {
+// closeIdlePeriodically closes connections that have been idle for longer than IdleTimeout, until Close.
+func (p *Pool) closeIdlePeriodically() {
 	t := time.NewTicker(max(p.IdleTimeout/4, 10*time.Millisecond))
 	defer t.Stop()
 	for {
@@ -331,16 +339,16 @@
 		case now := <-t.C:
 			p.mu.Lock()
 			for address, s := range p.servers {
-				kept := s.idle[:0]
+				remaining := s.idle[:0]
 				for _, c := range s.idle {
-					if now.Sub(c.since) > p.IdleTimeout || !c.nc.IsActive() {
+					if now.Sub(c.idleSince) > p.IdleTimeout || !c.nc.IsActive() {
 						p.drop(s, c)
 					} else {
-						kept = append(kept, c)
+						remaining = append(remaining, c)
 					}
 				}
-				clear(s.idle[len(kept):])
-				if s.idle = kept; s.open == 0 {
+				clear(s.idle[len(remaining):])
+				if s.idle = remaining; s.open == 0 {
 					delete(p.servers, address)
 				}
 			}
@@ -349,7 +357,7 @@
 	}
 }
 
-// Close closes the idle connections; those in use are closed as they come back.
+// Close closes the idle connections. Connections in use are closed when they are released, and further calls of Send fail.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
