--- a/http1/http1_test.go
+++ b/http1/http1_test.go
@@ -10,12 +10,12 @@
 	"testing"
 )
 
-// table in, bytes out: what must parse, and what must be refused with which status.
+// TestRequests checks which requests are parsed, which need more bytes, and which are rejected with which status.
 func TestRequests(t *testing.T) {
 	const host = "Host: a\r\n"
 	for _, c := range []struct {
 		name, in string
-		status   int // 0: good; -1: more is needed
+		status   int // 0: parsed; -1: more bytes needed; else the status of the error
 		body     string
 		close    bool
 	}{
@@ -62,11 +62,11 @@
 			switch {
 			case errors.As(err, &bad):
 				if bad.Status != c.status {
-					t.Fatalf("refused with %d (%s), want %d", bad.Status, bad.Reason, c.status)
+					t.Fatalf("rejected with %d (%s), want %d", bad.Status, bad.Reason, c.status)
 				}
 			case errors.Is(err, ErrIncomplete):
 				if c.status != -1 {
-					t.Fatalf("wants more, want %d", c.status)
+					t.Fatalf("more bytes needed, want %d", c.status)
 				}
 			case c.status != 0:
 				t.Fatalf("parsed, want %d", c.status)
@@ -77,8 +77,9 @@
 	}
 }
 
-// A message that trickles in byte by byte is the same as one that comes at once, and pipelined ones come in order.
-func TestTrickle(t *testing.T) {
+// TestParseByteByByte checks that messages received byte by byte are parsed like messages received at once, and that
+// pipelined messages are parsed in order.
+func TestParseByteByByte(t *testing.T) {
 	in := "POST /1 HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n" +
 		"POST /2 HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\nxy" + "GET /3 HTTP/1.1\r\nHost: a\r\n\r\n"
 	p := NewRequestParser(DefaultBounds)
@@ -102,11 +103,12 @@
 	}
 }
 
+// TestResponses checks responses whose body ends with the connection, responses without a body, and invalid status lines.
 func TestResponses(t *testing.T) {
 	p := NewResponseParser(DefaultBounds)
 	m, err := p.Parse([]byte("HTTP/1.1 200 OK\r\n\r\nrest"), false)
 	if !errors.Is(err, ErrIncomplete) || m != nil {
-		t.Fatalf("a body that ends with the connection: %v %v", m, err)
+		t.Fatalf("body complete before the connection ended: %v %v", m, err)
 	}
 	if m, err = p.Parse([]byte("HTTP/1.1 200 OK\r\n\r\nrest"), true); err != nil || string(m.Body) != "rest" || !m.Close {
 		t.Fatalf("%v %v", m, err)
@@ -114,7 +116,7 @@
 	p = NewResponseParser(DefaultBounds)
 	p.ExpectHeadResponse()
 	if m, err = p.Parse([]byte("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n"), false); err != nil || len(m.Body) != 0 {
-		t.Fatalf("answer to HEAD: %v %v", m, err)
+		t.Fatalf("response to HEAD: %v %v", m, err)
 	}
 	p = NewResponseParser(DefaultBounds)
 	if m, err = p.Parse([]byte("HTTP/1.1 204 No Content\r\n\r\n"), false); err != nil || m.Status != 204 {
@@ -127,8 +129,8 @@
 	}
 }
 
-// What belongs to one connection is not passed on.
-func TestForwarded(t *testing.T) {
+// TestAppendForwardedFields checks that hop-by-hop fields are not forwarded.
+func TestAppendForwardedFields(t *testing.T) {
 	m, err := NewRequestParser(DefaultBounds).Parse([]byte("GET / HTTP/1.1\r\nHost: a\r\nConnection: X-One, close\r\nX-One: 1\r\nX-Two: 2\r\nTE: x\r\nContent-Length: 0\r\n\r\n"), false)
 	if err != nil {
 		t.Fatal(err)
@@ -138,7 +140,8 @@
 	}
 }
 
-func TestLoad(t *testing.T) {
+// TestParseLoadReport checks both formats of load reports, and that invalid values and unknown formats are ignored.
+func TestParseLoadReport(t *testing.T) {
 	for in, want := range map[string]float64{
 		"TEXT cpu_utilization=0.25,named_metrics.inflight=3":                      0.25,
 		`JSON {"cpu_utilization": 0.25, "named_metrics": {"inflight": 3}}`:        0.25,
@@ -155,7 +158,8 @@
 	}
 }
 
-// FuzzRequest holds the parser against net/http's: what ours takes, that takes too and reads the same.
+// FuzzRequest compares the parser with that of net/http: every request that it accepts, net/http must accept too and read
+// the same.
 func FuzzRequest(f *testing.F) {
 	for _, s := range []string{"GET / HTTP/1.1\r\nHost: a\r\n\r\n", "POST /x HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\nabc",
 		"POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n",
@@ -166,7 +170,7 @@
 	f.Fuzz(func(t *testing.T, in []byte) {
 		p := NewRequestParser(DefaultBounds)
 		m, err := p.Parse(in, false)
-		// Two pieces are the same as one.
+		// A request passed in two pieces must be parsed like the whole.
 		q := NewRequestParser(DefaultBounds)
 		half := in[:len(in)/2]
 		var m2 *Message
@@ -185,13 +189,13 @@
 		}
 		r, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(in)))
 		if err != nil {
-			// net/http also judges what stands in the target and the host, which ours passes on unread.
+			// net/http also validates the target and the host, which this parser forwards uninterpreted.
 			for _, s := range []string{"invalid URI", "parse ", "malformed Host", "invalid method", "first path segment"} {
 				if strings.Contains(err.Error(), s) {
 					return
 				}
 			}
-			t.Fatalf("ours takes what net/http refuses: %v\n%q", err, in)
+			t.Fatalf("accepted, but net/http rejects it: %v\n%q", err, in)
 		}
 		body, err := io.ReadAll(r.Body)
 		if err != nil || !bytes.Equal(body, m.Body) {
@@ -203,6 +207,7 @@
 	})
 }
 
+// FuzzResponse checks that the size, body and status of a parsed response are within bounds.
 func FuzzResponse(f *testing.F) {
 	f.Add([]byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab"), true)
 	f.Add([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n0\r\nX: y\r\n\r\n"), false)
--- a/http1/cut_test.go
+++ b/http1/pieces_test.go
@@ -7,9 +7,10 @@
 	"testing"
 )
 
-// TestEveryCut guards against a head that is read from memory which by then holds something else: a message is cut at every
-// place, and at every two, and handed over in fresh memory each time while the earlier memory is overwritten.
-func TestEveryCut(t *testing.T) {
+// TestParseInPieces guards against a message whose fields point into memory that has been reused since. Each message is cut
+// at every position and at every pair of positions. Every piece is passed in new memory, and the memory passed before is
+// overwritten.
+func TestParseInPieces(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		parser func(Bounds) *Parser
@@ -40,12 +41,13 @@
 	}
 }
 
-// parsePieces hands over what has come at each cut and then all, and overwrites what it handed over before.
+// parsePieces passes what has arrived at each cut, and then the whole message, and overwrites the memory that it passed
+// before.
 func parsePieces(t *testing.T, p *Parser, in string, ended bool, cuts ...int) string {
 	for _, cut := range cuts {
 		b := []byte(in[:cut])
 		if m, err := p.Parse(b, false); !errors.Is(err, ErrIncomplete) {
-			t.Fatalf("%q is no whole message: %v, %v", in[:cut], m, err)
+			t.Fatalf("incomplete message %q was parsed: %v, %v", in[:cut], m, err)
 		}
 		overwrite(b)
 	}
@@ -56,8 +58,8 @@
 	return describe(m)
 }
 
-// TestMessagesOfOneParser guards against memory of one message that shows in the next: several come through one parser.
-func TestMessagesOfOneParser(t *testing.T) {
+// TestParserReuse guards against contents of one message that appear in the next one parsed by the same parser.
+func TestParserReuse(t *testing.T) {
 	p := NewRequestParser(DefaultBounds)
 	for i, size := range []int{10, 20_000, 5, 100, 20_000, 0} {
 		pad := strings.Repeat(string(rune('a'+i)), size)
@@ -69,12 +71,14 @@
 	}
 }
 
+// overwrite fills b with '#'.
 func overwrite(b []byte) {
 	for i := range b {
 		b[i] = '#'
 	}
 }
 
+// describe returns all parts of a message as text, for comparison.
 func describe(m *Message) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s %s %d %s %d close=%t size=%d\n", m.Method, m.Target, m.Status, m.Reason, m.Minor, m.Close, m.Size)
--- a/proxy/admin_test.go
+++ b/proxy/admin_test.go
@@ -11,8 +11,9 @@
 	"vetchdoor/session"
 )
 
-// People see what a proxy goes by, and may take a server out by hand; what they say wrong is answered in a line.
-func TestPeople(t *testing.T) {
+// TestAdminCommands checks that the admin commands show the tables in force, that an operator can drain a server, and that
+// an invalid command is answered with an error line.
+func TestAdminCommands(t *testing.T) {
 	p := start(t, func(f *files.Proxy) { f.Admin = "127.0.0.1:0" }, "127.0.0.1:1", "127.0.0.1:2")
 	for _, c := range [][2]string{{"show servers state", "standing e1 127.0.0.1 2 "}, {"show map", "0 "}, {"show levels", " 1 "},
 		{"set server */e1 state drain", ""}, {"show stat", "e1,DRAIN"}, {"set server */e1 state ready", ""}, {"show stat", "e1,UP"},
@@ -25,8 +26,9 @@
 	}
 }
 
-// What people do by hand comes between a pilot's messages and takes back none of them.
-func TestByHandBetweenMessages(t *testing.T) {
+// TestAdminStateChangeKeepsMessages checks that draining a server by an admin command, while a pilot's messages are applied,
+// never undoes a message.
+func TestAdminStateChangeKeepsMessages(t *testing.T) {
 	p := start(t, nil)
 	stop, done := make(chan bool), make(chan bool)
 	go func() {
@@ -49,7 +51,7 @@
 			t.Error(err)
 		}
 		if at := p.current.Load().number; at < n {
-			t.Errorf("at message %d after %d was applied", at, n)
+			t.Errorf("tables are of message %d after message %d was applied", at, n)
 		}
 	}
 	close(stop)
--- a/proxy/bindings.go
+++ b/proxy/bindings.go
@@ -23,8 +23,8 @@
 type bindings struct {
 	byTenant  map[string]tenancy.Binding
 	pilot     string        // the pilot whose orders up to upTo are all included; empty if no pilot's are complete
-	upTo      uint64        // order number
-	writeWait time.Duration // how long after the last write a repeat of it may still be in progress
+	upTo      uint64        // number of the last order included
+	writeWait time.Duration // longest time a write can be in progress plus the longest deduplication window of a group
 
 	// unsynced is true if bindings are persisted, so that tenants may have been moved, but no pilot has yet sent this proxy
 	// a complete set.
--- a/proxy/pilot_client_test.go
+++ b/proxy/pilot_client_test.go
@@ -12,20 +12,22 @@
 	"vetchdoor/runtime"
 )
 
-// A welcome that is read while its stream ends makes no stream of it: sums would go nowhere until the next one.
-func TestLateWelcome(t *testing.T) {
+// TestWelcomeAfterStreamEnd guards against a welcome that is read after its stream has ended and still makes it the current
+// stream. Sums would then be sent to nobody until the next stream.
+func TestWelcomeAfterStreamEnd(t *testing.T) {
 	p := start(t, nil)
 	p.pilotClient.end()
 	s := newPilotStream(p.pilotClient)
 	s.Closed(nil)
 	s.Data(nil, runtime.Welcome{Pilot: "p", Run: 1, Wire: runtime.Wire}.Append(nil))
 	if p.pilotClient.joined() {
-		t.Error("joined by a stream that is over")
+		t.Error("joined by a stream that has ended")
 	}
 }
 
-// A pilot that sends what cannot be read is told so before its stream ends, and nothing that it sends after is taken.
-func TestRefusedIsSaid(t *testing.T) {
+// TestInvalidInputIsReported checks that a pilot which sends invalid input is told why before its stream is closed, and that
+// nothing it sends afterwards is applied.
+func TestInvalidInputIsReported(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -46,13 +48,13 @@
 		_, _ = in.ReadString('\n')
 		_, _ = io.WriteString(c, "welcome q 5 fresh\napply q 5 1 at 0 lines 5 <<\nset server nonsense\n\n")
 		_, _ = io.WriteString(c, "apply q 5 2 at 0 lines 5 <<\nclear table t0\nset map op-types * t0\n\n")
-		said, _ := io.ReadAll(in)
-		if !strings.HasPrefix(string(said), "refused ") {
-			t.Errorf("answered %q", said)
+		reply, _ := io.ReadAll(in)
+		if !strings.HasPrefix(string(reply), "refused ") {
+			t.Errorf("reply to invalid input: %q", reply)
 		}
 		c.Close()
 	}
 	if strings.Contains(p.Info(), "Pilot: q") {
-		t.Error("a message after the bad one was taken")
+		t.Error("a message after the invalid one was applied")
 	}
 }
--- a/proxy/placement.go
+++ b/proxy/placement.go
@@ -91,16 +91,16 @@
 // must be rejected, if the settings name no group, if they are changing to groups that would assign another one, if no pilot
 // has yet sent this proxy the placements of moved tenants, or if the tenant is fenced and the group is outside its fence.
 func (p *Proxy) placeWrite(typeIndex int, owner *tenant, key []byte, current *tables, limit tenancy.Limit,
-	sinceStart time.Duration) (g *placement, known bool) {
+	sinceStart time.Duration) (placed *placement, known bool) {
 	t := &p.types[typeIndex]
 	if !files.Grouped(t.OpType) {
 		return nil, true
 	}
-	kind, w := kindOf(&t.OpType), tenancy.Write{}
+	kind, write := kindOf(&t.OpType), tenancy.Write{}
 	if owner != nil {
-		w = p.tenants.writeOf(kind, owner, current.bindings)
+		write = p.tenants.writeOf(kind, owner, current.bindings)
 	}
-	if w.Key = string(key); w.Key == "" && w.All() {
+	if write.Key = string(key); write.Key == "" && write.All() {
 		return nil, true
 	}
 	if owner != nil && current.bindings.unsynced {
@@ -110,20 +110,20 @@
 	if owner != nil && kind == allPacks {
 		subset = p.tenants.packSubset(owner, current.byType[typeIndex], current.bindings, limit, sinceStart)
 	} else {
-		subset = p.groups.groupsFor(kind, w)
+		subset = p.groups.groupsFor(kind, write)
 	}
-	group, known := p.groups.draw(kind, w, subset)
-	if !known || limit.Fenced && !w.All() && group != subset[0] {
+	group, known := p.groups.draw(kind, write, subset)
+	if !known || limit.Fenced && !write.All() && group != subset[0] {
 		return nil, false
 	}
-	g = &placement{isZone: kind.isZone(), group: group}
-	if g.isZone && owner != nil {
-		g.pods = p.tenants.podsInZone(kind, owner, current.byType[typeIndex], current.bindings, group, len(subset))
-		if limit.Fenced && len(g.pods) > 1 {
-			g.pods = g.pods[:1]
+	placed = &placement{isZone: kind.isZone(), group: group}
+	if placed.isZone && owner != nil {
+		placed.pods = p.tenants.podsInZone(kind, owner, current.byType[typeIndex], current.bindings, group, len(subset))
+		if limit.Fenced && len(placed.pods) > 1 {
+			placed.pods = placed.pods[:1]
 		}
 	}
-	return g, true
+	return placed, true
 }
 
 // writeOf returns what the group of a tenant's write is drawn by, without the write's key.
--- a/proxy/placement_test.go
+++ b/proxy/placement_test.go
@@ -14,33 +14,33 @@
 	"vetchdoor/tenancy"
 )
 
-// placing is a proxy whose settings name the packs of twelve servers, and tables that it goes by.
-func placing(t testing.TB, of *files.Tenants, opTypes ...files.OpType) (*Proxy, *tables) {
+// newPlacingProxy returns a proxy whose settings name the packs of twelve servers, and the tables that it uses.
+func newPlacingProxy(t testing.TB, tenantSettings *files.Tenants, opTypes ...files.OpType) (*Proxy, *tables) {
 	t.Helper()
-	s := &files.Service{Zones: []string{"a", "b"}, OpTypes: opTypes,
+	service := &files.Service{Zones: []string{"a", "b"}, OpTypes: opTypes,
 		WritePacks: map[string][]int{"a": {0, 1, 2, 3, 4, 5}, "b": {0, 1, 2, 3, 4, 5}}}
 	lines := []string{"set map op-types * t0"}
 	for i := range 12 {
 		lines = append(lines, lineOf(i, 1))
 	}
-	tab, err := newTables(len(opTypes), nil, rng()).apply(message(1, lines...), someServers(12), len(opTypes), rng())
+	current, err := newTables(len(opTypes), nil, rng()).apply(message(1, lines...), someServers(12), len(opTypes), rng())
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &Proxy{file: &files.Proxy{Service: *s}, types: make([]opType, len(opTypes))}
-	for i, opType := range s.Types() {
+	p := &Proxy{file: &files.Proxy{Service: *service}, types: make([]opType, len(opTypes))}
+	for i, opType := range service.Types() {
 		p.types[i].OpType = opType
 	}
-	if of != nil {
-		if p.tenants, err = newTenants(of); err != nil {
+	if tenantSettings != nil {
+		if p.tenants, err = newTenants(tenantSettings); err != nil {
 			t.Fatal(err)
 		}
 	}
 	setGroups(p)
-	return p, tab
+	return p, current
 }
 
-// setGroups gives a proxy the groups of its settings.
+// setGroups sets the proxy's write groups from its settings.
 func setGroups(p *Proxy) {
 	p.groups = newWriteGroups(&p.file.Service, 0)
 	if p.tenants != nil {
@@ -48,101 +48,105 @@
 	}
 }
 
+// Op types whose writes are deduplicated within a pack, and within a zone.
 var (
 	byPack = files.OpType{Repeat: "deduplicated", Group: "pack", DedupWindow: files.Duration(time.Minute)}
 	byZone = files.OpType{Repeat: "deduplicated", Group: "zone", DedupWindow: files.Duration(time.Minute)}
 )
 
+// tenantOf returns a tenant named after i, with an account of its own.
 func tenantOf(i int) *tenant { return &tenant{name: fmt.Sprint("tenant-", i), account: &account{}} }
 
-// groupOf is where a proxy lets a write go; 0 and false where it refuses it.
-func groupOf(p *Proxy, who *tenant, key string, tab *tables, l tenancy.Limit) (tenancy.PodID, bool) {
-	g, known := p.placeWrite(0, who, []byte(key), tab, l, 0)
-	if !known || g == nil {
+// groupOf returns the group in which the proxy places a write, or false if it rejects the write.
+func groupOf(p *Proxy, owner *tenant, key string, current *tables, limit tenancy.Limit) (tenancy.PodID, bool) {
+	placed, known := p.placeWrite(0, owner, []byte(key), current, limit, 0)
+	if !known || placed == nil {
 		return 0, false
 	}
-	return g.group, true
+	return placed.group, true
 }
 
-// A tenant was moved, and a proxy that is new has not been told by a pilot yet: it does not know where the tenant's writes go,
-// and lets none go elsewhere.
-func TestNewProxyKnowsNoSeats(t *testing.T) {
-	of := &files.Tenants{Header: "Tenant", Subset: 1}
-	old, told := placing(t, of, byPack)
-	fresh, untold := placing(t, of, byPack)
-	told.bindings = &bindings{byTenant: map[string]tenancy.Binding{}}
+// TestUnsyncedProxyRejectsWrites guards against a write that is sent to the wrong group: a tenant has been moved, and a
+// newly started proxy, which no pilot has yet sent the tenants' placements, must reject the tenant's writes.
+func TestUnsyncedProxyRejectsWrites(t *testing.T) {
+	tenantSettings := &files.Tenants{Header: "Tenant", Subset: 1}
+	syncedProxy, synced := newPlacingProxy(t, tenantSettings, byPack)
+	newProxy, unsynced := newPlacingProxy(t, tenantSettings, byPack)
+	synced.bindings = &bindings{byTenant: map[string]tenancy.Binding{}}
 	var err error
-	if untold.bindings, _, err = openBindings(filepath.Join(t.TempDir(), "bindings"), 0, 0, slog.New(slog.DiscardHandler)); err != nil {
+	if unsynced.bindings, _, err = openBindings(filepath.Join(t.TempDir(), "bindings"), 0, 0, slog.New(slog.DiscardHandler)); err != nil {
 		t.Fatal(err)
 	}
 	doubled := 0
 	const all = 200
 	for i := range all {
-		who := tenantOf(i)
-		told.bindings.byTenant[who.name] = tenancy.Bound().Take(0, 0, "p", 1, tenancy.Seat{Draw: 1}, false)
-		first, known := groupOf(old, who, "key", told, unlimited)
-		second, also := groupOf(fresh, who, "key", untold, unlimited)
-		if known && also && first != second {
+		owner := tenantOf(i)
+		synced.bindings.byTenant[owner.name] = tenancy.Bound().Take(0, 0, "p", 1, tenancy.Seat{Draw: 1}, false)
+		first, known := groupOf(syncedProxy, owner, "key", synced, unlimited)
+		second, alsoKnown := groupOf(newProxy, owner, "key", unsynced, unlimited)
+		if known && alsoKnown && first != second {
 			doubled++
 		}
 	}
 	if doubled > 0 {
-		t.Errorf("repeats of writes of %d of %d moved tenants go to another pack through a proxy that nobody has told", doubled, all)
+		t.Errorf("repeats of writes of %d of %d moved tenants go to another pack through a proxy without their placements", doubled, all)
 	}
 }
 
-// Writes without a key, whose repeats no server knows, are spread as they were.
-func TestPlacesOfKeyless(t *testing.T) {
-	p, tab := placing(t, &files.Tenants{Header: "Tenant"}, byPack) // limits alone; no subsets
+// TestKeylessWritesAreSpread checks that writes without a key, whose repeats no server can recognize, are spread over the
+// packs.
+func TestKeylessWritesAreSpread(t *testing.T) {
+	p, current := newPlacingProxy(t, &files.Tenants{Header: "Tenant"}, byPack) // limits alone; no subsets
 	used := map[tenancy.PodID]int{}
 	for i := range 200 {
-		g, known := p.placeWrite(0, tenantOf(i), nil, tab, unlimited, 0)
+		placed, known := p.placeWrite(0, tenantOf(i), nil, current, unlimited, 0)
 		if !known {
 			t.Fatal("refused")
 		}
-		if g == nil {
-			return // anywhere
+		if placed == nil {
+			return // may go to any pack
 		}
-		used[g.group]++
+		used[placed.group]++
 	}
 	if len(used) < 6 {
 		t.Errorf("200 tenants' writes without a key go to %d of 12 packs: %v", len(used), used)
 	}
 }
 
-// A fence keeps a tenant to one pod of its subset. One that has no subset has all pods, fenced or not: its reads go to all, and
-// its writes too.
-func TestPlacesOfFenced(t *testing.T) {
-	p, tab := placing(t, &files.Tenants{Header: "Tenant"}, byPack)
+// TestFenceWithoutSubset checks that a fence, which confines a tenant to one pod of its subset, has no effect on a tenant
+// without a subset: its reads and writes may use all pods.
+func TestFenceWithoutSubset(t *testing.T) {
+	p, current := newPlacingProxy(t, &files.Tenants{Header: "Tenant"}, byPack)
 	fenced := unlimited
 	fenced.Fenced = true
-	who, refused := tenantOf(1), 0
-	if pods := p.tenants.allowedPods(who, tab.byType[0], tab.bindings, fenced, 0); pods != nil {
-		t.Fatalf("its reads go to %v", pods)
+	owner, rejected := tenantOf(1), 0
+	if pods := p.tenants.allowedPods(owner, current.byType[0], current.bindings, fenced, 0); pods != nil {
+		t.Fatalf("reads of a tenant without a subset are confined to %v", pods)
 	}
 	for i := range 200 {
-		if _, known := groupOf(p, who, fmt.Sprint("key-", i), tab, fenced); !known {
-			refused++
+		if _, known := groupOf(p, owner, fmt.Sprint("key-", i), current, fenced); !known {
+			rejected++
 		}
 	}
-	if refused > 0 {
-		t.Errorf("%d of 200 writes are refused", refused)
+	if rejected > 0 {
+		t.Errorf("%d of 200 writes are rejected", rejected)
 	}
 }
 
-// Writes that must stay in the zone of the proxy, through two proxies of that zone, or twice through one: the same pack.
-func TestPlacesInOwnZone(t *testing.T) {
-	kind := byPack
-	kind.OwnZoneOnly = true
-	p, tab := placing(t, nil, kind)
+// TestOwnZoneWritesKeepTheirPack checks that a write that must stay in the proxy's zone is sent to the same pack when it is
+// repeated.
+func TestOwnZoneWritesKeepTheirPack(t *testing.T) {
+	opType := byPack
+	opType.OwnZoneOnly = true
+	p, current := newPlacingProxy(t, nil, opType)
 	doubled := 0
 	for i := range 200 {
 		pick := func() tenancy.PodID {
-			g, known := p.placeWrite(0, nil, fmt.Appendf(nil, "key-%d", i), tab, unlimited, 0)
+			placed, known := p.placeWrite(0, nil, fmt.Appendf(nil, "key-%d", i), current, unlimited, 0)
 			if !known {
 				t.Fatal("refused")
 			}
-			e := tab.pickFor(0, time.Now(), func(e *server) bool { return e.Zone == p.zone && (g == nil || g.contains(e)) })
+			e := current.pickFor(0, time.Now(), func(e *server) bool { return e.Zone == p.zone && (placed == nil || placed.contains(e)) })
 			return e.pod()
 		}
 		if first, second := pick(), pick(); first != second {
@@ -154,17 +158,19 @@
 	}
 }
 
-// A proxy keeps the subsets that it drew. Whatever changes in between (a table's servers, a tenant's seat, whose write it is and of
-// which type), it places a write as a proxy does that has kept nothing; so too while the groups change.
-func TestPlacesOfKeptSubsets(t *testing.T) {
-	for usual := range 4 {
-		comparePlaces(t, usual, nil)
-		comparePlaces(t, usual, map[string][]int{"a": {1, 2, 3, 4, 5, 6}, "b": {0, 1, 2, 3, 4}})
+// TestCachedSubsetsMatchFreshDraws checks that a proxy with cached subsets places a write like a proxy without any, whatever
+// changes in between: the servers of a table, a tenant's placement, the tenant and type of the write. It also covers groups
+// that are being changed.
+func TestCachedSubsetsMatchFreshDraws(t *testing.T) {
+	for podsPerTenant := range 4 {
+		comparePlaces(t, podsPerTenant, nil)
+		comparePlaces(t, podsPerTenant, map[string][]int{"a": {1, 2, 3, 4, 5, 6}, "b": {0, 1, 2, 3, 4}})
 	}
 }
 
-// comparePlaces places writes through a proxy that keeps what it drew, with usual pods a tenant, and through new ones.
-func comparePlaces(t *testing.T, usual int, packsNext map[string][]int) {
+// comparePlaces places writes through one proxy that caches subsets and through new proxies. podsPerTenant is the number of
+// pods of a tenant without a placement of its own.
+func comparePlaces(t *testing.T, podsPerTenant int, packsNext map[string][]int) {
 	t.Helper()
 	ownPack, ownZone := byPack, byZone
 	ownPack.OwnZoneOnly, ownZone.OwnZoneOnly = true, true
@@ -177,59 +183,60 @@
 	}
 	seats := []tenancy.Seat{{}, {Draw: 1}, {Size: 3}, {Size: 5}, {Draw: 2, Size: 2}, pods(0, 2), pods(1, 1, 4), pods(0, 0, 1, 5)}
 	newProxy := func() (*Proxy, *tables) {
-		p, tab := placing(t, &files.Tenants{Header: "Tenant", Subset: usual}, opTypes...)
+		p, current := newPlacingProxy(t, &files.Tenants{Header: "Tenant", Subset: podsPerTenant}, opTypes...)
 		p.file.Service.WritePacksNext = packsNext
 		setGroups(p)
-		return p, tab
+		return p, current
 	}
-	random, all := rand.New(rand.NewPCG(uint64(usual), 5)), someServers(12)
-	kept, tab := newProxy()
-	tab.bindings = &bindings{byTenant: map[string]tenancy.Binding{}}
+	random, records := rand.New(rand.NewPCG(uint64(podsPerTenant), 5)), someServers(12)
+	caching, current := newProxy()
+	current.bindings = &bindings{byTenant: map[string]tenancy.Binding{}}
 	for number := range uint64(1500) {
-		if number%10 == 0 { // at times no server is another
+		if number%10 == 0 { // sometimes the chosen server stays the same
 			change := message(2+number, fmt.Sprintf("del server t0/e%d", random.IntN(12)), lineOf(random.IntN(12), 1))
-			changed, err := tab.apply(change, all, len(opTypes), rng())
+			changed, err := current.apply(change, records, len(opTypes), rng())
 			if err != nil {
 				t.Fatal(err)
 			}
-			tab = changed
+			current = changed
 		}
-		who := tenantOf(random.IntN(3))
+		owner := tenantOf(random.IntN(3))
 		if number%5 == 0 {
-			tab.bindings.byTenant[who.name] = tenancy.Binding{Seat: seats[random.IntN(len(seats))]}
+			current.bindings.byTenant[owner.name] = tenancy.Binding{Seat: seats[random.IntN(len(seats))]}
 		}
-		fresh, same := newProxy()
-		same.bindings = tab.bindings
-		same.byType = slices.Repeat([]*table{newTable("t0", tab.byType[0].lines, nil, len(opTypes), 0, rng())}, len(opTypes))
+		fresh, freshTables := newProxy()
+		freshTables.bindings = current.bindings
+		freshTables.byType = slices.Repeat([]*table{newTable("t0", current.byType[0].lines, nil, len(opTypes), 0, rng())}, len(opTypes))
 		i, key := random.IntN(len(opTypes)), fmt.Append(nil, random.IntN(9))
-		got, known := kept.placeWrite(i, who, key, tab, unlimited, 0)
-		want, alsoKnown := fresh.placeWrite(i, who, key, same, unlimited, 0)
-		kind := kindOf(&kept.types[i].OpType)
-		write := kept.tenants.writeOf(kind, who, tab.bindings)
+		got, known := caching.placeWrite(i, owner, key, current, unlimited, 0)
+		want, alsoKnown := fresh.placeWrite(i, owner, key, freshTables, unlimited, 0)
+		kind := kindOf(&caching.types[i].OpType)
+		write := caching.tenants.writeOf(kind, owner, current.bindings)
 		write.Key = string(key)
-		groups := kept.groups.byKind[kind]
+		groups := caching.groups.byKind[kind]
 		if group, ok := groups.Draw(write, groups.Subset(write)); known != ok || known && got.group != group {
-			t.Fatalf("op type %d, %s: %+v %t, drawn anew %v %t", i, who.name, got, known, group, ok)
+			t.Fatalf("op type %d, %s: %+v %t, drawn directly %v %t", i, owner.name, got, known, group, ok)
 		}
 		if known != alsoKnown || !reflect.DeepEqual(got, want) {
-			t.Fatalf("op type %d, %s at %v, usual %d: %+v %t, with nothing kept %+v %t", i, who.name, tab.bindings.byTenant[who.name].Seat,
-				usual, got, known, want, alsoKnown)
+			t.Fatalf("op type %d, %s at %v, %d pods per tenant: %+v %t, without cache %+v %t", i, owner.name, current.bindings.byTenant[owner.name].Seat,
+				podsPerTenant, got, known, want, alsoKnown)
 		}
 	}
 }
 
-// What placing a write costs, for a tenant with a subset of two of twelve packs and of two zones, while the groups change or not.
+// BenchmarkPlace measures placing a write for a tenant with a subset of two of twelve packs, or of two zones, with and
+// without a change of groups in progress.
 func BenchmarkPlace(b *testing.B) {
 	for _, packsNext := range []map[string][]int{nil, {"a": {0, 1, 2, 3, 4, 5, 6}, "b": {0, 1, 2, 3, 4, 5}}} {
 		for _, opType := range []files.OpType{byPack, byZone} {
 			b.Run(fmt.Sprintf("%s/changing=%t", opType.Group, packsNext != nil), func(b *testing.B) {
-				p, tab := placing(b, &files.Tenants{Header: "Tenant", Subset: 2}, opType)
+				p, current := newPlacingProxy(b, &files.Tenants{Header: "Tenant", Subset: 2}, opType)
 				p.file.Service.WritePacksNext = packsNext
 				setGroups(p)
-				who, key := tenantOf(1), []byte("5b0c1c2e-6f1d-4e0e-9a38-0f6f3a1d2b4c")
+				owner, key := tenantOf(1), []byte("5b0c1c2e-6f1d-4e0e-9a38-0f6f3a1d2b4c")
 				b.ReportAllocs()
 				for b.Loop() {
-					if _, known := p.placeWrite(0, who, key, tab, unlimited, 0); !known {
+					if _, known := p.placeWrite(0, owner, key, current, unlimited, 0); !known {
 						b.Fatal("refused")
 					}
 				}
--- a/proxy/proxy_test.go
+++ b/proxy/proxy_test.go
@@ -28,8 +28,11 @@
 
 func TestMain(m *testing.M) { leak.Main(m) }
 
+// rng returns a random generator with a fixed seed.
 func rng() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
 
+// someServers returns the records of n servers. They alternate between two zones, and the i-th server of each zone is in
+// pack i.
 func someServers(n int) *servers {
 	s := &servers{byID: map[control.EndpointID]*server{}}
 	for i := range n {
@@ -39,6 +42,7 @@
 	return s
 }
 
+// message returns a message of pilot p, run 1, with the given changes in the runtime API's syntax.
 func message(number uint64, text ...string) *runtime.Message {
 	m := &runtime.Message{Pilot: "p", Run: 1, Number: number}
 	for _, line := range text {
@@ -51,126 +55,131 @@
 	return m
 }
 
-// lineOf writes the add of a server to t0.
+// lineOf returns the change that adds server i of someServers to table t0.
 func lineOf(i int, weight float64) string {
 	return fmt.Sprintf("add server t0/e%d 127.0.0.1:%d weight %g zone %d pack %d", i, 9000+i, weight, i%2, i/2)
 }
 
-// The spread over servers matches the weights: chi-square over 100,000 picks with the table changed all along. Dealing in
-// turn is far more even than chance, so the statistic must stay under a hundredth of its degrees of freedom, and no
-// server's part is off by over 0.2% of itself.
-func TestSpread(t *testing.T) {
+// TestPickFollowsWeights checks that picks are distributed over the servers in proportion to the weights, over 100,000 picks
+// during which the table is changed repeatedly. Picking by deadline is far more even than random picks: the chi-square
+// statistic must stay below a hundredth of its degrees of freedom, and no server's number of picks may be off by more than
+// 0.2 % or 2 picks.
+func TestPickFollowsWeights(t *testing.T) {
 	const n, picks = 20, 100_000
-	s := someServers(n)
-	x := newTables(1, nil, rng())
+	records := someServers(n)
+	current := newTables(1, nil, rng())
 	weights, total := make([]float64, n), 0.0
-	lines := []string{"set map op-types * t0"}
+	changes := []string{"set map op-types * t0"}
 	for i := range n {
 		weights[i] = 0.1 + float64(i%7)*1.3
 		total += weights[i]
-		lines = append(lines, lineOf(i, weights[i]))
+		changes = append(changes, lineOf(i, weights[i]))
 	}
-	x, err := x.apply(message(1, lines...), s, 1, rng())
+	current, err := current.apply(message(1, changes...), records, 1, rng())
 	if err != nil {
 		t.Fatal(err)
 	}
-	got := make([]float64, n)
+	picked := make([]float64, n)
 	for i := range picks {
-		if i%1000 == 999 { // a change that changes nothing must not disturb the turns
-			if x, err = x.apply(message(uint64(i), fmt.Sprintf("set server t0/e3 weight %g", weights[3])), s, 1, rng()); err != nil {
+		if i%1000 == 999 { // a change that sets the same weight must not disturb the deadlines
+			if current, err = current.apply(message(uint64(i), fmt.Sprintf("set server t0/e3 weight %g", weights[3])), records, 1, rng()); err != nil {
 				t.Fatal(err)
 			}
 		}
-		got[x.pickFor(0, time.Now(), func(*server) bool { return true }).id]++
+		picked[current.pickFor(0, time.Now(), func(*server) bool { return true }).id]++
 	}
-	chi := 0.0
+	chiSquare := 0.0
 	for i, w := range weights {
 		want := picks * w / total
-		chi += (got[i] - want) * (got[i] - want) / want
-		if math.Abs(got[i]-want) > max(2, 0.002*want) {
-			t.Errorf("e%d picked %v times, its weight asks for %.1f", i, got[i], want)
+		chiSquare += (picked[i] - want) * (picked[i] - want) / want
+		if math.Abs(picked[i]-want) > max(2, 0.002*want) {
+			t.Errorf("e%d picked %v times, expected %.1f by its weight", i, picked[i], want)
 		}
 	}
-	if chi > 0.01*(n-1) {
-		t.Errorf("chi-square %v", chi)
+	if chiSquare > 0.01*(n-1) {
+		t.Errorf("chi-square %v", chiSquare)
 	}
 }
 
-// Servers that are out, avoided or refused get nothing; the rest share by weight; one that returns gets no burst.
-func TestAvoided(t *testing.T) {
-	s := someServers(4)
-	x, err := newTables(1, nil, rng()).apply(message(1, "set map op-types * t0", lineOf(0, 1), lineOf(1, 1), lineOf(2, 2), lineOf(3, 1),
-		"set server */e1 state drain"), s, 1, rng())
+// TestUnusableServersAreSkipped checks that drained, avoided and excluded servers are not picked and the others share the
+// ops by weight, that a server that is usable again gets no burst of ops, and that avoided servers are used if all servers
+// are avoided.
+func TestUnusableServersAreSkipped(t *testing.T) {
+	records := someServers(4)
+	current, err := newTables(1, nil, rng()).apply(message(1, "set map op-types * t0", lineOf(0, 1), lineOf(1, 1), lineOf(2, 2), lineOf(3, 1),
+		"set server */e1 state drain"), records, 1, rng())
 	if err != nil {
 		t.Fatal(err)
 	}
 	now := time.Now()
 	for range 3 {
-		s.byID[3].recordTry(false, 0, nil, 3, time.Hour)
+		records.byID[3].recordTry(false, 0, nil, 3, time.Hour)
 	}
 	all := func(*server) bool { return true }
-	deal := func(n int) (got [4]int) {
+	pickMany := func(n int) (got [4]int) {
 		for range n {
-			got[x.pickFor(0, now, all).id]++
+			got[current.pickFor(0, now, all).id]++
 		}
 		return got
 	}
-	if got := deal(3000); got[1] != 0 || got[3] != 0 || got[2] < 1998 || got[2] > 2002 {
+	if got := pickMany(3000); got[1] != 0 || got[3] != 0 || got[2] < 1998 || got[2] > 2002 {
 		t.Fatalf("%v", got)
 	}
-	s.byID[3].avoidUntil = time.Time{}
-	if got := deal(40); got[3] < 8 || got[3] > 12 {
-		t.Fatalf("back with a burst or not at all: %v", got)
+	records.byID[3].avoidUntil = time.Time{}
+	if got := pickMany(40); got[3] < 8 || got[3] > 12 {
+		t.Fatalf("picks of a server usable again, e3, not in proportion to its weight: %v", got)
 	}
-	if e := x.pickFor(0, now, func(e *server) bool { return e.id == 1 }); e != nil {
-		t.Fatal("a withdrawn server was picked")
+	if e := current.pickFor(0, now, func(e *server) bool { return e.id == 1 }); e != nil {
+		t.Fatal("a drained server was picked")
 	}
-	for _, e := range s.byID {
+	for _, e := range records.byID {
 		e.avoidUntil = now.Add(time.Hour)
 	}
-	if x.pickFor(0, now, all) == nil {
-		t.Fatal("nobody, where all are avoided")
+	if current.pickFor(0, now, all) == nil {
+		t.Fatal("no server picked although all are merely avoided")
 	}
 }
 
-// A message takes effect whole or not at all, and one of another run leaves users of the old tables what they have.
-func TestApply(t *testing.T) {
-	s := someServers(6)
-	x, err := newTables(2, []line{{s.byID[5], 1}}, rng()).apply(message(1, "set map op-types 0 t0", lineOf(0, 1), "set level * * 0.5 again if-unrun",
-		"set level t0 0 0.8 again once"), s, 2, rng())
+// TestMessagesApplyAtomically checks that a message with an invalid change has no effect at all, and that a message of a new
+// run leaves op types that it does not map on their old tables.
+func TestMessagesApplyAtomically(t *testing.T) {
+	records := someServers(6)
+	current, err := newTables(2, []line{{records.byID[5], 1}}, rng()).apply(message(1, "set map op-types 0 t0", lineOf(0, 1), "set level * * 0.5 again if-unrun",
+		"set level t0 0 0.8 again once"), records, 2, rng())
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, bad := range []string{"set server t0/e4 weight 1", "set level * 2 1 again never", "set map op-types 7 t0"} {
-		if _, err := x.apply(message(2, lineOf(1, 1), bad), s, 2, rng()); err == nil {
-			t.Errorf("%q was applied", bad)
+		if _, err := current.apply(message(2, lineOf(1, 1), bad), records, 2, rng()); err == nil {
+			t.Errorf("invalid change %q was applied", bad)
 		}
 	}
-	if len(x.byType[0].lines) != 1 || x.byType[1] != x.standing || x.level(0, 0) != (level{0.5, control.OnceMore}) ||
-		x.level(1, 0) != (level{0.5, control.IfUnrun}) {
-		t.Fatalf("%+v %+v", x.level(0, 0), x.level(1, 0))
+	if len(current.byType[0].lines) != 1 || current.byType[1] != current.standing || current.level(0, 0) != (level{0.5, control.OnceMore}) ||
+		current.level(1, 0) != (level{0.5, control.IfUnrun}) {
+		t.Fatalf("%+v %+v", current.level(0, 0), current.level(1, 0))
 	}
-	m := message(1, "clear table t0", lineOf(2, 1), "set map op-types 1 t0")
-	m.Run = 2
-	y, err := x.apply(m, s, 2, rng())
-	if err != nil || y.byType[0].lines[0].server.id != 0 || y.byType[1].lines[0].server.id != 2 || len(x.byType[0].lines) != 1 {
+	nextRun := message(1, "clear table t0", lineOf(2, 1), "set map op-types 1 t0")
+	nextRun.Run = 2
+	afterNewRun, err := current.apply(nextRun, records, 2, rng())
+	if err != nil || afterNewRun.byType[0].lines[0].server.id != 0 || afterNewRun.byType[1].lines[0].server.id != 2 || len(current.byType[0].lines) != 1 {
 		t.Fatalf("%v", err)
 	}
 }
 
-// An op sees a whole table, the old or the new: each message pairs a server with a level, and no pick finds another pair.
-func TestSwapInABurst(t *testing.T) {
-	s := someServers(4)
-	var now tablesPointer
-	now.Store(newTables(1, nil, rng()))
+// TestPicksSeeOneVersion checks that an op sees either the old or the new tables as a whole: each message pairs a server
+// with a level, and no concurrent pick may see another pair.
+func TestPicksSeeOneVersion(t *testing.T) {
+	records := someServers(4)
+	var current tablesPointer
+	current.Store(newTables(1, nil, rng()))
 	step := func(i int) {
-		x, err := now.Load().apply(message(uint64(i), "clear table t0", lineOf(i%4, 1), lineOf((i+1)%4, 1), "set map op-types * t0",
-			fmt.Sprintf("set level * 0 %d again never", i%4)), s, 1, rng())
+		tbls, err := current.Load().apply(message(uint64(i), "clear table t0", lineOf(i%4, 1), lineOf((i+1)%4, 1), "set map op-types * t0",
+			fmt.Sprintf("set level * 0 %d again never", i%4)), records, 1, rng())
 		if err != nil {
 			t.Error(err)
 			return
 		}
-		now.Store(x)
+		current.Store(tbls)
 	}
 	step(0)
 	var done atomic.Bool
@@ -178,10 +187,10 @@
 	for range 4 {
 		wg.Go(func() {
 			for !done.Load() {
-				x := now.Load()
-				l := int(x.level(0, 0).share)
-				if e := x.pickFor(0, time.Now(), func(*server) bool { return true }); int(e.id) != l && int(e.id) != (l+1)%4 {
-					t.Errorf("level %d with server %d", l, e.id)
+				tbls := current.Load()
+				l := int(tbls.level(0, 0).share)
+				if e := tbls.pickFor(0, time.Now(), func(*server) bool { return true }); int(e.id) != l && int(e.id) != (l+1)%4 {
+					t.Errorf("level %d seen with server %d", l, e.id)
 					return
 				}
 			}
@@ -194,54 +203,55 @@
 	wg.Wait()
 }
 
-// Another try only as ordered and only where it cannot take effect twice.
-func TestTries(t *testing.T) {
-	s := someServers(4) // zones 0 1 0 1, packs 0 0 1 1
+// TestRetryRules checks that another try is made only where the retry policy allows it and the op cannot take effect twice.
+func TestRetryRules(t *testing.T) {
+	records := someServers(4) // zones 0 1 0 1, packs 0 0 1 1
 	t0 := time.Unix(0, 0)
 	dedup := control.OpType{Repeat: control.Deduplicated, Group: control.GroupZone, DedupWindow: time.Second}
 	pack := control.OpType{Repeat: control.Deduplicated, Group: control.GroupPack, DedupWindow: time.Second}
-	free, once := control.OpType{}, control.OpType{Repeat: control.OnceOnly}
+	retryable, once := control.OpType{}, control.OpType{Repeat: control.OnceOnly}
 	for _, c := range []struct {
-		name  string
-		op    control.OpType
-		keyed bool
-		unrun bool // how the first try, at server 0, failed
-		again control.Again
-		to    control.EndpointID
-		after time.Duration
-		want  bool
+		name   string
+		op     control.OpType
+		keyed  bool
+		notRun bool // the first try, at server 0, certainly did not run
+		again  control.Again
+		to     control.EndpointID
+		after  time.Duration
+		want   bool
 	}{
-		{"never", free, false, true, control.Never, 1, 0, false},
+		{"never", retryable, false, true, control.Never, 1, 0, false},
 		{"unrun", once, false, true, control.IfUnrun, 1, 0, true},
-		{"unrun, by a wider order", once, false, true, control.TwiceMore, 1, 0, true},
+		{"not run, policy allows more", once, false, true, control.TwiceMore, 1, 0, true},
 		{"may have run", once, true, false, control.TwiceMore, 1, 0, false},
-		{"retryable, only if unrun", free, false, false, control.IfUnrun, 1, 0, false},
-		{"retryable", free, false, false, control.OnceMore, 1, time.Hour, true},
+		{"retryable, may have run, policy requires not run", retryable, false, false, control.IfUnrun, 1, 0, false},
+		{"retryable", retryable, false, false, control.OnceMore, 1, time.Hour, true},
 		{"in its group", dedup, true, false, control.OnceMore, 2, 0, true},
 		{"without a key", dedup, false, false, control.OnceMore, 2, 0, false},
 		{"outside its group", dedup, true, false, control.OnceMore, 1, 0, false},
 		{"after its window", dedup, true, false, control.OnceMore, 2, 900 * time.Millisecond, false},
-		{"unrun leaves the group", dedup, true, true, control.OnceMore, 1, time.Hour, true},
+		{"not run, outside its group", dedup, true, true, control.OnceMore, 1, time.Hour, true},
 		{"another pack", pack, true, false, control.OnceMore, 2, 0, false},
 	} {
-		x := tryHistory{opType: c.op, hasKey: c.keyed}
-		x.recordSent()
-		x.recordFailure(s.byID[0], t0, c.unrun)
-		if got := x.mayRetry(c.again) && x.mayRunAt(s.byID[c.to].Server, t0.Add(c.after)); got != c.want {
-			t.Errorf("%s: %t", c.name, got)
+		history := tryHistory{opType: c.op, hasKey: c.keyed}
+		history.recordSent()
+		history.recordFailure(records.byID[0], t0, c.notRun)
+		if got := history.mayRetry(c.again) && history.mayRunAt(records.byID[c.to].Server, t0.Add(c.after)); got != c.want {
+			t.Errorf("%s: retry allowed: %t", c.name, got)
 		}
 	}
-	x := tryHistory{opType: free}
+	history := tryHistory{opType: retryable}
 	for i := range 3 {
-		x.recordSent()
-		x.recordFailure(s.byID[0], t0, false)
-		if x.mayRetry(control.TwiceMore) != (i < 2) || i > 0 && x.mayRetry(control.OnceMore) {
-			t.Errorf("after %d tries", i+1)
+		history.recordSent()
+		history.recordFailure(records.byID[0], t0, false)
+		if history.mayRetry(control.TwiceMore) != (i < 2) || i > 0 && history.mayRetry(control.OnceMore) {
+			t.Errorf("wrong answer of mayRetry after %d tries", i+1)
 		}
 	}
 }
 
-// origin is a server by net/http, to hold our wire against another's.
+// origin starts a server of net/http, so that the proxy is tested against an independent HTTP implementation. It returns its
+// address.
 func origin(t *testing.T, h http.HandlerFunc) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -253,7 +263,7 @@
 	return ln.Addr().String()
 }
 
-// proxyFile is a proxy's file with servers in its standing table.
+// proxyFile returns the settings of a proxy with the given servers in its standing table.
 func proxyFile(origins ...string) *files.Proxy {
 	ms := func(n int) files.Duration { return files.Duration(time.Duration(n) * time.Millisecond) }
 	f := &files.Proxy{Kind: "proxy", ID: 7, Zone: "z", Listen: "127.0.0.1:0", Pilots: []files.PilotAddress{{Address: "127.0.0.1:1", Zone: "z"}},
@@ -267,6 +277,7 @@
 	return f
 }
 
+// start starts a proxy with the settings of proxyFile, modified by change, and stops it at the end of the test.
 func start(t *testing.T, change func(*files.Proxy), origins ...string) *Proxy {
 	f := proxyFile(origins...)
 	if change != nil {
@@ -283,6 +294,7 @@
 	return p
 }
 
+// ask sends a request on a new connection and returns the response and its body.
 func ask(t *testing.T, p *Proxy, text string) (*http.Response, string) {
 	t.Helper()
 	c, err := net.Dial("tcp", p.Address())
@@ -300,11 +312,12 @@
 	return r, string(b)
 }
 
-// Ops go through whole, pipelined and chunked ones too; what is refused has its answer at once, and when to come back.
-func TestOps(t *testing.T) {
-	var got atomic.Int64
+// TestForwarding checks that requests and responses are forwarded unchanged, including pipelined and chunked ones, and that
+// a rejected request is answered at once, with a Retry-After field.
+func TestForwarding(t *testing.T) {
+	var received atomic.Int64
 	o := origin(t, func(w http.ResponseWriter, r *http.Request) {
-		got.Add(1)
+		received.Add(1)
 		b, _ := io.ReadAll(r.Body)
 		switch r.URL.Path {
 		case "/head":
@@ -314,7 +327,7 @@
 			w.WriteHeader(204)
 			return
 		}
-		if strings.HasPrefix(r.URL.Path, "/flush") { // an answer in chunks
+		if strings.HasPrefix(r.URL.Path, "/flush") { // a chunked response
 			fmt.Fprint(w, "one ")
 			w.(http.Flusher).Flush()
 		}
@@ -342,26 +355,26 @@
 		}
 		io.Copy(io.Discard, r.Body)
 	}
-	// A body that waits to be asked for, and answers without one.
-	x, err := net.Dial("tcp", p.Address())
+	// A request with Expect: 100-continue, and responses without a body.
+	expecting, err := net.Dial("tcp", p.Address())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer x.Close()
-	_ = x.SetDeadline(time.Now().Add(20 * time.Second))
-	_, _ = io.WriteString(x, "POST /e HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n")
-	in = bufio.NewReader(x)
+	defer expecting.Close()
+	_ = expecting.SetDeadline(time.Now().Add(20 * time.Second))
+	_, _ = io.WriteString(expecting, "POST /e HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n")
+	in = bufio.NewReader(expecting)
 	if line, err := in.ReadString('\n'); line != "HTTP/1.1 100 Continue\r\n" {
 		t.Fatalf("%q %v", line, err)
 	}
 	_, _ = in.ReadString('\n')
-	_, _ = io.WriteString(x, "hi")
+	_, _ = io.WriteString(expecting, "hi")
 	if r, err := http.ReadResponse(in, nil); err != nil || r.StatusCode != 200 {
 		t.Fatal(r, err)
 	} else if b, _ := io.ReadAll(r.Body); string(b) != "POST /e hi 1.1 p7" {
 		t.Errorf("%q", b)
 	}
-	_, _ = io.WriteString(x, "HEAD /head HTTP/1.1\r\nHost: h\r\n\r\nGET /none HTTP/1.1\r\nHost: h\r\n\r\nGET /x HTTP/1.1\r\nHost: h\r\n\r\n")
+	_, _ = io.WriteString(expecting, "HEAD /head HTTP/1.1\r\nHost: h\r\n\r\nGET /none HTTP/1.1\r\nHost: h\r\n\r\nGET /x HTTP/1.1\r\nHost: h\r\n\r\n")
 	for _, want := range []string{"HEAD 200 7 ", "GET 204 0 ", "GET 200 14 GET /x  1.1 p7"} {
 		method, _, _ := strings.Cut(want, " ")
 		r, err := http.ReadResponse(in, &http.Request{Method: method})
@@ -373,7 +386,7 @@
 			t.Errorf("%q, want %q", got, want)
 		}
 	}
-	before := got.Load()
+	before := received.Load()
 	for text, status := range map[string]int{
 		"PUT / HTTP/1.1\r\nHost: h\r\n\r\n": 404,
 		"POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n": 400,
@@ -386,93 +399,95 @@
 		t.Fatal(err)
 	}
 	r, _ := ask(t, p, "GET /x HTTP/1.1\r\nHost: h\r\n\r\n")
-	if r.StatusCode != 503 || r.Header.Get("Retry-After") != "1" || got.Load() != before {
+	if r.StatusCode != 503 || r.Header.Get("Retry-After") != "1" || received.Load() != before {
 		t.Errorf("level 0: %d %v", r.StatusCode, r.Header)
 	}
 	if err := p.apply(message(2, "set level * 1 1 again never", "set server */e0 state drain")); err != nil {
 		t.Fatal(err)
 	}
-	if r, _ := ask(t, p, "GET /x HTTP/1.1\r\nHost: h\r\n\r\n"); r.StatusCode != 503 || got.Load() != before {
+	if r, _ := ask(t, p, "GET /x HTTP/1.1\r\nHost: h\r\n\r\n"); r.StatusCode != 503 || received.Load() != before {
 		t.Errorf("drained: %d", r.StatusCode)
 	}
 }
 
-// What may have run is tried again only where safe: a server that breaks off in the midst, one that refuses unrun, one
-// that hangs.
-func TestAgainOverSockets(t *testing.T) {
-	var broke, good atomic.Int64
-	breaks := origin(t, func(w http.ResponseWriter, r *http.Request) { broke.Add(1); panic(http.ErrAbortHandler) })
-	fine := origin(t, func(w http.ResponseWriter, r *http.Request) { good.Add(1); fmt.Fprint(w, "ok") })
-	p := start(t, nil, breaks, fine)
+// TestRetriesOverSockets checks, over real connections, that an op that may have run is retried only where this is safe. The
+// servers abort the response, reject ops without running them, or do not answer.
+func TestRetriesOverSockets(t *testing.T) {
+	var aborted, succeeded atomic.Int64
+	aborting := origin(t, func(w http.ResponseWriter, r *http.Request) { aborted.Add(1); panic(http.ErrAbortHandler) })
+	healthy := origin(t, func(w http.ResponseWriter, r *http.Request) { succeeded.Add(1); fmt.Fprint(w, "ok") })
+	p := start(t, nil, aborting, healthy)
 	for range 40 {
 		if r, body := ask(t, p, "GET / HTTP/1.1\r\nHost: h\r\n\r\n"); r.StatusCode != 200 || body != "ok" {
-			t.Fatalf("a read: %d", r.StatusCode)
+			t.Fatalf("read answered with %d", r.StatusCode)
 		}
 	}
-	b, g := broke.Load(), good.Load()
+	b, g := aborted.Load(), succeeded.Load()
 	failed := int64(0)
 	for range 40 {
 		if r, _ := ask(t, p, "POST / HTTP/1.1\r\nHost: h\r\nIdempotency-Key: k\r\n\r\n"); r.StatusCode != 200 {
 			failed++
 		}
 	}
-	if broke.Load()-b != failed || broke.Load()-b+good.Load()-g != 40 || failed == 0 {
-		t.Errorf("once-only: %d broke, %d good, %d answered so", broke.Load()-b, good.Load()-g, failed)
+	if aborted.Load()-b != failed || aborted.Load()-b+succeeded.Load()-g != 40 || failed == 0 {
+		t.Errorf("once-only: %d aborted, %d succeeded, %d failures answered", aborted.Load()-b, succeeded.Load()-g, failed)
 	}
-	refuses := origin(t, func(w http.ResponseWriter, r *http.Request) {
+	rejecting := origin(t, func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(http1.UnrunHeader, "1")
 		w.WriteHeader(503)
 	})
-	q := start(t, func(f *files.Proxy) { f.Service.UsualAgain = "if-unrun" }, refuses, fine, "127.0.0.1:1")
+	withRejecting := start(t, func(f *files.Proxy) { f.Service.UsualAgain = "if-unrun" }, rejecting, healthy, "127.0.0.1:1")
 	for range 20 {
-		if r, _ := ask(t, q, "POST / HTTP/1.1\r\nHost: h\r\n\r\n"); r.StatusCode != 200 && r.StatusCode != 503 && r.StatusCode != 502 {
-			t.Errorf("refused unrun: %d", r.StatusCode)
+		if r, _ := ask(t, withRejecting, "POST / HTTP/1.1\r\nHost: h\r\n\r\n"); r.StatusCode != 200 && r.StatusCode != 503 && r.StatusCode != 502 {
+			t.Errorf("op rejected without running answered with %d", r.StatusCode)
 		}
 	}
-	z1 := start(t, func(f *files.Proxy) { f.Service.UsualAgain = "if-unrun" }, refuses)
-	if r, _ := ask(t, z1, "POST / HTTP/1.1\r\nHost: h\r\n\r\n"); r.StatusCode != 503 || r.Header.Get("Retry-After") == "" {
-		t.Errorf("nobody took it: %d", r.StatusCode)
+	onlyRejecting := start(t, func(f *files.Proxy) { f.Service.UsualAgain = "if-unrun" }, rejecting)
+	if r, _ := ask(t, onlyRejecting, "POST / HTTP/1.1\r\nHost: h\r\n\r\n"); r.StatusCode != 503 || r.Header.Get("Retry-After") == "" {
+		t.Errorf("op rejected by all servers answered with %d", r.StatusCode)
 	}
 	hang := make(chan struct{})
 	defer close(hang)
-	hangs := origin(t, func(w http.ResponseWriter, r *http.Request) { <-hang })
-	z := start(t, nil, hangs)
-	if r, _ := ask(t, z, "POST / HTTP/1.1\r\nHost: h\r\n\r\n"); r.StatusCode != 504 || r.Header.Get("Retry-After") == "" {
-		t.Errorf("hung: %d %v", r.StatusCode, r.Header)
+	hanging := origin(t, func(w http.ResponseWriter, r *http.Request) { <-hang })
+	withHanging := start(t, nil, hanging)
+	if r, _ := ask(t, withHanging, "POST / HTTP/1.1\r\nHost: h\r\n\r\n"); r.StatusCode != 504 || r.Header.Get("Retry-After") == "" {
+		t.Errorf("op at a server that does not answer: %d %v", r.StatusCode, r.Header)
 	}
 }
 
-// A drain leaves an op in flight its answer and sends nobody there; so does the end of the proxy.
+// TestDrainInFlight checks that draining a server, and stopping the proxy, let an op in progress finish, and that no further
+// op is sent to the drained server.
 func TestDrainInFlight(t *testing.T) {
-	came, release := make(chan struct{}, 10), make(chan struct{})
-	slow := origin(t, func(w http.ResponseWriter, r *http.Request) { came <- struct{}{}; <-release; fmt.Fprint(w, "late") })
+	received, release := make(chan struct{}, 10), make(chan struct{})
+	slow := origin(t, func(w http.ResponseWriter, r *http.Request) { received <- struct{}{}; <-release; fmt.Fprint(w, "late") })
 	p := start(t, func(f *files.Proxy) { f.Service.OpTypes[1].OpTimeout = files.Duration(20 * time.Second) }, slow)
 	answers := make(chan string, 1)
 	go func() {
 		_, body := ask(t, p, "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
 		answers <- body
 	}()
-	<-came
+	<-received
 	if err := p.apply(message(1, "set server */e0 state drain")); err != nil {
 		t.Fatal(err)
 	}
 	if r, _ := ask(t, p, "GET / HTTP/1.1\r\nHost: h\r\n\r\n"); r.StatusCode != 503 {
-		t.Errorf("sent to a drained server: %d", r.StatusCode)
+		t.Errorf("op for a drained server answered with %d", r.StatusCode)
 	}
 	stopped := make(chan struct{})
 	go func() { p.Stop(context.Background()); close(stopped) }()
 	time.AfterFunc(50*time.Millisecond, func() { close(release) })
 	if s := <-answers; s != "late" {
-		t.Errorf("the op in flight got %q", s)
+		t.Errorf("the op in progress was answered %q", s)
 	}
 	<-stopped
-	if len(came) != 0 {
-		t.Errorf("%d more came", len(came))
+	if len(received) != 0 {
+		t.Errorf("%d more ops were sent to the drained server", len(received))
 	}
 }
 
-// A message cut in half, an older run's, one out of turn: nothing of it is applied.
-func TestHalfMessages(t *testing.T) {
+// TestInvalidMessagesAreNotApplied checks that no part of a message is applied if the message is truncated, belongs to an
+// older run or arrives out of order.
+func TestInvalidMessagesAreNotApplied(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -527,97 +542,98 @@
 	}
 }
 
-// A tenant's ops go to its subset alone, withdrawn or not, and its tries beyond the first are a share of its ops; ops of
-// nobody have a subset too.
+// TestTenants checks that a tenant's ops go to its subset only, even if its servers are drained, that its limits apply, and
+// that its retries are limited to a share of its ops. Without tenant settings nothing is restricted.
 func TestTenants(t *testing.T) {
 	f := &files.Tenants{Header: "Newsroom", Subset: 2}
-	x, err := newTenants(f)
+	registry, err := newTenants(f)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := someServers(12) // six pods in two zones
+	records := someServers(12) // twelve pods: six packs in each of two zones
 	lines := []string{"set map op-types * t0"}
 	for i := range 12 {
 		lines = append(lines, lineOf(i, 1))
 	}
-	tab, err := newTables(1, nil, rng()).apply(message(1, lines...), s, 1, rng())
+	current, err := newTables(1, nil, rng()).apply(message(1, lines...), records, 1, rng())
 	if err != nil {
 		t.Fatal(err)
 	}
-	who := &tenant{name: "delo", account: &account{}}
-	subset := x.allowedPods(who, tab.byType[0], tab.bindings, unlimited, 0)
+	owner := &tenant{name: "delo", account: &account{}}
+	subset := registry.allowedPods(owner, current.byType[0], current.bindings, unlimited, 0)
 	if len(subset) != 2 {
 		t.Fatalf("%v", subset)
 	}
 	used := map[control.EndpointID]bool{}
 	for range 100 {
-		used[tab.pickFor(0, time.Now(), func(e *server) bool { return slices.Contains(subset, e.pod()) }).id] = true
+		used[current.pickFor(0, time.Now(), func(e *server) bool { return slices.Contains(subset, e.pod()) }).id] = true
 	}
 	if len(used) != 2 {
-		t.Errorf("used %v of subset %v", used, subset)
+		t.Errorf("servers %v used of subset %v", used, subset)
 	}
-	var out []string
+	var drains []string
 	for id := range used {
-		out = append(out, fmt.Sprintf("set server */e%d state drain", id))
+		drains = append(drains, fmt.Sprintf("set server */e%d state drain", id))
 	}
-	sick, err := tab.apply(message(2, out...), s, 1, rng())
-	if err != nil || !slices.Equal(x.allowedPods(who, sick.byType[0], sick.bindings, unlimited, 0), subset) {
-		t.Errorf("a tenant whose servers are withdrawn was handed others: %v", err)
+	drained, err := current.apply(message(2, drains...), records, 1, rng())
+	if err != nil || !slices.Equal(registry.allowedPods(owner, drained.byType[0], drained.bindings, unlimited, 0), subset) {
+		t.Errorf("a tenant whose servers are drained was given others: %v", err)
 	}
-	if (*tenants)(nil).allowedPods(who, tab.byType[0], tab.bindings, unlimited, 0) != nil || (*tenants)(nil).identify(nil, nil) != nil || !(*tenant)(nil).spendTry() {
-		t.Error("without tenants nothing is bound")
+	if (*tenants)(nil).allowedPods(owner, current.byType[0], current.bindings, unlimited, 0) != nil || (*tenants)(nil).identify(nil, nil) != nil || !(*tenant)(nil).spendTry() {
+		t.Error("restrictions apply without tenant settings")
 	}
-	limited, err := tab.apply(message(2, "set tenant =delo rate 2 tries 0 fence on hand * room 1"), s, 1, rng())
-	if err != nil || len(limited.limits) != 1 || len(x.allowedPods(who, limited.byType[0], limited.bindings, limited.limits["delo"], 0)) != 1 {
+	limited, err := current.apply(message(2, "set tenant =delo rate 2 tries 0 fence on hand * room 1"), records, 1, rng())
+	if err != nil || len(limited.limits) != 1 || len(registry.allowedPods(owner, limited.byType[0], limited.bindings, limited.limits["delo"], 0)) != 1 {
 		t.Fatal(err)
 	}
-	in := 0
-	who.admit(unlimited, 1, 0)
-	for i := range 100 { // ten seconds of ten ops each
-		if who.admit(limited.limits["delo"], 1, time.Duration(i)*100*time.Millisecond) {
-			in++
-			who.opDone()
+	admitted := 0
+	owner.admit(unlimited, 1, 0)
+	for i := range 100 { // ten ops per second for ten seconds
+		if owner.admit(limited.limits["delo"], 1, time.Duration(i)*100*time.Millisecond) {
+			admitted++
+			owner.opDone()
 		}
 	}
-	if in < 19 || in > 22 {
-		t.Errorf("%d ops let in over ten seconds at two a second", in)
+	if admitted < 19 || admitted > 22 {
+		t.Errorf("%d ops admitted in ten seconds at a limit of two per second", admitted)
 	}
-	handful, err := tab.apply(message(2, "set tenant =delo rate * tries 0 fence off hand 2.5 room 1"), s, 1, rng())
-	if err != nil || len(handful.limits) != 1 {
+	concurrency, err := current.apply(message(2, "set tenant =delo rate * tries 0 fence off hand 2.5 room 1"), records, 1, rng())
+	if err != nil || len(concurrency.limits) != 1 {
 		t.Fatal(err)
 	}
-	who.opDone() // of the first above
+	owner.opDone() // the op admitted without a limit
 	for n := range 6 {
-		if who.admit(handful.limits["delo"], 1, 0) != (n < 3) {
-			t.Errorf("%d ops in hand beside another", n)
+		if owner.admit(concurrency.limits["delo"], 1, 0) != (n < 3) {
+			t.Errorf("wrong admission decision with %d ops in progress besides the first", n)
 		}
 	}
-	roomy, err := tab.apply(message(2, "set tenant =delo rate * tries 0.2 fence off hand * room 1.5"), s, 1, rng())
-	if err != nil || len(x.allowedPods(who, roomy.byType[0], roomy.bindings, roomy.limits["delo"], 0)) != 3 || roomy.limits["delo"].Limited() {
-		t.Errorf("room for half as many pods more: %v, %v", roomy, err)
+	enlarged, err := current.apply(message(2, "set tenant =delo rate * tries 0.2 fence off hand * room 1.5"), records, 1, rng())
+	if err != nil || len(registry.allowedPods(owner, enlarged.byType[0], enlarged.bindings, enlarged.limits["delo"], 0)) != 3 || enlarged.limits["delo"].Limited() {
+		t.Errorf("subset not enlarged by half: %v, %v", enlarged, err)
 	}
-	if free, err := limited.apply(message(3, "set tenant =delo rate * tries 0.2 fence off hand * room 1"), s, 1, rng()); err != nil || len(free.limits) != 0 {
-		t.Error("a limit that does not go", err)
+	if free, err := limited.apply(message(3, "set tenant =delo rate * tries 0.2 fence off hand * room 1"), records, 1, rng()); err != nil || len(free.limits) != 0 {
+		t.Error("the limit was not removed:", err)
 	}
-	breaks := origin(t, func(w http.ResponseWriter, r *http.Request) { panic(http.ErrAbortHandler) })
+	aborting := origin(t, func(w http.ResponseWriter, r *http.Request) { panic(http.ErrAbortHandler) })
 	var came atomic.Int64
 	other := origin(t, func(w http.ResponseWriter, r *http.Request) { came.Add(1); panic(http.ErrAbortHandler) })
-	p := start(t, func(f *files.Proxy) { f.Tenants = &files.Tenants{Header: "Newsroom", Subset: 0} }, breaks, other)
+	p := start(t, func(f *files.Proxy) { f.Tenants = &files.Tenants{Header: "Newsroom", Subset: 0} }, aborting, other)
 	for range 100 {
 		ask(t, p, "GET / HTTP/1.1\r\nHost: h\r\nNewsroom: delo\r\n\r\n")
 	}
 	if n := p.counters.retried.Load(); n < 10 || n > 25 {
-		t.Errorf("%d tries beyond the first for 100 ops", n)
+		t.Errorf("%d retries for 100 ops", n)
 	}
 }
 
-// A tenant whose subset is withdrawn whole borrows a pod, once its ops are known to go well; one that nobody knows, or that
-// is limited, does not. Its writes wait until no repeat of the last can follow them, there and back.
-func TestBorrow(t *testing.T) {
-	var came [3]atomic.Int64
+// TestBorrowedPod checks that a tenant whose whole subset is drained borrows a pod if its ops have succeeded so far, and
+// that a new or a limited tenant does not. Its writes wait, when switching to the borrowed pod and back, until no repeat of
+// the last write can follow.
+func TestBorrowedPod(t *testing.T) {
+	var received [3]atomic.Int64
 	var origins []string
 	for i := range 3 {
-		origins = append(origins, origin(t, func(w http.ResponseWriter, r *http.Request) { came[i].Add(1) }))
+		origins = append(origins, origin(t, func(w http.ResponseWriter, r *http.Request) { received[i].Add(1) }))
 	}
 	p := start(t, func(f *files.Proxy) {
 		f.Tenants = &files.Tenants{Header: "Newsroom", Subset: 1}
@@ -626,8 +642,8 @@
 			f.Servers[i].Pack = i
 		}
 	}, origins...)
-	get := func(who string) int {
-		r, _ := ask(t, p, "GET / HTTP/1.1\r\nHost: h\r\nNewsroom: "+who+"\r\n\r\n")
+	get := func(tenantName string) int {
+		r, _ := ask(t, p, "GET / HTTP/1.1\r\nHost: h\r\nNewsroom: "+tenantName+"\r\n\r\n")
 		return r.StatusCode
 	}
 	write := func() int {
@@ -636,19 +652,19 @@
 	}
 	for range 9 {
 		if get("delo") != 200 {
-			t.Fatal("not served")
+			t.Fatal("read not answered")
 		}
 	}
-	wrote := time.Now()
+	lastWrite := time.Now()
 	if write() != 200 {
-		t.Fatal("not written")
+		t.Fatal("write not answered")
 	}
-	home := 0
-	for came[home].Load() == 0 {
-		home++
+	subsetPod := 0
+	for received[subsetPod].Load() == 0 {
+		subsetPod++
 	}
 	state := func(s string) {
-		if err := p.apply(message(1, fmt.Sprintf("set server */e%d state %s", home, s))); err != nil {
+		if err := p.apply(message(1, fmt.Sprintf("set server */e%d state %s", subsetPod, s))); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -656,8 +672,8 @@
 	if status := get("delo"); status != 200 || p.counters.borrowed.Load() != 1 {
 		t.Errorf("%d", status)
 	}
-	if status := write(); time.Since(wrote) < 300*time.Millisecond && status != 503 {
-		t.Errorf("a write went on at once: %d", status)
+	if status := write(); time.Since(lastWrite) < 300*time.Millisecond && status != 503 {
+		t.Errorf("a write was sent to the borrowed pod too early: %d", status)
 	}
 	until := func(what string, ok func() bool) {
 		for end := time.Now().Add(20 * time.Second); !ok(); time.Sleep(10 * time.Millisecond) {
@@ -666,34 +682,37 @@
 			}
 		}
 	}
-	until("writes go on at last", func() bool { return write() == 200 })
-	before := came[home].Load()
+	until("writes never resumed at the borrowed pod", func() bool { return write() == 200 })
+	before := received[subsetPod].Load()
 	state("ready")
-	until("writes come home", func() bool { time.Sleep(400 * time.Millisecond); return write() == 200 && came[home].Load() > before })
+	until("writes never returned to the subset", func() bool {
+		time.Sleep(400 * time.Millisecond)
+		return write() == 200 && received[subsetPod].Load() > before
+	})
 	state("drain")
-	newcomer := "" // one that nobody knows, at the same pod
+	newcomer := "" // a tenant without earlier ops whose subset is the same pod
 	for i := 0; newcomer == ""; i++ {
-		x := &tenant{name: fmt.Sprint("n", i), account: &account{}}
+		candidate := &tenant{name: fmt.Sprint("n", i), account: &account{}}
 		table := p.current.Load()
-		if s := p.tenants.allowedPods(x, table.byType[1], table.bindings, unlimited, 0); s[0] == tenancy.PodID(home) {
-			newcomer = x.name
+		if s := p.tenants.allowedPods(candidate, table.byType[1], table.bindings, unlimited, 0); s[0] == tenancy.PodID(subsetPod) {
+			newcomer = candidate.name
 		}
 	}
 	if status := get(newcomer); status != 503 {
-		t.Errorf("one that nobody knows borrowed: %d", status)
+		t.Errorf("a tenant without earlier ops borrowed a pod: %d", status)
 	}
 	if err := p.apply(message(1, "set tenant =delo rate 1000 tries 0 fence off hand * room 1")); err != nil {
 		t.Fatal(err)
 	}
 	if status := get("delo"); status != 503 {
-		t.Errorf("one that is limited borrowed: %d", status)
+		t.Errorf("a limited tenant borrowed a pod: %d", status)
 	}
 }
 
-// Ten thousand tenants that come at once are kept within bounds, whatever their names; those beyond share one account, which
-// cannot borrow.
-func TestTenThousand(t *testing.T) {
-	x, err := newTenants(&files.Tenants{Header: "Newsroom", Subset: 2})
+// TestTenantStateIsBounded checks that the state for ten thousand tenants that appear at once stays within its bounds,
+// whatever their names, and that the tenants beyond the bound share one account.
+func TestTenantStateIsBounded(t *testing.T) {
+	registry, err := newTenants(&files.Tenants{Header: "Newsroom", Subset: 2})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -701,22 +720,22 @@
 	for i := range 100 {
 		all.Go(func() {
 			for j := range 100 {
-				who := x.lookup(fmt.Sprintf("newsroom %d;\x00\n%d", i, j))
-				who.admit(unlimited, 1, 0)
-				x.recordTry(who, &server{id: 1, Server: runtime.Server{Zone: j % 3, Pack: i}}, false, time.Millisecond)
-				who.opDone()
+				owner := registry.lookup(fmt.Sprintf("newsroom %d;\x00\n%d", i, j))
+				owner.admit(unlimited, 1, 0)
+				registry.recordTry(owner, &server{id: 1, Server: runtime.Server{Zone: j % 3, Pack: i}}, false, time.Millisecond)
+				owner.opDone()
 			}
 		})
 	}
 	all.Wait()
-	x.mu.Lock()
-	known := len(x.known)
-	x.mu.Unlock()
-	if sums := x.takeSums(); known > maxTenants+1 || len(sums) > maxTenantSums+300 {
-		t.Errorf("%d kept, %d sums", known, len(sums))
-	}
-	late := x.lookup("one more")
-	if !late.shared || late.name != "one more" {
-		t.Errorf("%+v", late)
+	registry.mu.Lock()
+	known := len(registry.known)
+	registry.mu.Unlock()
+	if sums := registry.takeSums(); known > maxTenants+1 || len(sums) > maxTenantSums+300 {
+		t.Errorf("%d tenants kept, %d sums", known, len(sums))
+	}
+	beyondBound := registry.lookup("one more")
+	if !beyondBound.shared || beyondBound.name != "one more" {
+		t.Errorf("%+v", beyondBound)
 	}
 }
--- a/proxy/split_requests_test.go
+++ b/proxy/split_requests_test.go
@@ -17,14 +17,14 @@
 	"vetchdoor/lab/sign"
 )
 
-// signed is a large request that bears a number.
+// signed returns a large request that carries a number in its path, fields and body.
 func signed(number uint64) string {
 	b := http1.AppendRequest(nil, []byte("POST"), []byte(sign.Path("/", number)))
 	b = sign.AppendFields(http1.AppendField(b, "Host", "h"), number, true)
 	return string(http1.AppendBody(b, sign.Body(number, true)))
 }
 
-// checkSigned answers with the number that path, fields and body agree on.
+// checkSigned answers with the number in the request, or with status 409 if path, fields and body do not agree on it.
 func checkSigned(w http.ResponseWriter, r *http.Request) {
 	m := &http1.Message{Target: []byte(r.RequestURI)}
 	for name, values := range r.Header {
@@ -41,8 +41,9 @@
 	_, _ = w.Write(number)
 }
 
-// TestRequestsKeepTheirHeads guards against a request that reaches a server under the head of another client's request: half
-// of the clients send a head that fills several blocks, then more of the body, upon which the other half send theirs.
+// TestRequestsKeepTheirHeads guards against a request that is forwarded with the head of another client's request, because
+// buffers were reused too early. Half of the clients send a head that spans several read buffers, then more of the body;
+// then the other half send theirs.
 func TestRequestsKeepTheirHeads(t *testing.T) {
 	const clients, first, second = 48, 11 << 10, 20 << 10
 	server := origin(t, checkSigned)
@@ -67,7 +68,7 @@
 		_ = c.SetDeadline(time.Now().Add(30 * time.Second))
 		all = append(all, &client{Conn: c, number: strconv.Itoa(100 + i), text: signed(uint64(100 + i))})
 	}
-	// send writes on until so much of each request is sent, and leaves the proxy time to read it.
+	// send continues each client's request up to byte until, and then gives the proxy time to read it.
 	send := func(until int, clients []*client) {
 		for _, c := range clients {
 			n, err := io.WriteString(c, c.text[c.sent:min(until, len(c.text))])
--- a/proxy/stall_test.go
+++ b/proxy/stall_test.go
@@ -13,8 +13,8 @@
 	"vetchdoor/files"
 )
 
-// TestStalledClientHoldsNoServerConnection guards against a client that does not read its answer and keeps a connection to a server
-// from others meanwhile.
+// TestStalledClientHoldsNoServerConnection guards against a client that does not read its responses and thereby keeps a
+// server connection unavailable to other clients.
 func TestStalledClientHoldsNoServerConnection(t *testing.T) {
 	const ahead = 16
 	answered := make(chan struct{}, ahead)
@@ -42,7 +42,7 @@
 		t.Fatal(err)
 	}
 	quiet := time.NewTimer(time.Second)
-	for waiting := true; waiting; { // until no further answer is taken from the server: the client's buffers are full
+	for waiting := true; waiting; { // until the client's buffers are full and the proxy takes no further response from the server
 		select {
 		case <-answered:
 			quiet.Reset(time.Second)
@@ -51,6 +51,6 @@
 		}
 	}
 	if r, body := ask(t, p, "GET /short HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n"); r.StatusCode != 200 || body != "short" {
-		t.Errorf("beside a client that does not read: %d %q", r.StatusCode, body)
+		t.Errorf("op of another client while one client does not read: %d %q", r.StatusCode, body)
 	}
 }
--- a/proxy/start_test.go
+++ b/proxy/start_test.go
@@ -12,8 +12,9 @@
 	"vetchdoor/lab/loopback"
 )
 
-// A proxy whose start failed ended in a nil pointer when it was stopped, or waited for the writer of its bindings, which had
-// never begun. Each step of the start fails here in turn; the proxy is stopped twice and killed, and nothing is left of it.
+// TestStartFails guards against a proxy that cannot be stopped after a failed start: Stop used to dereference a nil pointer,
+// or to wait for the goroutine that writes bindings, which had not been started. Each step of Start fails in turn; the proxy
+// is then stopped twice and killed, and its listener must be closed.
 func TestStartFails(t *testing.T) {
 	at := loopback.Host()
 	taken, err := net.Listen("tcp", net.JoinHostPort(at, "0"))
@@ -37,7 +38,7 @@
 				t.Fatal(err)
 			}
 			if err := p.Start(); err == nil {
-				t.Error("it started")
+				t.Error("Start succeeded")
 			}
 			stopped := make(chan struct{})
 			go func() {
@@ -49,7 +50,7 @@
 			select {
 			case <-stopped:
 			case <-time.After(20 * time.Second):
-				t.Fatal("a proxy that could not start cannot be stopped")
+				t.Fatal("Stop or Kill did not return after a failed start")
 			}
 			ln, err := net.Listen("tcp", listen)
 			if err != nil {
--- a/proxy/stop_test.go
+++ b/proxy/stop_test.go
@@ -16,12 +16,12 @@
 
 // stopOutcome is how one client's connection ended.
 type stopOutcome struct {
-	answered int
-	told     bool  // an answer said Connection: close
-	lost     error // a request was written and had no whole answer
+	answered       int
+	closeAnnounced bool  // a response announced Connection: close
+	lost           error // a request was written and got no complete response
 }
 
-// keepAsking sends requests one after the other on one connection until an answer says that it closes.
+// keepAsking sends requests one after another on one connection until a response announces that the connection closes.
 func keepAsking(address string) (out stopOutcome) {
 	c, err := net.Dial("tcp", address)
 	if err != nil {
@@ -30,7 +30,7 @@
 	defer c.Close()
 	_ = c.SetDeadline(time.Now().Add(20 * time.Second))
 	in := bufio.NewReader(c)
-	for !out.told {
+	for !out.closeAnnounced {
 		if _, err := io.WriteString(c, "GET /x HTTP/1.1\r\nHost: h\r\n\r\n"); err != nil {
 			out.lost = err
 			return out
@@ -44,7 +44,7 @@
 			return out
 		}
 		out.answered++
-		out.told = r.Close
+		out.closeAnnounced = r.Close
 	}
 	if b, err := in.ReadByte(); !errors.Is(err, io.EOF) {
 		out.lost = fmt.Errorf("after the last answer: %q, %w", b, err)
@@ -52,18 +52,18 @@
 	return out
 }
 
-// A proxy that was told to stop lost a request of every client: 64 connections that each sent one request after the other,
-// stopped after a while, once or twice, had all 64 a request written that got not a byte of an answer, and no answer ever
-// said that its connection closes. The proxy ended after some 65 ms, without an error.
+// TestStopAnswersOpenConnections guards against requests lost when the proxy stops: with 64 clients sending one request
+// after another, each of them once had a request written that got no byte of a response, and no response announced that its
+// connection closes. Stop returned after some 65 ms without an error.
 //
-// netpoll's event loop, told to shut down, closes each connection that is between two requests; the request that its client
-// is just writing then meets a closed socket. What showed it: every client had several answers and then an EOF or a reset,
-// as many requests were carried out as were answered, and with the loop left running none is lost.
+// The cause was that netpoll's event loop, when shut down, closes each connection that is between two requests, so that the
+// request that the client is just writing meets a closed socket. With the event loop left running, no request is lost. The
+// test also checks that as many requests are executed as are answered.
 func TestStopAnswersOpenConnections(t *testing.T) {
 	const clients = 64
-	var carriedOut atomic.Int64
+	var executed atomic.Int64
 	server := origin(t, func(w http.ResponseWriter, r *http.Request) {
-		carriedOut.Add(1)
+		executed.Add(1)
 		time.Sleep(5 * time.Millisecond)
 		fmt.Fprint(w, "ok")
 	})
@@ -83,15 +83,15 @@
 	answered := 0
 	for i, out := range outcomes {
 		answered += out.answered
-		if out.lost != nil || !out.told {
-			t.Errorf("client %d: %d answers, told of the end: %t, lost: %v", i, out.answered, out.told, out.lost)
+		if out.lost != nil || !out.closeAnnounced {
+			t.Errorf("client %d: %d responses, close announced: %t, lost: %v", i, out.answered, out.closeAnnounced, out.lost)
 		}
 	}
-	if n := carriedOut.Load(); n != int64(answered) {
-		t.Errorf("%d requests carried out, %d answered", n, answered)
+	if n := executed.Load(); n != int64(answered) {
+		t.Errorf("%d requests executed, %d answered", n, answered)
 	}
 	if c, err := net.DialTimeout("tcp", p.Address(), time.Second); err == nil {
 		c.Close()
-		t.Errorf("it still takes connections")
+		t.Errorf("the stopped proxy still accepts connections")
 	}
 }
--- a/proxy/two_proxies_test.go
+++ b/proxy/two_proxies_test.go
@@ -10,26 +10,25 @@
 	"vetchdoor/tenancy"
 )
 
-// A write that a client repeats through another proxy may take effect twice (rule 2), in the moment in which the two proxies go
-// by tables of different runs. Servers drop each other's repeats within a pack; a tenant's writes go to the packs that its name
-// draws among those of the table; and where the tables differ, the draws may. Each proxy alone keeps its tries within a pack, but
-// nothing tells one proxy which pack another drew.
+// TestRepeatThroughAnotherProxy guards against a write that takes effect twice because a client repeats it through another
+// proxy whose table is of a different run. Servers drop each other's repeats only within a pack, and if a tenant's packs
+// were drawn from the table, two proxies with different tables could draw different packs.
 //
-// Here one proxy's table has six packs and the other's seven, as after a release that only one pilot has heard of, and each
-// tenant has a subset of one pack. What the test asks for is that both draw alike, or that a proxy knows that they may not.
+// One proxy's table has six packs per zone and the other's seven, as after a scale-out that only one pilot has learned of.
+// Each tenant has a subset of one pack. Both proxies must draw the same pack.
 func TestRepeatThroughAnotherProxy(t *testing.T) {
-	drawn := func(servers int) *tables {
+	tablesOf := func(servers int) *tables {
 		lines := []string{"set map op-types * t0"}
 		for i := range servers {
 			lines = append(lines, lineOf(i, 1))
 		}
-		tab, err := newTables(1, nil, rng()).apply(message(1, lines...), someServers(servers), 1, rng())
+		current, err := newTables(1, nil, rng()).apply(message(1, lines...), someServers(servers), 1, rng())
 		if err != nil {
 			t.Fatalf("%v", err)
 		}
-		return tab
+		return current
 	}
-	one, other := drawn(12), drawn(14)
+	one, other := tablesOf(12), tablesOf(14)
 	tenants, err := newTenants(&files.Tenants{Header: "Tenant", Subset: 1})
 	if err != nil {
 		t.Fatalf("%v", err)
@@ -37,21 +36,22 @@
 	doubled := 0
 	const all = 200
 	for i := range all {
-		who := &tenant{name: fmt.Sprint("tenant-", i), account: &account{}}
-		first := tenants.packSubset(who, one.byType[0], one.bindings, unlimited, 0)
-		second := tenants.packSubset(who, other.byType[0], other.bindings, unlimited, 0)
+		owner := &tenant{name: fmt.Sprint("tenant-", i), account: &account{}}
+		first := tenants.packSubset(owner, one.byType[0], one.bindings, unlimited, 0)
+		second := tenants.packSubset(owner, other.byType[0], other.bindings, unlimited, 0)
 		if !slices.Equal(first, second) {
 			doubled++
 		}
 	}
 	if doubled > 0 {
-		t.Errorf("the repeats of %d of %d tenants go to another pack than the first tries", doubled, all)
+		t.Errorf("repeats of writes of %d of %d tenants go to another pack than the first tries", doubled, all)
 	}
 }
 
-// Both proxies hold the same groups, of the settings, and the tables of the test above: every write is served, and by the same pod
-// at both, whether its tenant has one pod or several, and where it is nobody's. A proxy that was given no group refuses it unrun.
-func TestPlacesAgree(t *testing.T) {
+// TestProxiesAgreeOnPlacement checks that two proxies with the same write groups in their settings but different tables
+// accept every write and send it to the same group, for tenants with one pod or several and for ops without a tenant. A
+// proxy whose settings name no packs must reject writes that are deduplicated by pack.
+func TestProxiesAgreeOnPlacement(t *testing.T) {
 	packs := map[string][]int{}
 	for i := range 12 {
 		zone := []string{"a", "b"}[i%2]
@@ -62,7 +62,7 @@
 		for i := range servers {
 			lines = append(lines, lineOf(i, 1))
 		}
-		tab, err := newTables(1, nil, rng()).apply(message(1, lines...), someServers(servers), 1, rng())
+		current, err := newTables(1, nil, rng()).apply(message(1, lines...), someServers(servers), 1, rng())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -74,18 +74,18 @@
 			}
 			p.tenants.groups = p.groups
 		}
-		return p, tab
+		return p, current
 	}
-	served := func(p *Proxy, tab *tables, i int) (pod tenancy.PodID, known bool) {
-		var who *tenant
+	placedAt := func(p *Proxy, current *tables, i int) (pod tenancy.PodID, known bool) {
+		var owner *tenant
 		if p.tenants != nil {
-			who = &tenant{name: fmt.Sprint("tenant-", i), account: &account{}}
+			owner = &tenant{name: fmt.Sprint("tenant-", i), account: &account{}}
 		}
-		group, known := p.placeWrite(0, who, fmt.Appendf(nil, "key-%d", i), tab, unlimited, 0)
+		group, known := p.placeWrite(0, owner, fmt.Appendf(nil, "key-%d", i), current, unlimited, 0)
 		if !known {
 			return 0, false
 		}
-		e := tab.pickFor(0, time.Now(), group.contains)
+		e := current.pickFor(0, time.Now(), group.contains)
 		if e == nil {
 			t.Fatalf("write %d: no server of its group", i)
 		}
@@ -96,17 +96,17 @@
 	}
 	for _, group := range []string{"pack", "zone"} {
 		for _, subset := range []int{0, 1, 3} {
-			one, its := proxyOf(12, subset, group, packs)
-			other, others := proxyOf(14, subset, group, packs)
-			bare, old := proxyOf(12, subset, group, nil)
+			one, oneTables := proxyOf(12, subset, group, packs)
+			other, otherTables := proxyOf(14, subset, group, packs)
+			bare, bareTables := proxyOf(12, subset, group, nil)
 			used := map[tenancy.PodID]bool{}
 			for i := range 200 {
-				first, known := served(one, its, i)
-				second, alike := served(other, others, i)
-				if used[first] = true; !known || !alike || first != second {
+				first, known := placedAt(one, oneTables, i)
+				second, alsoKnown := placedAt(other, otherTables, i)
+				if used[first] = true; !known || !alsoKnown || first != second {
 					t.Errorf("%s, subset %d, write %d: %v and %v", group, subset, i, first, second)
 				}
-				if _, known := served(bare, old, i); known != (group == "zone") {
+				if _, known := placedAt(bare, bareTables, i); known != (group == "zone") {
 					t.Errorf("%s, subset %d, write %d: known %t where no pack is named", group, subset, i, known)
 				}
 			}
