--- a/http1/http1.go
+++ b/http1/http1.go
@@ -1,7 +1,7 @@
 // Package http1 parses and writes HTTP/1.1 messages (RFC 9112) in byte buffers, without any I/O. A Parser is given the bytes
 // received so far and reports whether they start with a complete message. Messages that two parsers could interpret
-// differently (both a length and a transfer coding, bare line feeds, folded lines, spaces before a colon) are rejected,
-// never repaired, to rule out request smuggling.
+// differently (both a length and a transfer coding, bare line feeds, folded lines, spaces before a colon) are rejected and
+// never repaired.
 package http1
 
 import (
@@ -12,9 +12,9 @@
 
 // Bounds are limits on the size of a message, in bytes. A message that exceeds one of them is rejected.
 type Bounds struct {
-	Line int // the first line, and each chunk-size line
-	Head int // first line and fields together; also the trailers
-	Body int
+	Line int // maximum size of the first line, and of each chunk-size line
+	Head int // maximum size of the first line and the fields together, and of the trailers
+	Body int // maximum size of the body
 }
 
 // DefaultBounds are limits suitable for small ops.
@@ -43,10 +43,10 @@
 // Message is a request or a response. The contents of its head belong to the parser and are valid until the parser's Reset,
 // and so is the body of a chunked message. Any other body is a part of the buffer passed to the last call of Parse.
 type Message struct {
-	Method, Target []byte // of a request
-	Status         int    // of a response
+	Method, Target []byte // request method and target; empty in a response
+	Status         int    // status code; 0 in a request
 	Reason         []byte // reason phrase of a response
-	Minor          int    // minor version x of HTTP/1.x
+	Minor          int    // minor protocol version: 0 for HTTP/1.0, 1 for HTTP/1.1
 	Fields         []Field
 	Body           []byte
 	Size           int  // bytes that the message occupies in the buffer
@@ -101,7 +101,7 @@
 	msg           Message // the message being parsed
 	headCopy      []byte  // copy of the head; the fields of msg point into it
 	scanned       int     // bytes known not to contain the end of the head
-	headSize      int     // size of the head; 0: not parsed yet
+	headSize      int     // bytes of the head with the empty line after it; 0 until the head has been parsed
 	body          framing // how the end of the body is determined
 	contentLength int     // announced length, for lengthBody
 	offset        int     // bytes consumed so far, for chunkedBody: start of the next chunk
--- a/http1/orca.go
+++ b/http1/orca.go
@@ -11,7 +11,7 @@
 // that starts with "TEXT " lists name=number pairs; one that starts with "JSON " holds an OrcaLoadReport in JSON.
 const LoadHeader = "endpoint-load-metrics"
 
-// LoadReport holds the measures of a load report by their names in OrcaLoadReport: utilizations, where 1 is full use, rates
+// LoadReport holds the measures of a load report by their names in OrcaLoadReport: utilizations from 0 up, rates
 // per second, and application-defined measures under their own names.
 type LoadReport map[string]float64
 
--- a/proxy/admin.go
+++ b/proxy/admin.go
@@ -56,14 +56,15 @@
 	fmt.Fprintf(w, "Name: vetchdoor\nRole: proxy\nProxy: %d\nZone: %s\nUptime_sec: %d\n", p.file.ID, p.file.Zone,
 		int(time.Since(p.started).Seconds()))
 	fmt.Fprintf(w, "Pilot: %s\nRun: %d\nMessage: %d\nJoined: %t\n", t.pilot, t.run, t.number, p.pilotClient.joined())
-	fmt.Fprintf(w, "Ops: %d\nAcked: %d\nRejected: %d\nAborted: %d\nRetried: %d\nConnections: %d\nApplied: %d\nApplied_again: %d\n", p.counters.ops.Load(),
-		p.counters.acked.Load(), p.counters.rejected.Load(), p.counters.aborted.Load(), p.counters.retried.Load(), p.pool.OpenConnections(),
-		p.counters.applied.Load(), p.counters.appliedAgain.Load())
+	fmt.Fprintf(w,
+		"Ops: %d\nAcked: %d\nRejected: %d\nAborted: %d\nRetried: %d\nConnections: %d\nApplied: %d\nApplied_again: %d\n",
+		p.counters.ops.Load(), p.counters.acked.Load(), p.counters.rejected.Load(), p.counters.aborted.Load(),
+		p.counters.retried.Load(), p.pool.OpenConnections(), p.counters.applied.Load(), p.counters.appliedAgain.Load())
 	if p.ExtraInfo != nil {
 		p.ExtraInfo(w)
 	}
-	fmt.Fprintf(w, "Held: %d\nBorrowed: %d\nUnplaced: %d\nBindings: %d\nBindings_behind: %t\n", p.counters.held.Load(), p.counters.borrowed.Load(),
-		p.counters.unplaced.Load(), len(t.bindings.byTenant), p.bindingStore.behind())
+	fmt.Fprintf(w, "Held: %d\nBorrowed: %d\nUnplaced: %d\nBindings: %d\nBindings_behind: %t\n",
+		p.counters.held.Load(), p.counters.borrowed.Load(), p.counters.unplaced.Load(), len(t.bindings.byTenant), p.bindingStore.behind())
 	return nil
 }
 
@@ -89,7 +90,8 @@
 		if _, bound := t.bindings.byTenant[name]; bound && !binding.Writes(now, t.bindings.writeWait) {
 			writes = "held"
 		}
-		fmt.Fprintf(w, "%s,%g,%g,%t,%g,%s,%d,%s,\n", runtime.Quote("="+name), limit.Rate, limit.Hand, limit.Fenced, limit.Room, binding.Seat, binding.Number, writes)
+		fmt.Fprintf(w, "%s,%g,%g,%t,%g,%s,%d,%s,\n", runtime.Quote("="+name), limit.Rate, limit.Hand,
+			limit.Fenced, limit.Room, binding.Seat, binding.Number, writes)
 	}
 	return nil
 }
--- a/proxy/bindings.go
+++ b/proxy/bindings.go
@@ -22,8 +22,8 @@
 // recently. A value is immutable once published; every change makes a new one.
 type bindings struct {
 	byTenant  map[string]tenancy.Binding
-	pilot     string        // the pilot whose orders up to upTo are all included; empty if no pilot's are complete
-	upTo      uint64        // number of the last order included
+	pilot     string        // the pilot whose binding orders are included up to number upTo; empty if no pilot's are complete
+	upTo      uint64        // number up to which the orders of pilot are included
 	writeWait time.Duration // longest time a write can be in progress plus the longest deduplication window of a group
 
 	// unsynced is true if bindings are persisted, so that tenants may have been moved, but no pilot has yet sent this proxy
@@ -100,9 +100,9 @@
 	return &remaining, dropped
 }
 
-// bindingStore persists bindings in a file of JSON lines. The newest line of a tenant counts, and the last line without a
-// tenant names the pilot whose orders the bindings are. A goroutine writes the file; the application of a message waits for
-// it for at most maxSaveWait.
+// bindingStore persists bindings in a file of JSON lines. The newest line of a tenant counts. The last line without a tenant
+// states up to which order of which pilot the bindings are complete. A goroutine writes the file; the application of a
+// message waits for it for at most maxSaveWait.
 type bindingStore struct {
 	path      string
 	log       *slog.Logger
@@ -113,12 +113,12 @@
 	lagging   bool                       // the last write failed or was too slow; message application no longer waits
 	wake      chan struct{}              // signals run that there is something to write
 	done      chan struct{}              // closed when run returns
-	lines     int                        // lines in the file
+	lines     int                        // number of lines in the file
 	closeOnce sync.Once
 }
 
-// storedLine is one line of the file. A line with a tenant sets or removes its binding. A line without one states whose
-// orders the bindings are.
+// storedLine is one line of the file. A line with a tenant sets or removes the tenant's binding. A line without one states
+// up to which order of which pilot the bindings are complete.
 type storedLine struct {
 	Tenant  *string          `json:"tenant,omitempty"`
 	Binding *tenancy.Binding `json:"binding,omitempty"` // nil: the tenant has its default placement
@@ -177,7 +177,7 @@
 	return append(append(out, text...), '\n')
 }
 
-// appendOwner appends the line that states whose orders the bindings are.
+// appendOwner appends the line that states up to which order of which pilot the bindings are complete.
 func (b *bindings) appendOwner(out []byte) []byte {
 	return appendLine(out, storedLine{Pilot: b.pilot, UpTo: b.upTo})
 }
--- a/proxy/pilot_client.go
+++ b/proxy/pilot_client.go
@@ -19,11 +19,11 @@
 const (
 	defaultRedialDelay    = 500 * time.Millisecond // mean delay after the first round of failed dials
 	defaultSilenceTimeout = 10 * time.Second       // a stream on which the pilot sends nothing for this long is closed
-	dialTimeout           = 2 * time.Second
-	endTimeout            = time.Second // time allowed for the pilot to receive what was sent before the stream closes
-	checksPerSilence      = 4           // checks for silence per silence timeout
-	maxQueuedMessages     = 1024        // messages received and not yet applied
-	maxQueuedLines        = 4096        // lines of those messages; a single message may have more
+	dialTimeout           = 2 * time.Second        // bound on opening a connection to a pilot
+	endTimeout            = time.Second            // time allowed for the pilot to receive what was sent before the stream closes
+	checksPerSilence      = 4                      // how often silence is checked for within the silence timeout
+	maxQueuedMessages     = 1024                   // maximum number of messages received and not yet applied
+	maxQueuedLines        = 4096                   // maximum number of lines in those messages; a single message may have more
 )
 
 // pilotClient keeps a stream to a pilot open. It dials pilots of its own zone first, and dials again when the stream ends.
--- a/proxy/pilot_stream.go
+++ b/proxy/pilot_stream.go
@@ -23,7 +23,7 @@
 	client   *pilotClient
 	closed   chan struct{}         // closed when the stream ends
 	welcomed chan struct{}         // closed when the pilot's welcome arrives
-	queue    chan *runtime.Message // messages received and not yet applied
+	queue    chan *runtime.Message // messages that wait for applyQueued
 
 	// Used by Data only, except that applyQueued reads welcome, for messages that arrive after it was set.
 	scanner  *runtime.Scanner
@@ -148,7 +148,7 @@
 	s.client.mu.Lock()
 	s.redirect = away.Redirect
 	s.client.mu.Unlock()
-	s.client.log.Info("dismissed by the pilot", "reason", away.Reason, "try", away.Redirect)
+	s.client.log.Info("the pilot ended the stream", "reason", away.Reason, "try", away.Redirect)
 	c.Close()
 	return nil
 }
@@ -169,7 +169,8 @@
 	return nil
 }
 
-// handleMessage queues a message to be applied.
+// handleMessage queues a message for applyQueued. It returns an error if the pilot has not welcomed the proxy or exceeds the
+// window.
 func (s *pilotStream) handleMessage(cmd runtime.Command) error {
 	if !isClosed(s.welcomed) {
 		return errNotWelcomed
--- a/proxy/placement.go
+++ b/proxy/placement.go
@@ -73,7 +73,7 @@
 
 // placement is the group that all tries of one write must go to, whichever proxies they are sent through.
 type placement struct {
-	isZone bool // the group is a zone, not a pack
+	isZone bool // true if the group is a zone, false if it is a pack
 	group  tenancy.PodID
 	pods   []tenancy.PodID // if the group is a zone: the pods in it that the tenant uses; nil for all
 }
--- a/proxy/placement_test.go
+++ b/proxy/placement_test.go
@@ -74,7 +74,8 @@
 	newProxy, unsynced := newPlacingProxy(t, tenantSettings, byPack)
 	synced.bindings = &bindings{byTenant: map[string]tenancy.Binding{}}
 	var err error
-	if unsynced.bindings, _, err = openBindings(filepath.Join(t.TempDir(), "bindings"), 0, 0, slog.New(slog.DiscardHandler)); err != nil {
+	if unsynced.bindings, _, err = openBindings(filepath.Join(t.TempDir(), "bindings"), 0, 0,
+		slog.New(slog.DiscardHandler)); err != nil {
 		t.Fatal(err)
 	}
 	doubled := 0
@@ -89,14 +90,15 @@
 		}
 	}
 	if doubled > 0 {
-		t.Errorf("repeats of writes of %d of %d moved tenants go to another pack through a proxy without their placements", doubled, all)
+		t.Errorf("repeats of writes of %d of %d moved tenants go to another pack through a proxy without their placements",
+			doubled, all)
 	}
 }
 
 // TestKeylessWritesAreSpread checks that writes without a key, whose repeats no server can recognize, are spread over the
 // packs.
 func TestKeylessWritesAreSpread(t *testing.T) {
-	p, current := newPlacingProxy(t, &files.Tenants{Header: "Tenant"}, byPack) // limits alone; no subsets
+	p, current := newPlacingProxy(t, &files.Tenants{Header: "Tenant"}, byPack) // tenants have limits but no subsets
 	used := map[tenancy.PodID]int{}
 	for i := range 200 {
 		placed, known := p.placeWrite(0, tenantOf(i), nil, current, unlimited, 0)
@@ -218,7 +220,8 @@
 			t.Fatalf("op type %d, %s: %+v %t, drawn directly %v %t", i, owner.name, got, known, group, ok)
 		}
 		if known != alsoKnown || !reflect.DeepEqual(got, want) {
-			t.Fatalf("op type %d, %s at %v, %d pods per tenant: %+v %t, without cache %+v %t", i, owner.name, current.bindings.byTenant[owner.name].Seat,
+			t.Fatalf("op type %d, %s at %v, %d pods per tenant: %+v %t, without cache %+v %t", i, owner.name,
+				current.bindings.byTenant[owner.name].Seat,
 				podsPerTenant, got, known, want, alsoKnown)
 		}
 	}
--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -43,7 +43,7 @@
 	mu           sync.Mutex           // serializes changes of the tables; also guards rng after Start, and sumsSentAt
 	rng          *rand.Rand           // guarded by mu
 	token        string               // random; lets the pilot distinguish this process from another one with the same proxy ID
-	standing     []control.EndpointID // servers of the standing table
+	standing     []control.EndpointID // endpoints of the standing table
 	pilotClient  *pilotClient         // holds the stream to a pilot; set by Start
 	admin        *session.Listener    // admin command listener; nil if the settings give no address
 	sumsSentAt   time.Time            // when sums were last sent to the pilot
@@ -62,8 +62,8 @@
 	// Net, if set before Start, provides the connections to clients, servers and pilots. Nil means operating system sockets.
 	Net stream.Net
 
-	// ApplyDelay, if set before Start, returns how long to wait before a message is applied. Tests use it to simulate a slow
-	// proxy.
+	// ApplyDelay, if set before Start, returns how long to wait before a message is applied. Simulations use it to model a
+	// slow proxy.
 	ApplyDelay func(m *runtime.Message) time.Duration
 }
 
@@ -85,7 +85,7 @@
 	mu          sync.Mutex   // guards credit
 	credit      float64      // admission credit accumulated from the admitted share; one op costs 1
 	ops         atomic.Int64 // ops received since the last sums
-	unacked     atomic.Int64 // ops not acked since the last sums; ops rejected by admission are not counted
+	unacked     atomic.Int64 // ops that were admitted and not acked since the last sums
 	rank        float64      // rank by revenue, from 0 (least) to 1 (most)
 }
 
@@ -159,7 +159,8 @@
 }
 
 // chooseStanding draws at random the servers of the standing table, which the proxy uses until a pilot assigns tables. It
-// draws from the servers of the proxy's own zone if there are at least three of them, else from all servers.
+// draws at most Service.Bootstrap servers, from those of the proxy's own zone if there are at least three of them, else from
+// all.
 func (p *Proxy) chooseStanding() ([]line, error) {
 	var own, all []files.StandingServer
 	for _, s := range p.file.Servers {
@@ -543,7 +544,7 @@
 }
 
 // sendSums sends the sums collected since the last report. While no pilot is joined it sends nothing, and the sums keep
-// accumulating.
+// accumulating. It also drops bindings that no longer differ from the default placement.
 func (p *Proxy) sendSums(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/proxy/proxy_test.go
+++ b/proxy/proxy_test.go
@@ -37,7 +37,8 @@
 	s := &servers{byID: map[control.EndpointID]*server{}}
 	for i := range n {
 		id := control.EndpointID(i)
-		s.byID[id] = &server{id: id, Server: runtime.Server{Address: netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), uint16(9000+i)), Zone: i % 2, Pack: i / 2}}
+		s.byID[id] = &server{id: id, Server: runtime.Server{
+			Address: netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), uint16(9000+i)), Zone: i % 2, Pack: i / 2}}
 	}
 	return s
 }
@@ -82,7 +83,8 @@
 	picked := make([]float64, n)
 	for i := range picks {
 		if i%1000 == 999 { // a change that sets the same weight must not disturb the deadlines
-			if current, err = current.apply(message(uint64(i), fmt.Sprintf("set server t0/e3 weight %g", weights[3])), records, 1, rng()); err != nil {
+			if current, err = current.apply(message(uint64(i), fmt.Sprintf("set server t0/e3 weight %g", weights[3])),
+				records, 1, rng()); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -106,8 +108,8 @@
 // are avoided.
 func TestUnusableServersAreSkipped(t *testing.T) {
 	records := someServers(4)
-	current, err := newTables(1, nil, rng()).apply(message(1, "set map op-types * t0", lineOf(0, 1), lineOf(1, 1), lineOf(2, 2), lineOf(3, 1),
-		"set server */e1 state drain"), records, 1, rng())
+	current, err := newTables(1, nil, rng()).apply(message(1, "set map op-types * t0",
+		lineOf(0, 1), lineOf(1, 1), lineOf(2, 2), lineOf(3, 1), "set server */e1 state drain"), records, 1, rng())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -144,8 +146,8 @@
 // run leaves op types that it does not map on their old tables.
 func TestMessagesApplyAtomically(t *testing.T) {
 	records := someServers(6)
-	current, err := newTables(2, []line{{records.byID[5], 1}}, rng()).apply(message(1, "set map op-types 0 t0", lineOf(0, 1), "set level * * 0.5 again if-unrun",
-		"set level t0 0 0.8 again once"), records, 2, rng())
+	current, err := newTables(2, []line{{records.byID[5], 1}}, rng()).apply(message(1, "set map op-types 0 t0",
+		lineOf(0, 1), "set level * * 0.5 again if-unrun", "set level t0 0 0.8 again once"), records, 2, rng())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -154,14 +156,15 @@
 			t.Errorf("invalid change %q was applied", bad)
 		}
 	}
-	if len(current.byType[0].lines) != 1 || current.byType[1] != current.standing || current.level(0, 0) != (level{0.5, control.OnceMore}) ||
-		current.level(1, 0) != (level{0.5, control.IfUnrun}) {
+	if len(current.byType[0].lines) != 1 || current.byType[1] != current.standing ||
+		current.level(0, 0) != (level{0.5, control.OnceMore}) || current.level(1, 0) != (level{0.5, control.IfUnrun}) {
 		t.Fatalf("%+v %+v", current.level(0, 0), current.level(1, 0))
 	}
 	nextRun := message(1, "clear table t0", lineOf(2, 1), "set map op-types 1 t0")
 	nextRun.Run = 2
 	afterNewRun, err := current.apply(nextRun, records, 2, rng())
-	if err != nil || afterNewRun.byType[0].lines[0].server.id != 0 || afterNewRun.byType[1].lines[0].server.id != 2 || len(current.byType[0].lines) != 1 {
+	if err != nil || afterNewRun.byType[0].lines[0].server.id != 0 || afterNewRun.byType[1].lines[0].server.id != 2 ||
+		len(current.byType[0].lines) != 1 {
 		t.Fatalf("%v", err)
 	}
 }
@@ -173,8 +176,8 @@
 	var current tablesPointer
 	current.Store(newTables(1, nil, rng()))
 	step := func(i int) {
-		tbls, err := current.Load().apply(message(uint64(i), "clear table t0", lineOf(i%4, 1), lineOf((i+1)%4, 1), "set map op-types * t0",
-			fmt.Sprintf("set level * 0 %d again never", i%4)), records, 1, rng())
+		tbls, err := current.Load().apply(message(uint64(i), "clear table t0",
+			lineOf(i%4, 1), lineOf((i+1)%4, 1), "set map op-types * t0", fmt.Sprintf("set level * 0 %d again never", i%4)), records, 1, rng())
 		if err != nil {
 			t.Error(err)
 			return
@@ -205,7 +208,7 @@
 
 // TestRetryRules checks that another try is made only where the retry policy allows it and the op cannot take effect twice.
 func TestRetryRules(t *testing.T) {
-	records := someServers(4) // zones 0 1 0 1, packs 0 0 1 1
+	records := someServers(4) // servers 0 to 3 are in zones 0, 1, 0, 1 and packs 0, 0, 1, 1
 	t0 := time.Unix(0, 0)
 	dedup := control.OpType{Repeat: control.Deduplicated, Group: control.GroupZone, DedupWindow: time.Second}
 	pack := control.OpType{Repeat: control.Deduplicated, Group: control.GroupPack, DedupWindow: time.Second}
@@ -382,7 +385,8 @@
 			t.Fatal(err)
 		}
 		b, _ := io.ReadAll(r.Body)
-		if got := fmt.Sprintf("%s %d %d %s", method, r.StatusCode, r.ContentLength, b); got != want || r.StatusCode == 204 && r.Header.Get("Content-Length") != "" {
+		if got := fmt.Sprintf("%s %d %d %s", method, r.StatusCode, r.ContentLength, b); got != want ||
+			r.StatusCode == 204 && r.Header.Get("Content-Length") != "" {
 			t.Errorf("%q, want %q", got, want)
 		}
 	}
@@ -438,7 +442,8 @@
 	})
 	withRejecting := start(t, func(f *files.Proxy) { f.Service.UsualAgain = "if-unrun" }, rejecting, healthy, "127.0.0.1:1")
 	for range 20 {
-		if r, _ := ask(t, withRejecting, "POST / HTTP/1.1\r\nHost: h\r\n\r\n"); r.StatusCode != 200 && r.StatusCode != 503 && r.StatusCode != 502 {
+		if r, _ := ask(t, withRejecting, "POST / HTTP/1.1\r\nHost: h\r\n\r\n"); r.StatusCode != 200 &&
+			r.StatusCode != 503 && r.StatusCode != 502 {
 			t.Errorf("op rejected without running answered with %d", r.StatusCode)
 		}
 	}
@@ -579,11 +584,13 @@
 	if err != nil || !slices.Equal(registry.allowedPods(owner, drained.byType[0], drained.bindings, unlimited, 0), subset) {
 		t.Errorf("a tenant whose servers are drained was given others: %v", err)
 	}
-	if (*tenants)(nil).allowedPods(owner, current.byType[0], current.bindings, unlimited, 0) != nil || (*tenants)(nil).identify(nil, nil) != nil || !(*tenant)(nil).spendTry() {
+	if (*tenants)(nil).allowedPods(owner, current.byType[0], current.bindings, unlimited, 0) != nil ||
+		(*tenants)(nil).identify(nil, nil) != nil || !(*tenant)(nil).spendTry() {
 		t.Error("restrictions apply without tenant settings")
 	}
 	limited, err := current.apply(message(2, "set tenant =delo rate 2 tries 0 fence on hand * room 1"), records, 1, rng())
-	if err != nil || len(limited.limits) != 1 || len(registry.allowedPods(owner, limited.byType[0], limited.bindings, limited.limits["delo"], 0)) != 1 {
+	if err != nil || len(limited.limits) != 1 ||
+		len(registry.allowedPods(owner, limited.byType[0], limited.bindings, limited.limits["delo"], 0)) != 1 {
 		t.Fatal(err)
 	}
 	admitted := 0
@@ -608,10 +615,12 @@
 		}
 	}
 	enlarged, err := current.apply(message(2, "set tenant =delo rate * tries 0.2 fence off hand * room 1.5"), records, 1, rng())
-	if err != nil || len(registry.allowedPods(owner, enlarged.byType[0], enlarged.bindings, enlarged.limits["delo"], 0)) != 3 || enlarged.limits["delo"].Limited() {
+	if err != nil || len(registry.allowedPods(owner, enlarged.byType[0], enlarged.bindings, enlarged.limits["delo"], 0)) != 3 ||
+		enlarged.limits["delo"].Limited() {
 		t.Errorf("subset not enlarged by half: %v, %v", enlarged, err)
 	}
-	if free, err := limited.apply(message(3, "set tenant =delo rate * tries 0.2 fence off hand * room 1"), records, 1, rng()); err != nil || len(free.limits) != 0 {
+	if free, err := limited.apply(message(3, "set tenant =delo rate * tries 0.2 fence off hand * room 1"),
+		records, 1, rng()); err != nil || len(free.limits) != 0 {
 		t.Error("the limit was not removed:", err)
 	}
 	aborting := origin(t, func(w http.ResponseWriter, r *http.Request) { panic(http.ErrAbortHandler) })
--- a/proxy/room_probe.go
+++ b/proxy/room_probe.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// roomProbe handles the stream of one probe.
+// roomProbe handles the stream on which a pilot is asked whether it has room for this proxy.
 type roomProbe struct {
 	scanner *runtime.Scanner
 	result  chan bool // buffered, for the single result
--- a/proxy/tables.go
+++ b/proxy/tables.go
@@ -14,7 +14,7 @@
 	"vetchdoor/tenancy"
 )
 
-// server is the proxy's record of one endpoint. Its counters cover the time since the last sums.
+// server is the proxy's record of one endpoint. tries, failed, latency and load cover the time since the last sums.
 type server struct {
 	id control.EndpointID
 	runtime.Server
@@ -41,7 +41,7 @@
 	name    string
 	lines   []line        // sorted by endpoint
 	levels  map[int]level // levels of this table alone, by op type
-	pickers []*picker     // by op type
+	pickers []*picker     // one for each op type
 	subsets *podSubsets   // pods of the table, and the subsets of tenants
 
 	once   sync.Once // computes digest
@@ -95,12 +95,12 @@
 type tables struct {
 	pilot    string
 	run      uint64
-	number   uint64                      // of the last message applied
+	number   uint64                      // number of the last message applied
 	named    map[control.TableID]*table  // tables of the current run, by ID
 	byType   []*table                    // table of each op type; the standing table if none is assigned
-	standing *table                      // chosen from the settings at the start
+	standing *table                      // the table that the proxy starts with, drawn from its settings
 	drained  map[control.EndpointID]bool // servers that new ops must not use
-	levels   map[int]level               // by op type, for all tables
+	levels   map[int]level               // levels that apply to all tables, by op type
 	limits   map[string]tenancy.Limit    // limits that the pilot set, by tenant
 	bindings *bindings
 }
@@ -371,7 +371,7 @@
 	rng         *rand.Rand
 	virtualTime float64 // deadline of the last server picked
 	lines       []line
-	deadlines   []float64 // by line
+	deadlines   []float64 // next deadline of each line
 }
 
 // newPicker returns a picker for the lines. If from is not nil, the servers that both have keep the share of their interval
--- a/proxy/tenants.go
+++ b/proxy/tenants.go
@@ -22,7 +22,7 @@
 	subsetSize int                           // pods in a tenant's subset; 0: all
 	mu         sync.Mutex                    // guards known and sums
 	known      map[string]*tenant            // tenants that sent ops, at most maxTenants and the shared one
-	sums       map[sumKey]*runtime.TenantSum // since the last sums were sent
+	sums       map[sumKey]*runtime.TenantSum // tries since the last sums were sent
 
 	groups *writeGroups // shared with the proxy; without groups until the proxy sets it
 }
--- a/proxy/two_proxies_test.go
+++ b/proxy/two_proxies_test.go
@@ -66,7 +66,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		s := &files.Service{Zones: []string{"a", "b"}, WritePacks: packs, OpTypes: []files.OpType{{Repeat: "deduplicated", Group: group}}}
+		s := &files.Service{Zones: []string{"a", "b"}, WritePacks: packs,
+			OpTypes: []files.OpType{{Repeat: "deduplicated", Group: group}}}
 		p := &Proxy{file: &files.Proxy{Service: *s}, types: []opType{{OpType: s.Types()[0]}}, groups: newWriteGroups(s, 0)}
 		if subset > 0 {
 			if p.tenants, err = newTenants(&files.Tenants{Header: "Tenant", Subset: subset}); err != nil {
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -34,15 +34,15 @@
 	Bounds         http1.Bounds
 	PerServer      int           // maximum number of connections to one server; 0: 256
 	IdleTimeout    time.Duration // how long an idle connection is kept; 0: 15 seconds
-	ConnectTimeout time.Duration // 0: 250 milliseconds
+	ConnectTimeout time.Duration // bound on opening a connection; 0: 250 milliseconds
 	Net            stream.Net    // nil: operating system sockets
 
 	mu          sync.Mutex         // guards servers, closed and the lists in servers
-	servers     map[string]*server // by address
+	servers     map[string]*server // connections by server address
 	closed      bool
 	stop        chan struct{} // closed by Close
-	TotalOpened atomic.Int64  // connections opened so far
-	open        atomic.Int64  // connections open now
+	TotalOpened atomic.Int64  // number of connections opened since the pool was created
+	open        atomic.Int64  // number of connections open now
 }
 
 // server holds the connections to one address.
