--- a/http1/http1.go
+++ b/http1/http1.go
@@ -406,11 +406,11 @@
 		case equalFold(f.Name, "Host"):
 			hosts++
 		case equalFold(f.Name, "Connection"):
-			for opt := range bytes.SplitSeq(f.Value, []byte(",")) {
-				opt = bytes.Trim(opt, " \t")
-				if equalFold(opt, "close") {
+			for option := range bytes.SplitSeq(f.Value, []byte(",")) {
+				option = bytes.Trim(option, " \t")
+				if equalFold(option, "close") {
 					m.Close = true
-				} else if equalFold(opt, "keep-alive") && m.Minor == 0 {
+				} else if equalFold(option, "keep-alive") && m.Minor == 0 {
 					m.Close = false
 				}
 			}
@@ -465,19 +465,19 @@
 		if err != nil {
 			return err
 		}
-		data := p.offset + len(line) + 2
+		dataStart := p.offset + len(line) + 2
 		if size == 0 {
-			p.offset, p.trailerSize = data, 1
+			p.offset, p.trailerSize = dataStart, 1
 			break
 		}
-		if len(b) < data+size+2 {
+		if len(b) < dataStart+size+2 {
 			return ErrIncomplete
 		}
-		if b[data+size] != '\r' || b[data+size+1] != '\n' {
+		if b[dataStart+size] != '\r' || b[dataStart+size+1] != '\n' {
 			return malformed(400, "chunk longer than its size")
 		}
-		p.chunkedData = append(p.chunkedData, b[data:data+size]...)
-		p.offset = data + size + 2
+		p.chunkedData = append(p.chunkedData, b[dataStart:dataStart+size]...)
+		p.offset = dataStart + size + 2
 	}
 	for {
 		line, err := p.readLine(b, p.Head-p.trailerSize)
--- a/http1/write.go
+++ b/http1/write.go
@@ -112,14 +112,14 @@
 		for end < len(list) && list[end] != ',' {
 			end++
 		}
-		opt := list[:end]
-		for len(opt) > 0 && (opt[0] == ' ' || opt[0] == '\t') {
-			opt = opt[1:]
+		item := list[:end]
+		for len(item) > 0 && (item[0] == ' ' || item[0] == '\t') {
+			item = item[1:]
 		}
-		for len(opt) > 0 && (opt[len(opt)-1] == ' ' || opt[len(opt)-1] == '\t') {
-			opt = opt[:len(opt)-1]
+		for len(item) > 0 && (item[len(item)-1] == ' ' || item[len(item)-1] == '\t') {
+			item = item[:len(item)-1]
 		}
-		if len(opt) > 0 && equalFold(opt, string(name)) {
+		if len(item) > 0 && equalFold(item, string(name)) {
 			return true
 		}
 		list = list[min(end+1, len(list)):]
--- a/proxy/admin.go
+++ b/proxy/admin.go
@@ -53,7 +53,7 @@
 
 func (p *Proxy) showInfo(w io.Writer, c runtime.Command) error {
 	t := p.current.Load()
-	fmt.Fprintf(w, "Name: vetchdoor\nRole: proxy\nProxy: %d\nZone: %s\nUptime_sec: %d\n", p.file.ID, p.file.Zone,
+	fmt.Fprintf(w, "Name: vetchdoor\nRole: proxy\nProxy: %d\nZone: %s\nUptime_sec: %d\n", p.settings.ID, p.settings.Zone,
 		int(time.Since(p.started).Seconds()))
 	fmt.Fprintf(w, "Pilot: %s\nRun: %d\nMessage: %d\nJoined: %t\n", t.pilot, t.run, t.number, p.pilotClient.joined())
 	fmt.Fprintf(w,
@@ -64,7 +64,8 @@
 		p.ExtraInfo(w)
 	}
 	fmt.Fprintf(w, "Held: %d\nBorrowed: %d\nUnplaced: %d\nBindings: %d\nBindings_behind: %t\n",
-		p.counters.held.Load(), p.counters.borrowed.Load(), p.counters.unplaced.Load(), len(t.bindings.byTenant), p.bindingStore.behind())
+		p.counters.held.Load(), p.counters.borrowed.Load(), p.counters.unplaced.Load(), len(t.bindings.byTenant),
+		p.bindingStore.behind())
 	return nil
 }
 
@@ -101,7 +102,7 @@
 func (t *tables) forEachTable(f func(*table)) {
 	f(t.standing)
 	seen := map[*table]bool{t.standing: true}
-	for _, tbl := range t.byType {
+	for _, tbl := range t.byOpType {
 		if !seen[tbl] {
 			seen[tbl] = true
 			f(tbl)
@@ -157,17 +158,17 @@
 
 func (p *Proxy) showMap(w io.Writer, c runtime.Command) error {
 	t := p.current.Load()
-	for i, tbl := range t.byType {
-		fmt.Fprintf(w, "%d %s %s\n", i, p.types[i].name, tbl.name)
+	for i, tbl := range t.byOpType {
+		fmt.Fprintf(w, "%d %s %s\n", i, p.opTypes[i].name, tbl.name)
 	}
 	return nil
 }
 
 func (p *Proxy) showLevels(w io.Writer, c runtime.Command) error {
 	t := p.current.Load()
-	for i := range p.types {
-		lvl := t.level(i, p.file.Service.Again())
-		fmt.Fprintf(w, "%d %s %g %d\n", i, p.types[i].name, lvl.share, lvl.retry)
+	for i := range p.opTypes {
+		lvl := t.level(i, p.settings.Service.Again())
+		fmt.Fprintf(w, "%d %s %g %d\n", i, p.opTypes[i].name, lvl.share, lvl.retry)
 	}
 	return nil
 }
--- a/proxy/bindings.go
+++ b/proxy/bindings.go
@@ -43,41 +43,41 @@
 // apply returns the bindings after a message, and the bindings that it changed, by tenant. If the message holds no binding
 // it returns b itself.
 func (b *bindings) apply(m *runtime.Message, now time.Duration) (*bindings, map[string]tenancy.Binding) {
-	any := func(c runtime.Change) bool { return c.Verb == runtime.SetBinding || c.Verb == runtime.ClearBindings }
-	if !slices.ContainsFunc(m.Changes, any) {
+	isBinding := func(c runtime.Change) bool { return c.Verb == runtime.SetBinding || c.Verb == runtime.ClearBindings }
+	if !slices.ContainsFunc(m.Changes, isBinding) {
 		return b, nil
 	}
 	next := *b
-	n, changed := &next, map[string]tenancy.Binding{}
-	n.byTenant = maps.Clone(b.byTenant)
-	set := func(tenant string, number uint64, seat tenancy.Seat, held bool) {
-		x, ok := n.byTenant[tenant]
+	after, changed := &next, map[string]tenancy.Binding{}
+	after.byTenant = maps.Clone(b.byTenant)
+	setBinding := func(tenant string, number uint64, seat tenancy.Seat, held bool) {
+		binding, ok := after.byTenant[tenant]
 		if !ok {
-			x = tenancy.Bound()
+			binding = tenancy.Bound()
 		}
-		n.byTenant[tenant] = x.Take(now, n.writeWait, m.Pilot, number, seat, held)
-		changed[tenant] = n.byTenant[tenant]
+		after.byTenant[tenant] = binding.Take(now, after.writeWait, m.Pilot, number, seat, held)
+		changed[tenant] = after.byTenant[tenant]
 	}
 	for _, c := range m.Changes {
 		switch c.Verb {
 		case runtime.SetBinding:
-			set(c.Tenant, c.Number, c.Seat, c.Held)
-			if n.pilot != m.Pilot {
-				n.pilot, n.upTo = "", 0
+			setBinding(c.Tenant, c.Number, c.Seat, c.Held)
+			if after.pilot != m.Pilot {
+				after.pilot, after.upTo = "", 0
 			} else {
-				n.upTo = max(n.upTo, c.Number)
+				after.upTo = max(after.upTo, c.Number)
 			}
 		case runtime.ClearBindings:
-			n.pilot, n.upTo, n.unsynced = m.Pilot, c.Number, false
-			for name, x := range n.byTenant {
-				if x.Pilot != m.Pilot || x.Number <= c.Number {
-					set(name, c.Number, tenancy.Seat{}, false)
+			after.pilot, after.upTo, after.unsynced = m.Pilot, c.Number, false
+			for name, binding := range after.byTenant {
+				if binding.Pilot != m.Pilot || binding.Number <= c.Number {
+					setBinding(name, c.Number, tenancy.Seat{}, false)
 				}
-				n.upTo = max(n.upTo, n.byTenant[name].Number)
+				after.upTo = max(after.upTo, after.byTenant[name].Number)
 			}
 		}
 	}
-	return n, changed
+	return after, changed
 }
 
 // dropDefaults returns the bindings without those that equal the default placement and admit writes, and the dropped ones by
@@ -130,19 +130,19 @@
 const maxSaveWait = 200 * time.Millisecond
 
 // openBindings reads the stored bindings and opens the store. With an empty path nothing is persisted and the store is nil.
-// wait is the duration for which writes of a moved tenant are held; now is the time since the proxy's start. It returns an
+// writeWait is the duration for which writes of a moved tenant are held; now is the time since the proxy's start. It returns an
 // error if the file cannot be read or written, or a complete line of it cannot be parsed.
-func openBindings(path string, wait, now time.Duration, log *slog.Logger) (*bindings, *bindingStore, error) {
-	b := &bindings{byTenant: map[string]tenancy.Binding{}, writeWait: wait}
+func openBindings(path string, writeWait, now time.Duration, log *slog.Logger) (*bindings, *bindingStore, error) {
+	b := &bindings{byTenant: map[string]tenancy.Binding{}, writeWait: writeWait}
 	if path == "" {
 		return b, nil, nil
 	}
-	text, err := os.ReadFile(path)
+	content, err := os.ReadFile(path)
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, nil, err
 	}
 	b.unsynced = true
-	lines := bytes.Split(text, []byte("\n"))
+	lines := bytes.Split(content, []byte("\n"))
 	for i, line := range lines {
 		var stored storedLine
 		if i == len(lines)-1 { // empty, or a line cut off while it was written, which was never confirmed
@@ -162,11 +162,11 @@
 			b.unsynced = b.unsynced && stored.Pilot == ""
 		}
 	}
-	k := &bindingStore{path: path, log: log, wake: make(chan struct{}, 1), done: make(chan struct{}), latest: b}
-	if err := k.rewrite(b); err != nil {
+	store := &bindingStore{path: path, log: log, wake: make(chan struct{}, 1), done: make(chan struct{}), latest: b}
+	if err := store.rewrite(b); err != nil {
 		return nil, nil, err
 	}
-	return b, k, nil
+	return b, store, nil
 }
 
 func appendLine(out []byte, l storedLine) []byte {
@@ -183,33 +183,33 @@
 }
 
 // rewrite replaces the file with one that holds only the given bindings.
-func (k *bindingStore) rewrite(b *bindings) error {
+func (s *bindingStore) rewrite(b *bindings) error {
 	var out []byte
 	for _, name := range slices.Sorted(maps.Keys(b.byTenant)) {
 		binding := b.byTenant[name]
 		out = appendLine(out, storedLine{Tenant: &name, Binding: &binding})
 	}
-	k.lines = len(b.byTenant) + 1
-	return files.Replace(k.path, b.appendOwner(out))
+	s.lines = len(b.byTenant) + 1
+	return files.Replace(s.path, b.appendOwner(out))
 }
 
 // save queues changed bindings for writing, and waits for the write for at most maxSaveWait. all are the bindings after the
 // change.
-func (k *bindingStore) save(all *bindings, changed map[string]tenancy.Binding) {
-	if k == nil {
+func (s *bindingStore) save(all *bindings, changed map[string]tenancy.Binding) {
+	if s == nil {
 		return
 	}
 	written := make(chan struct{})
-	k.mu.Lock()
-	if k.latest = all; k.pending == nil {
-		k.pending = map[string]tenancy.Binding{}
+	s.mu.Lock()
+	if s.latest = all; s.pending == nil {
+		s.pending = map[string]tenancy.Binding{}
 	}
-	maps.Copy(k.pending, changed)
-	k.waiters = append(k.waiters, written)
-	lagging := k.lagging
-	k.mu.Unlock()
+	maps.Copy(s.pending, changed)
+	s.waiters = append(s.waiters, written)
+	lagging := s.lagging
+	s.mu.Unlock()
 	select {
-	case k.wake <- struct{}{}:
+	case s.wake <- struct{}{}:
 	default:
 	}
 	if lagging { // the disk is already too slow or failing: do not wait until a write has succeeded
@@ -218,39 +218,39 @@
 	select {
 	case <-written:
 	case <-time.After(maxSaveWait):
-		k.log.Error("slow disk: tenant bindings take effect before they are written", "file", k.path)
-		k.mu.Lock()
-		k.lagging = true
-		k.mu.Unlock()
+		s.log.Error("slow disk: tenant bindings take effect before they are written", "file", s.path)
+		s.mu.Lock()
+		s.lagging = true
+		s.mu.Unlock()
 	}
 }
 
 // start starts the goroutine that writes the file.
-func (k *bindingStore) start() {
-	if k != nil {
-		go k.run()
+func (s *bindingStore) start() {
+	if s != nil {
+		go s.run()
 	}
 }
 
 // run writes the file on each wake signal until close.
-func (k *bindingStore) run() {
-	defer close(k.done)
-	for range k.wake {
-		k.mu.Lock()
-		all, changed, waits := k.latest, k.pending, k.waiters
-		k.pending, k.waiters = nil, nil
-		k.mu.Unlock()
-		if len(waits) == 0 {
+func (s *bindingStore) run() {
+	defer close(s.done)
+	for range s.wake {
+		s.mu.Lock()
+		all, changed, waiters := s.latest, s.pending, s.waiters
+		s.pending, s.waiters = nil, nil
+		s.mu.Unlock()
+		if len(waiters) == 0 {
 			continue
 		}
-		err := k.write(all, changed)
-		k.mu.Lock()
-		k.lagging = err != nil
-		k.mu.Unlock()
+		err := s.write(all, changed)
+		s.mu.Lock()
+		s.lagging = err != nil
+		s.mu.Unlock()
 		if err != nil {
-			k.log.Error("tenant bindings could not be written to disk", "file", k.path, "error", err)
+			s.log.Error("tenant bindings could not be written to disk", "file", s.path, "error", err)
 		}
-		for _, w := range waits {
+		for _, w := range waiters {
 			close(w)
 		}
 	}
@@ -258,12 +258,12 @@
 
 // write appends the changed bindings to the file. It rewrites the whole file instead if the last write failed or was too
 // slow, or if the file holds more than 1000 lines beyond four per binding.
-func (k *bindingStore) write(all *bindings, changed map[string]tenancy.Binding) error {
-	k.mu.Lock()
-	failed := k.lagging
-	k.mu.Unlock()
-	if k.lines > 4*len(all.byTenant)+1000 || failed {
-		return k.rewrite(all)
+func (s *bindingStore) write(all *bindings, changed map[string]tenancy.Binding) error {
+	s.mu.Lock()
+	failed := s.lagging
+	s.mu.Unlock()
+	if s.lines > 4*len(all.byTenant)+1000 || failed {
+		return s.rewrite(all)
 	}
 	var out []byte
 	for _, name := range slices.Sorted(maps.Keys(changed)) {
@@ -273,8 +273,8 @@
 		}
 		out = appendLine(out, stored)
 	}
-	k.lines += len(changed) + 1
-	f, err := os.OpenFile(k.path, os.O_APPEND|os.O_WRONLY, 0)
+	s.lines += len(changed) + 1
+	f, err := os.OpenFile(s.path, os.O_APPEND|os.O_WRONLY, 0)
 	if err != nil {
 		return err
 	}
@@ -286,19 +286,19 @@
 }
 
 // behind reports whether the disk is too slow or its writes fail.
-func (k *bindingStore) behind() bool {
-	if k == nil {
+func (s *bindingStore) behind() bool {
+	if s == nil {
 		return false
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.lagging
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.lagging
 }
 
 // close writes what is pending, and returns once the writer has ended.
-func (k *bindingStore) close() {
-	if k != nil {
-		k.closeOnce.Do(func() { close(k.wake) })
-		<-k.done
+func (s *bindingStore) close() {
+	if s != nil {
+		s.closeOnce.Do(func() { close(s.wake) })
+		<-s.done
 	}
 }
--- a/proxy/pilot_client.go
+++ b/proxy/pilot_client.go
@@ -40,16 +40,16 @@
 // newPilotClient creates the client from the proxy's settings. run dials the pilots.
 func newPilotClient(p *Proxy) *pilotClient {
 	var pilots []fleet.Pilot
-	for _, pilot := range p.file.Pilots {
+	for _, pilot := range p.settings.Pilots {
 		pilots = append(pilots, fleet.Pilot{Address: pilot.Address, Zone: pilot.Zone})
 	}
-	redial := durationOr(p.file.Redial, defaultRedialDelay)
+	redial := durationOr(p.settings.Redial, defaultRedialDelay)
 	rng := rand.New(rand.NewPCG(p.rng.Uint64(), p.rng.Uint64()))
 	return &pilotClient{
 		proxy:          p,
 		log:            p.log,
-		selector:       fleet.NewSelector(strconv.Itoa(int(p.file.ID)), p.file.Zone, pilots, redial, rng),
-		silenceTimeout: durationOr(p.file.Silent, defaultSilenceTimeout),
+		selector:       fleet.NewSelector(strconv.Itoa(int(p.settings.ID)), p.settings.Zone, pilots, redial, rng),
+		silenceTimeout: durationOr(p.settings.Silent, defaultSilenceTimeout),
 	}
 }
 
@@ -62,19 +62,19 @@
 }
 
 // run keeps a stream to a pilot open until ctx ends.
-func (o *pilotClient) run(ctx context.Context) {
+func (c *pilotClient) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		address, wait := o.selector.Next()
+		address, wait := c.selector.Next()
 		sleep(ctx, wait)
 		if address == "" || ctx.Err() != nil {
 			continue
 		}
-		welcomed, redirect := o.serve(ctx, address)
+		welcomed, redirect := c.serve(ctx, address)
 		if !welcomed {
-			o.selector.Failed(redirect)
+			c.selector.Failed(redirect)
 			continue
 		}
-		sleep(ctx, o.selector.Disconnected(o.sinceStart(), redirect))
+		sleep(ctx, c.selector.Disconnected(c.sinceStart(), redirect))
 	}
 }
 
@@ -87,54 +87,54 @@
 }
 
 // sinceStart returns the time since the proxy's start.
-func (o *pilotClient) sinceStart() time.Duration { return time.Since(o.proxy.started) }
+func (c *pilotClient) sinceStart() time.Duration { return time.Since(c.proxy.started) }
 
 // serve opens a stream to the pilot at address and returns when it has ended. It reports whether the pilot welcomed the
 // proxy, and the address of another pilot if the pilot redirected the proxy there.
-func (o *pilotClient) serve(ctx context.Context, address string) (welcomed bool, redirect string) {
-	s := newPilotStream(o)
-	conn, err := stream.Dial(o.proxy.Net, address, dialTimeout, s)
+func (c *pilotClient) serve(ctx context.Context, address string) (welcomed bool, redirect string) {
+	s := newPilotStream(c)
+	conn, err := stream.Dial(c.proxy.Net, address, dialTimeout, s)
 	if err != nil {
-		o.log.Debug("pilot unreachable", "address", address, "error", err)
+		c.log.Debug("pilot unreachable", "address", address, "error", err)
 		return false, ""
 	}
 	s.setConn(conn)
-	_ = conn.Send(o.hello().Append(nil))
+	_ = conn.Send(c.hello().Append(nil))
 	applied := make(chan struct{})
 	go func() {
 		defer close(applied)
 		s.applyQueued()
 	}()
-	seen := o.watch(ctx, s, conn, address)
+	seen := c.watch(ctx, s, conn, address)
 	<-s.closed
 	<-applied // messages of this stream are applied or dropped before the next hello states what the proxy holds
-	welcomed, redirect = o.detach(s)
+	welcomed, redirect = c.detach(s)
 	if welcomed && !seen { // the stream ended before watch received the welcome
-		o.selector.Connected(o.sinceStart(), address)
+		c.selector.Connected(c.sinceStart(), address)
 	}
 	if welcomed && ctx.Err() == nil {
-		o.log.Info("stream to the pilot ended; tables stay in force", "address", address)
+		c.log.Info("stream to the pilot ended; tables stay in force", "address", address)
 	}
 	return welcomed, redirect
 }
 
 // hello returns the message that opens a stream: the proxy's identity and what it holds.
-func (o *pilotClient) hello() *runtime.Hello {
-	p := o.proxy
+func (c *pilotClient) hello() *runtime.Hello {
+	p := c.proxy
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	t := p.current.Load()
 	h := &runtime.Hello{
-		Proxy:    control.ProxyID(p.file.ID),
+		Proxy:    control.ProxyID(p.settings.ID),
 		Wire:     runtime.Wire,
 		Token:    p.token,
 		Zone:     p.zone,
-		Rate:     p.file.Rate,
+		Rate:     p.settings.Rate,
 		Pilot:    t.pilot,
 		Run:      t.run,
 		Number:   t.number,
 		Window:   maxQueuedLines,
-		Standing: p.standing,
+		Standing: p.standingServers,
 		Digests:  t.digests(),
 		Bound:    t.bindings.pilot,
 		BoundTo:  t.bindings.upTo,
@@ -147,22 +147,22 @@
 
 // watch returns when the stream has ended. It closes the stream itself if ctx ends, the pilot is silent for too long, or the
 // preferred pilot has room again. It notifies the selector of the welcome, and reports whether it received one.
-func (o *pilotClient) watch(ctx context.Context, s *pilotStream, conn *stream.Conn, address string) (welcomed bool) {
-	check := time.NewTicker(o.silenceTimeout / checksPerSilence)
+func (c *pilotClient) watch(ctx context.Context, s *pilotStream, conn *stream.Conn, address string) (welcomed bool) {
+	check := time.NewTicker(c.silenceTimeout / checksPerSilence)
 	defer check.Stop()
 	welcome := s.welcomed
 	for {
 		select {
 		case <-welcome:
 			welcome, welcomed = nil, true
-			o.selector.Connected(o.sinceStart(), address)
+			c.selector.Connected(c.sinceStart(), address)
 		case <-s.closed:
 			return welcomed
 		case <-ctx.Done():
 			conn.Close()
 			return welcomed
 		case <-check.C:
-			if o.silent(s, address) || o.preferredHasRoom() {
+			if c.silent(s, address) || c.preferredHasRoom() {
 				conn.Close()
 				return welcomed
 			}
@@ -171,72 +171,72 @@
 }
 
 // silent reports whether the pilot has sent nothing for longer than the silence timeout.
-func (o *pilotClient) silent(s *pilotStream, address string) bool {
+func (c *pilotClient) silent(s *pilotStream, address string) bool {
 	silence := s.silence()
-	if silence <= o.silenceTimeout {
+	if silence <= c.silenceTimeout {
 		return false
 	}
-	o.log.Warn("no data from the pilot; closing the stream", "address", address, "for", silence)
+	c.log.Warn("no data from the pilot; closing the stream", "address", address, "for", silence)
 	return true
 }
 
 // preferredHasRoom probes the preferred pilot if a probe is due, and reports whether that pilot has room. If so, it is
 // dialled next.
-func (o *pilotClient) preferredHasRoom() bool {
-	preferred, due := o.selector.ProbeDue(o.sinceStart())
-	if !due || !o.hasRoom(preferred) {
+func (c *pilotClient) preferredHasRoom() bool {
+	preferred, due := c.selector.ProbeDue(c.sinceStart())
+	if !due || !c.hasRoom(preferred) {
 		return false
 	}
-	o.log.Info("preferred pilot has room again; reconnecting", "address", preferred)
-	o.selector.Reset()
+	c.log.Info("preferred pilot has room again; reconnecting", "address", preferred)
+	c.selector.Reset()
 	return true
 }
 
 // join makes s the current stream. It returns false if s has already ended.
-func (o *pilotClient) join(s *pilotStream, conn *stream.Conn, welcome runtime.Welcome) bool {
-	o.mu.Lock()
-	defer o.mu.Unlock()
+func (c *pilotClient) join(s *pilotStream, conn *stream.Conn, welcome runtime.Welcome) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	if isClosed(s.closed) {
 		return false
 	}
 	s.welcome = welcome
 	s.setConn(conn)
 	close(s.welcomed)
-	o.current = s
+	c.current = s
 	return true
 }
 
 // detach removes a stream that has ended. It reports whether the pilot had welcomed the proxy, and where the pilot
 // redirected it.
-func (o *pilotClient) detach(s *pilotStream) (welcomed bool, redirect string) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if o.current == s {
-		o.current = nil
+func (c *pilotClient) detach(s *pilotStream) (welcomed bool, redirect string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.current == s {
+		c.current = nil
 	}
 	return isClosed(s.welcomed), s.redirect
 }
 
 // joinedStream returns the stream on which a pilot has welcomed the proxy; nil if there is none.
-func (o *pilotClient) joinedStream() *pilotStream {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	return o.current
+func (c *pilotClient) joinedStream() *pilotStream {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.current
 }
 
 // joined reports whether a pilot has welcomed the proxy.
-func (o *pilotClient) joined() bool { return o.joinedStream() != nil }
+func (c *pilotClient) joined() bool { return c.joinedStream() != nil }
 
 // send sends a block to the pilot that has welcomed the proxy. Without such a pilot the block is dropped.
-func (o *pilotClient) send(block []byte) {
-	if s := o.joinedStream(); s != nil {
+func (c *pilotClient) send(block []byte) {
+	if s := c.joinedStream(); s != nil {
 		_ = s.conn.Send(block)
 	}
 }
 
 // end closes the stream once everything sent has been written. It returns when the stream has ended, or after endTimeout.
-func (o *pilotClient) end() {
-	s := o.joinedStream()
+func (c *pilotClient) end() {
+	s := c.joinedStream()
 	if s == nil {
 		return
 	}
--- a/proxy/pilot_stream.go
+++ b/proxy/pilot_stream.go
@@ -38,9 +38,9 @@
 }
 
 // newPilotStream returns a stream without a connection; see setConn.
-func newPilotStream(o *pilotClient) *pilotStream {
+func newPilotStream(client *pilotClient) *pilotStream {
 	return &pilotStream{
-		client:       o,
+		client:       client,
 		closed:       make(chan struct{}),
 		welcomed:     make(chan struct{}),
 		queue:        make(chan *runtime.Message, maxQueuedMessages),
--- a/proxy/placement.go
+++ b/proxy/placement.go
@@ -79,11 +79,11 @@
 }
 
 // contains reports whether a try of the write may go to e.
-func (g *placement) contains(e *server) bool {
-	if !g.isZone {
-		return e.pod() == g.group
+func (p *placement) contains(e *server) bool {
+	if !p.isZone {
+		return e.pod() == p.group
 	}
-	return tenancy.ZoneOf(e.pod()) == g.group && (g.pods == nil || slices.Contains(g.pods, e.pod()))
+	return tenancy.ZoneOf(e.pod()) == p.group && (p.pods == nil || slices.Contains(p.pods, e.pod()))
 }
 
 // placeWrite returns the placement of an op of the given type. The placement is nil if the op may go to any server that its
@@ -92,7 +92,7 @@
 // has yet sent this proxy the placements of moved tenants, or if the tenant is fenced and the group is outside its fence.
 func (p *Proxy) placeWrite(typeIndex int, owner *tenant, key []byte, current *tables, limit tenancy.Limit,
 	sinceStart time.Duration) (placed *placement, known bool) {
-	t := &p.types[typeIndex]
+	t := &p.opTypes[typeIndex]
 	if !files.Grouped(t.OpType) {
 		return nil, true
 	}
@@ -108,7 +108,7 @@
 	}
 	var subset []tenancy.PodID
 	if owner != nil && kind == allPacks {
-		subset = p.tenants.packSubset(owner, current.byType[typeIndex], current.bindings, limit, sinceStart)
+		subset = p.tenants.packSubset(owner, current.byOpType[typeIndex], current.bindings, limit, sinceStart)
 	} else {
 		subset = p.groups.groupsFor(kind, write)
 	}
@@ -118,7 +118,7 @@
 	}
 	placed = &placement{isZone: kind.isZone(), group: group}
 	if placed.isZone && owner != nil {
-		placed.pods = p.tenants.podsInZone(kind, owner, current.byType[typeIndex], current.bindings, group, len(subset))
+		placed.pods = p.tenants.podsInZone(kind, owner, current.byOpType[typeIndex], current.bindings, group, len(subset))
 		if limit.Fenced && len(placed.pods) > 1 {
 			placed.pods = placed.pods[:1]
 		}
--- a/proxy/placement_test.go
+++ b/proxy/placement_test.go
@@ -27,9 +27,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &Proxy{file: &files.Proxy{Service: *service}, types: make([]opType, len(opTypes))}
+	p := &Proxy{settings: &files.Proxy{Service: *service}, opTypes: make([]opType, len(opTypes))}
 	for i, opType := range service.Types() {
-		p.types[i].OpType = opType
+		p.opTypes[i].OpType = opType
 	}
 	if tenantSettings != nil {
 		if p.tenants, err = newTenants(tenantSettings); err != nil {
@@ -42,7 +42,7 @@
 
 // setGroups sets the proxy's write groups from its settings.
 func setGroups(p *Proxy) {
-	p.groups = newWriteGroups(&p.file.Service, 0)
+	p.groups = newWriteGroups(&p.settings.Service, 0)
 	if p.tenants != nil {
 		p.tenants.groups = p.groups
 	}
@@ -122,7 +122,7 @@
 	fenced := unlimited
 	fenced.Fenced = true
 	owner, rejected := tenantOf(1), 0
-	if pods := p.tenants.allowedPods(owner, current.byType[0], current.bindings, fenced, 0); pods != nil {
+	if pods := p.tenants.allowedPods(owner, current.byOpType[0], current.bindings, fenced, 0); pods != nil {
 		t.Fatalf("reads of a tenant without a subset are confined to %v", pods)
 	}
 	for i := range 200 {
@@ -186,7 +186,7 @@
 	seats := []tenancy.Seat{{}, {Draw: 1}, {Size: 3}, {Size: 5}, {Draw: 2, Size: 2}, pods(0, 2), pods(1, 1, 4), pods(0, 0, 1, 5)}
 	newProxy := func() (*Proxy, *tables) {
 		p, current := newPlacingProxy(t, &files.Tenants{Header: "Tenant", Subset: podsPerTenant}, opTypes...)
-		p.file.Service.WritePacksNext = packsNext
+		p.settings.Service.WritePacksNext = packsNext
 		setGroups(p)
 		return p, current
 	}
@@ -208,11 +208,11 @@
 		}
 		fresh, freshTables := newProxy()
 		freshTables.bindings = current.bindings
-		freshTables.byType = slices.Repeat([]*table{newTable("t0", current.byType[0].lines, nil, len(opTypes), 0, rng())}, len(opTypes))
+		freshTables.byOpType = slices.Repeat([]*table{newTable("t0", current.byOpType[0].lines, nil, len(opTypes), 0, rng())}, len(opTypes))
 		i, key := random.IntN(len(opTypes)), fmt.Append(nil, random.IntN(9))
 		got, known := caching.placeWrite(i, owner, key, current, unlimited, 0)
 		want, alsoKnown := fresh.placeWrite(i, owner, key, freshTables, unlimited, 0)
-		kind := kindOf(&caching.types[i].OpType)
+		kind := kindOf(&caching.opTypes[i].OpType)
 		write := caching.tenants.writeOf(kind, owner, current.bindings)
 		write.Key = string(key)
 		groups := caching.groups.byKind[kind]
@@ -234,7 +234,7 @@
 		for _, opType := range []files.OpType{byPack, byZone} {
 			b.Run(fmt.Sprintf("%s/changing=%t", opType.Group, packsNext != nil), func(b *testing.B) {
 				p, current := newPlacingProxy(b, &files.Tenants{Header: "Tenant", Subset: 2}, opType)
-				p.file.Service.WritePacksNext = packsNext
+				p.settings.Service.WritePacksNext = packsNext
 				setGroups(p)
 				owner, key := tenantOf(1), []byte("5b0c1c2e-6f1d-4e0e-9a38-0f6f3a1d2b4c")
 				b.ReportAllocs()
--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -32,29 +32,29 @@
 
 // Proxy is a running proxy. New creates it.
 type Proxy struct {
-	file         *files.Proxy
-	log          *slog.Logger
-	zone         int // index of the proxy's zone in the service's list of zones
-	types        []opType
-	server       *serve.Server
-	pool         *upstream.Pool
-	servers      servers
-	current      tablesPointer        // tables in force
-	mu           sync.Mutex           // serializes changes of the tables; also guards rng after Start, and sumsSentAt
-	rng          *rand.Rand           // guarded by mu
-	token        string               // random; lets the pilot distinguish this process from another one with the same proxy ID
-	standing     []control.EndpointID // endpoints of the standing table
-	pilotClient  *pilotClient         // holds the stream to a pilot; set by Start
-	admin        *session.Listener    // admin command listener; nil if the settings give no address
-	sumsSentAt   time.Time            // when sums were last sent to the pilot
-	cancel       context.CancelFunc
-	stopping     sync.Once
-	done         sync.WaitGroup
-	started      time.Time
-	counters     counters
-	tenants      *tenants // nil if ops are not attributed to tenants
-	groups       *writeGroups
-	bindingStore *bindingStore // nil if tenant bindings are not persisted
+	settings        *files.Proxy
+	log             *slog.Logger
+	zone            int      // index of the proxy's zone in the service's list of zones
+	opTypes         []opType // in the order of the settings, which is also that of the runtime API
+	server          *serve.Server
+	pool            *upstream.Pool
+	servers         servers
+	current         tablesPointer        // tables in force
+	mu              sync.Mutex           // serializes changes of the tables; also guards rng after Start, and sumsSentAt
+	rng             *rand.Rand           // guarded by mu
+	token           string               // random; lets the pilot distinguish this process from another one with the same proxy ID
+	standingServers []control.EndpointID // endpoints of the standing table
+	pilotClient     *pilotClient         // holds the stream to a pilot; set by Start
+	admin           *session.Listener    // admin command listener; nil if the settings give no address
+	sumsSentAt      time.Time            // when sums were last sent to the pilot
+	cancel          context.CancelFunc   // ends the goroutines; nil until Start has succeeded
+	stopOnce        sync.Once
+	goroutines      sync.WaitGroup // goroutines that Start started
+	started         time.Time
+	counters        counters
+	tenants         *tenants      // nil if ops are not attributed to tenants
+	groups          *writeGroups  // groups that deduplicated writes are assigned to
+	bindingStore    *bindingStore // nil if tenant bindings are not persisted
 
 	// ExtraInfo, if set before Start, appends lines to the output of the admin command show info.
 	ExtraInfo func(io.Writer)
@@ -91,30 +91,30 @@
 
 // New creates a proxy from its settings. It returns an error if a server address, the tenant rules or the stored bindings
 // are invalid. Start runs the proxy.
-func New(file *files.Proxy, log *slog.Logger) (*Proxy, error) {
-	p := &Proxy{file: file, log: log.With("proxy", file.ID), zone: file.Service.ZoneIndex(file.Zone), started: time.Now(),
-		servers: servers{byID: map[control.EndpointID]*server{}, started: time.Now()}}
-	seed := file.Seed
+func New(settings *files.Proxy, log *slog.Logger) (*Proxy, error) {
+	p := &Proxy{settings: settings, log: log.With("proxy", settings.ID), zone: settings.Service.ZoneIndex(settings.Zone),
+		started: time.Now(), servers: servers{byID: map[control.EndpointID]*server{}, started: time.Now()}}
+	seed := settings.Seed
 	if seed == 0 {
 		seed = rand.Uint64()
 	}
-	p.rng = rand.New(rand.NewPCG(seed, uint64(file.ID)))
+	p.rng = rand.New(rand.NewPCG(seed, uint64(settings.ID)))
 	p.token = strconv.FormatUint(rand.Uint64(), 36)
-	types := file.Service.Types()
-	p.types = make([]opType, len(types))
+	types := settings.Service.Types()
+	p.opTypes = make([]opType, len(types))
 	for i := range types {
-		t, m := &p.types[i], file.Service.OpTypes[i].Match
-		t.OpType, t.name = types[i], file.Service.OpTypes[i].Name
+		t, m := &p.opTypes[i], settings.Service.OpTypes[i].Match
+		t.OpType, t.name = types[i], settings.Service.OpTypes[i].Name
 		t.method, t.pathPrefix = []byte(m.Method), []byte(m.PathPrefix)
 		if name, value, ok := strings.Cut(m.Header, ": "); ok {
 			t.header, t.headerValue = name, []byte(value)
 		}
 	}
-	pool := file.Pool
+	pool := settings.Pool
 	p.pool = &upstream.Pool{PerServer: pool.PerServer, IdleTimeout: pool.IdleClose.Span(),
 		ConnectTimeout: pool.ConnectTimeout.Span()}
-	for i := range p.types {
-		p.types[i].rank = rank(types, i)
+	for i := range p.opTypes {
+		p.opTypes[i].rank = rank(types, i)
 	}
 	lines, err := p.chooseStanding()
 	if err != nil {
@@ -122,17 +122,18 @@
 	}
 	p.current.Store(newTables(len(types), lines, p.rng))
 	p.servers.retain(p.current.Load())
-	p.groups = newWriteGroups(&file.Service, p.zone)
-	if names := file.Service.Unplaced(); len(names) > 0 {
+	p.groups = newWriteGroups(&settings.Service, p.zone)
+	if names := settings.Service.Unplaced(); len(names) > 0 {
 		p.log.Warn("rejecting writes that are deduplicated by pack: the settings name no write_packs", "op_types", names)
 	}
-	if file.Tenants != nil {
-		if p.tenants, err = newTenants(file.Tenants); err != nil {
+	if settings.Tenants != nil {
+		if p.tenants, err = newTenants(settings.Tenants); err != nil {
 			return nil, err
 		}
 		p.tenants.groups = p.groups
-		write, window := tenancy.Needs(types, file.Service.WriteLife.Span())
-		if p.current.Load().bindings, p.bindingStore, err = openBindings(file.Tenants.Bindings, write+window, 0, p.log); err != nil {
+		write, window := tenancy.Needs(types, settings.Service.WriteLife.Span())
+		if p.current.Load().bindings, p.bindingStore, err = openBindings(settings.Tenants.Bindings,
+			write+window, 0, p.log); err != nil {
 			return nil, err
 		}
 	}
@@ -163,9 +164,9 @@
 // all.
 func (p *Proxy) chooseStanding() ([]line, error) {
 	var own, all []files.StandingServer
-	for _, s := range p.file.Servers {
+	for _, s := range p.settings.Servers {
 		all = append(all, s)
-		if s.Zone == p.file.Zone {
+		if s.Zone == p.settings.Zone {
 			own = append(own, s)
 		}
 	}
@@ -173,22 +174,22 @@
 		all = own
 	}
 	p.rng.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
-	all = all[:min(len(all), p.file.Service.Bootstrap)]
+	all = all[:min(len(all), p.settings.Service.Bootstrap)]
 	slices.SortFunc(all, func(a, b files.StandingServer) int { return int(int64(a.Endpoint) - int64(b.Endpoint)) })
 	var lines []line
 	for _, s := range all {
-		at, err := netip.ParseAddrPort(s.Address)
+		address, err := netip.ParseAddrPort(s.Address)
 		if err != nil {
 			return nil, fmt.Errorf("server %d: %w", s.Endpoint, err)
 		}
 		id := control.EndpointID(s.Endpoint)
-		rec := runtime.Server{Address: at, Zone: p.file.Service.ZoneIndex(s.Zone), Pack: s.Pack}
+		record := runtime.Server{Address: address, Zone: p.settings.Service.ZoneIndex(s.Zone), Pack: s.Pack}
 		weight := s.Weight
 		if weight <= 0 {
 			weight = 1
 		}
-		lines = append(lines, line{p.servers.get(id, rec), weight})
-		p.standing = append(p.standing, id)
+		lines = append(lines, line{p.servers.get(id, record), weight})
+		p.standingServers = append(p.standingServers, id)
 	}
 	return lines, nil
 }
@@ -197,12 +198,12 @@
 // started has been shut down again, and Stop and Kill do nothing.
 func (p *Proxy) Start() error {
 	p.pool.Net, p.server.Net = p.Net, p.Net
-	if err := p.server.Start(p.file.Listen); err != nil {
+	if err := p.server.Start(p.settings.Listen); err != nil {
 		return err
 	}
-	if p.file.Admin != "" {
+	if p.settings.Admin != "" {
 		var err error
-		if p.admin, err = session.Listen(p.file.Admin, "vetchdoor proxy", p.commands()); err != nil {
+		if p.admin, err = session.Listen(p.settings.Admin, "vetchdoor proxy", p.commands()); err != nil {
 			p.closeServer()
 			return err
 		}
@@ -212,10 +213,10 @@
 	p.sumsSentAt = time.Now()
 	p.pilotClient = newPilotClient(p)
 	p.bindingStore.start()
-	p.done.Add(2)
-	go func() { defer p.done.Done(); p.pilotClient.run(ctx) }()
-	go func() { defer p.done.Done(); p.sendSumsPeriodically(ctx) }()
-	p.log.Info("proxy runs", "listen", p.server.Address(), "zone", p.file.Zone, "standing", len(p.standing))
+	p.goroutines.Add(2)
+	go func() { defer p.goroutines.Done(); p.pilotClient.run(ctx) }()
+	go func() { defer p.goroutines.Done(); p.sendSumsPeriodically(ctx) }()
+	p.log.Info("proxy runs", "listen", p.server.Address(), "zone", p.settings.Zone, "standing", len(p.standingServers))
 	return nil
 }
 
@@ -234,15 +235,15 @@
 	if p.cancel == nil { // Start was not called or failed
 		return
 	}
-	p.stopping.Do(func() { p.stop(ctx) })
+	p.stopOnce.Do(func() { p.stop(ctx) })
 }
 
 // stopTimeout returns the longest time for which a stopping proxy may keep answering requests: stopIdleTimeout, plus the
 // longest op timeout for requests that arrive until then, plus one second.
 func (p *Proxy) stopTimeout() time.Duration {
 	longest := time.Duration(0)
-	for i := range p.types {
-		longest = max(longest, p.types[i].OpTimeout)
+	for i := range p.opTypes {
+		longest = max(longest, p.opTypes[i].OpTimeout)
 	}
 	return stopIdleTimeout + longest + time.Second
 }
@@ -254,7 +255,7 @@
 	p.sendSums(time.Now())
 	p.pilotClient.end()
 	p.cancel()
-	p.done.Wait()
+	p.goroutines.Wait()
 	if p.admin != nil {
 		p.admin.Stop()
 	}
@@ -265,8 +266,8 @@
 
 // typeOf returns the index of the first op type whose match rule fits the request, or -1 if none does.
 func (p *Proxy) typeOf(m *http1.Message) int {
-	for i := range p.types {
-		t := &p.types[i]
+	for i := range p.opTypes {
+		t := &p.opTypes[i]
 		if len(t.method) > 0 && !bytes.Equal(t.method, m.Method) || !bytes.HasPrefix(m.Target, t.pathPrefix) {
 			continue
 		}
@@ -305,11 +306,11 @@
 		p.answer(c, buffers, 404, "no op type matches", 0)
 		return
 	}
-	t := &p.types[typeIndex]
+	t := &p.opTypes[typeIndex]
 	t.ops.Add(1)
 	p.counters.ops.Add(1)
 	current := p.current.Load()
-	opLevel := current.level(typeIndex, p.file.Service.Again())
+	opLevel := current.level(typeIndex, p.settings.Service.Again())
 	if !t.admit(opLevel.share) {
 		p.reject(c, buffers, "not let in")
 		return
@@ -366,8 +367,8 @@
 		}
 		history.recordSent()
 		until := deadline
-		if opLevel.retry >= control.OnceMore && history.count < maxTries(opLevel.retry) && p.file.Service.TryShare > 0 {
-			if short := tryStart.Add(time.Duration(p.file.Service.TryShare * float64(t.TargetLatency))); short.Before(until) {
+		if opLevel.retry >= control.OnceMore && history.count < maxTries(opLevel.retry) && p.settings.Service.TryShare > 0 {
+			if short := tryStart.Add(time.Duration(p.settings.Service.TryShare * float64(t.TargetLatency))); short.Before(until) {
 				until = short
 			}
 		}
@@ -392,7 +393,7 @@
 				c.CloseAfter()
 				return
 			}
-			target.recordTry(false, took, nil, p.file.Service.OutlierAfter, p.file.Service.OutlierFor.Span())
+			target.recordTry(false, took, nil, p.settings.Service.OutlierAfter, p.settings.Service.OutlierFor.Span())
 			history.recordFailure(target, tryStart, failure.NotSent)
 		}
 		lastFailure = failure
@@ -402,7 +403,7 @@
 		}
 		p.counters.retried.Add(1)
 		current = p.current.Load() // reload, so that a server drained since the previous try is not used
-		opLevel = current.level(typeIndex, p.file.Service.Again())
+		opLevel = current.level(typeIndex, p.settings.Service.Again())
 		if owner != nil && current.bindings.holdsWrites(owner.name, &t.OpType, time.Since(p.started)) {
 			break // the tenant began to move after the op was admitted
 		}
@@ -441,9 +442,9 @@
 // the tenant may borrow while its subset is unavailable. It returns nil if no server can be used.
 func (p *Proxy) pickUngrouped(typeIndex int, owner *tenant, current *tables, limit tenancy.Limit,
 	sinceStart time.Duration, pick func(func(*server) bool) *server) *server {
-	subset := p.tenants.allowedPods(owner, current.byType[typeIndex], current.bindings, limit, sinceStart)
-	writes := p.types[typeIndex].Repeat != control.Retryable
-	target, borrowed := p.tenants.pickServer(owner, current.byType[typeIndex], subset, limit.Limited(), writes, sinceStart,
+	subset := p.tenants.allowedPods(owner, current.byOpType[typeIndex], current.bindings, limit, sinceStart)
+	writes := p.opTypes[typeIndex].Repeat != control.Retryable
+	target, borrowed := p.tenants.pickServer(owner, current.byOpType[typeIndex], subset, limit.Limited(), writes, sinceStart,
 		current.bindings.writeWait, func(subset []tenancy.PodID) *server {
 			return pick(func(target *server) bool { return subset == nil || slices.Contains(subset, target.pod()) })
 		})
@@ -459,8 +460,8 @@
 func (p *Proxy) forwardResponse(c *serve.Conn, buffers *scratch, response *upstream.Response, target *server,
 	took time.Duration, history *tryHistory, tryStart time.Time, retry control.Again, deadline time.Time, isHead bool) bool {
 	good := response.Status < 500
-	target.recordTry(good, took, p.parseLoad(response.Get(http1.LoadHeader)), p.file.Service.OutlierAfter,
-		p.file.Service.OutlierFor.Span())
+	target.recordTry(good, took, p.parseLoad(response.Get(http1.LoadHeader)), p.settings.Service.OutlierAfter,
+		p.settings.Service.OutlierFor.Span())
 	if !good {
 		history.recordFailure(target, tryStart, response.Status == 503 && len(response.Get(http1.UnrunHeader)) > 0)
 		if history.mayRetry(retry) && time.Now().Before(deadline) {
@@ -480,7 +481,7 @@
 }
 
 func (p *Proxy) retryAfter() time.Duration {
-	if d := p.file.RetryAfter.Span(); d > 0 {
+	if d := p.settings.RetryAfter.Span(); d > 0 {
 		return d
 	}
 	return time.Second
@@ -496,7 +497,7 @@
 func (p *Proxy) answer(c *serve.Conn, buffers *scratch, status int, text string, retryAfter time.Duration) {
 	b := http1.AppendStatus(buffers.response[:0], status)
 	b = http1.AppendField(b, "Content-Type", "text/plain; charset=utf-8")
-	b = http1.AppendField(b, "Via", "1.1 p"+strconv.Itoa(int(p.file.ID)))
+	b = http1.AppendField(b, "Via", "1.1 p"+strconv.Itoa(int(p.settings.ID)))
 	if retryAfter > 0 {
 		b = http1.AppendField(b, "Retry-After", p.retryAfterText())
 	}
@@ -508,22 +509,22 @@
 func (p *Proxy) request(b []byte, m *http1.Message) []byte {
 	b = http1.AppendRequest(b, m.Method, m.Target)
 	b = http1.AppendForwardedFields(b, m)
-	b = http1.AppendField(b, "Via", "1.1 p"+strconv.Itoa(int(p.file.ID)))
+	b = http1.AppendField(b, "Via", "1.1 p"+strconv.Itoa(int(p.settings.ID)))
 	return http1.AppendBody(b, m.Body)
 }
 
 // parseLoad parses a server's load report and returns its values in the order of the service's measures, 0 for a measure
 // that the report lacks. It returns nil if there is no usable report or no measure is configured.
 func (p *Proxy) parseLoad(v []byte) []float64 {
-	if len(v) == 0 || len(p.file.Service.Measures) == 0 {
+	if len(v) == 0 || len(p.settings.Service.Measures) == 0 {
 		return nil
 	}
 	l := http1.ParseLoadReport(v)
 	if len(l) == 0 {
 		return nil
 	}
-	out := make([]float64, len(p.file.Service.Measures))
-	for i, name := range p.file.Service.Measures {
+	out := make([]float64, len(p.settings.Service.Measures))
+	for i, name := range p.settings.Service.Measures {
 		out[i] = l[name]
 	}
 	return out
@@ -531,7 +532,7 @@
 
 // sendSumsPeriodically sends the collected sums to the pilot every report period until ctx ends.
 func (p *Proxy) sendSumsPeriodically(ctx context.Context) {
-	t := time.NewTicker(p.file.Service.ReportEvery.Span())
+	t := time.NewTicker(p.settings.Service.ReportEvery.Span())
 	defer t.Stop()
 	for {
 		select {
@@ -552,19 +553,19 @@
 	if !p.pilotClient.joined() {
 		return
 	}
-	s := runtime.Sums{Window: now.Sub(p.sumsSentAt)}
+	sums := runtime.Sums{Window: now.Sub(p.sumsSentAt)}
 	p.sumsSentAt = now
-	for i := range p.types {
-		t := &p.types[i]
-		s.Types = append(s.Types, runtime.TypeSum{OpType: i, Ops: int(t.ops.Swap(0)), Unacked: int(t.unacked.Swap(0))})
+	for i := range p.opTypes {
+		t := &p.opTypes[i]
+		sums.Types = append(sums.Types, runtime.TypeSum{OpType: i, Ops: int(t.ops.Swap(0)), Unacked: int(t.unacked.Swap(0))})
 	}
 	for _, e := range p.servers.all() {
 		if sum, ok := e.takeSum(); ok {
-			s.Servers = append(s.Servers, sum)
+			sums.Servers = append(sums.Servers, sum)
 		}
 	}
-	s.Tenants = p.tenants.takeSums()
-	p.pilotClient.send(s.Append(nil))
+	sums.Tenants = p.tenants.takeSums()
+	p.pilotClient.send(sums.Append(nil))
 }
 
 // dropDefaultBindings removes bindings that no longer differ from the default placement. p.mu must be held.
@@ -588,7 +589,7 @@
 
 // applyLocked is apply for callers that hold p.mu.
 func (p *Proxy) applyLocked(m *runtime.Message) error {
-	next, err := p.current.Load().apply(m, &p.servers, len(p.types), p.rng)
+	next, err := p.current.Load().apply(m, &p.servers, len(p.opTypes), p.rng)
 	if err != nil {
 		return err
 	}
@@ -628,7 +629,7 @@
 	p.cancel()
 	p.pool.Close()
 	p.closeServer()
-	p.done.Wait()
+	p.goroutines.Wait()
 	if p.admin != nil {
 		p.admin.Close()
 	}
--- a/proxy/proxy_test.go
+++ b/proxy/proxy_test.go
@@ -156,15 +156,15 @@
 			t.Errorf("invalid change %q was applied", bad)
 		}
 	}
-	if len(current.byType[0].lines) != 1 || current.byType[1] != current.standing ||
+	if len(current.byOpType[0].lines) != 1 || current.byOpType[1] != current.standing ||
 		current.level(0, 0) != (level{0.5, control.OnceMore}) || current.level(1, 0) != (level{0.5, control.IfUnrun}) {
 		t.Fatalf("%+v %+v", current.level(0, 0), current.level(1, 0))
 	}
 	nextRun := message(1, "clear table t0", lineOf(2, 1), "set map op-types 1 t0")
 	nextRun.Run = 2
 	afterNewRun, err := current.apply(nextRun, records, 2, rng())
-	if err != nil || afterNewRun.byType[0].lines[0].server.id != 0 || afterNewRun.byType[1].lines[0].server.id != 2 ||
-		len(current.byType[0].lines) != 1 {
+	if err != nil || afterNewRun.byOpType[0].lines[0].server.id != 0 || afterNewRun.byOpType[1].lines[0].server.id != 2 ||
+		len(current.byOpType[0].lines) != 1 {
 		t.Fatalf("%v", err)
 	}
 }
@@ -565,7 +565,7 @@
 		t.Fatal(err)
 	}
 	owner := &tenant{name: "delo", account: &account{}}
-	subset := registry.allowedPods(owner, current.byType[0], current.bindings, unlimited, 0)
+	subset := registry.allowedPods(owner, current.byOpType[0], current.bindings, unlimited, 0)
 	if len(subset) != 2 {
 		t.Fatalf("%v", subset)
 	}
@@ -581,16 +581,16 @@
 		drains = append(drains, fmt.Sprintf("set server */e%d state drain", id))
 	}
 	drained, err := current.apply(message(2, drains...), records, 1, rng())
-	if err != nil || !slices.Equal(registry.allowedPods(owner, drained.byType[0], drained.bindings, unlimited, 0), subset) {
+	if err != nil || !slices.Equal(registry.allowedPods(owner, drained.byOpType[0], drained.bindings, unlimited, 0), subset) {
 		t.Errorf("a tenant whose servers are drained was given others: %v", err)
 	}
-	if (*tenants)(nil).allowedPods(owner, current.byType[0], current.bindings, unlimited, 0) != nil ||
+	if (*tenants)(nil).allowedPods(owner, current.byOpType[0], current.bindings, unlimited, 0) != nil ||
 		(*tenants)(nil).identify(nil, nil) != nil || !(*tenant)(nil).spendTry() {
 		t.Error("restrictions apply without tenant settings")
 	}
 	limited, err := current.apply(message(2, "set tenant =delo rate 2 tries 0 fence on hand * room 1"), records, 1, rng())
 	if err != nil || len(limited.limits) != 1 ||
-		len(registry.allowedPods(owner, limited.byType[0], limited.bindings, limited.limits["delo"], 0)) != 1 {
+		len(registry.allowedPods(owner, limited.byOpType[0], limited.bindings, limited.limits["delo"], 0)) != 1 {
 		t.Fatal(err)
 	}
 	admitted := 0
@@ -615,7 +615,7 @@
 		}
 	}
 	enlarged, err := current.apply(message(2, "set tenant =delo rate * tries 0.2 fence off hand * room 1.5"), records, 1, rng())
-	if err != nil || len(registry.allowedPods(owner, enlarged.byType[0], enlarged.bindings, enlarged.limits["delo"], 0)) != 3 ||
+	if err != nil || len(registry.allowedPods(owner, enlarged.byOpType[0], enlarged.bindings, enlarged.limits["delo"], 0)) != 3 ||
 		enlarged.limits["delo"].Limited() {
 		t.Errorf("subset not enlarged by half: %v, %v", enlarged, err)
 	}
@@ -703,7 +703,7 @@
 	for i := 0; newcomer == ""; i++ {
 		candidate := &tenant{name: fmt.Sprint("n", i), account: &account{}}
 		table := p.current.Load()
-		if s := p.tenants.allowedPods(candidate, table.byType[1], table.bindings, unlimited, 0); s[0] == tenancy.PodID(subsetPod) {
+		if s := p.tenants.allowedPods(candidate, table.byOpType[1], table.bindings, unlimited, 0); s[0] == tenancy.PodID(subsetPod) {
 			newcomer = candidate.name
 		}
 	}
--- a/proxy/room_probe.go
+++ b/proxy/room_probe.go
@@ -14,14 +14,14 @@
 
 // hasRoom asks the pilot at address, on a separate stream, whether it would admit this proxy. Errors and timeouts count as
 // no.
-func (o *pilotClient) hasRoom(address string) bool {
+func (c *pilotClient) hasRoom(address string) bool {
 	probe := &roomProbe{scanner: runtime.NewScanner(runtime.Orders), result: make(chan bool, 1)}
-	conn, err := stream.Dial(o.proxy.Net, address, probeTimeout, probe)
+	conn, err := stream.Dial(c.proxy.Net, address, probeTimeout, probe)
 	if err != nil {
 		return false
 	}
 	defer conn.Close()
-	_ = conn.Send(runtime.RoomProbe{Proxy: control.ProxyID(o.proxy.file.ID)}.Append(nil))
+	_ = conn.Send(runtime.RoomProbe{Proxy: control.ProxyID(c.proxy.settings.ID)}.Append(nil))
 	select {
 	case room := <-probe.result:
 		return room
--- a/proxy/tables.go
+++ b/proxy/tables.go
@@ -64,7 +64,7 @@
 
 // digests returns the digests of the tables that op types use, by op type; 0 stands for the standing table.
 func (t *tables) digests() (out []uint64) {
-	for _, tbl := range t.byType {
+	for _, tbl := range t.byOpType {
 		if tbl == t.standing {
 			out = append(out, 0)
 		} else {
@@ -76,7 +76,7 @@
 
 // tableByDigest returns the table with the given digest among those that op types use; nil if there is none.
 func (t *tables) tableByDigest(digest uint64) *table {
-	for _, tbl := range t.byType {
+	for _, tbl := range t.byOpType {
 		if tbl != t.standing && tbl.contentDigest() == digest {
 			return tbl
 		}
@@ -97,7 +97,7 @@
 	run      uint64
 	number   uint64                      // number of the last message applied
 	named    map[control.TableID]*table  // tables of the current run, by ID
-	byType   []*table                    // table of each op type; the standing table if none is assigned
+	byOpType []*table                    // table of each op type; the standing table if none is assigned
 	standing *table                      // the table that the proxy starts with, drawn from its settings
 	drained  map[control.EndpointID]bool // servers that new ops must not use
 	levels   map[int]level               // levels that apply to all tables, by op type
@@ -139,17 +139,17 @@
 // two records, the newer one replaces the older.
 func (s *servers) retain(t *tables) (dropped []*server) {
 	named := map[control.EndpointID]*server{}
-	each := func(t *table) {
+	addNamed := func(t *table) {
 		for _, l := range t.lines {
 			named[l.server.id] = l.server
 		}
 	}
-	each(t.standing)
-	for _, tbl := range t.byType {
-		each(tbl)
+	addNamed(t.standing)
+	for _, tbl := range t.byOpType {
+		addNamed(tbl)
 	}
 	for _, tbl := range t.named {
-		each(tbl)
+		addNamed(tbl)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -165,10 +165,10 @@
 // newTables returns the tables of a proxy that no pilot has sent anything yet: all op types use the standing table.
 func newTables(types int, standing []line, rng *rand.Rand) *tables {
 	t := &tables{named: map[control.TableID]*table{}, drained: map[control.EndpointID]bool{}, levels: map[int]level{},
-		byType: make([]*table, types), bindings: &bindings{}}
+		byOpType: make([]*table, types), bindings: &bindings{}}
 	t.standing = newTable("standing", standing, nil, types, 0, rng)
-	for i := range t.byType {
-		t.byType[i] = t.standing
+	for i := range t.byOpType {
+		t.byOpType[i] = t.standing
 	}
 	return t
 }
@@ -196,7 +196,7 @@
 // apply returns the tables after a message. If any change of the message is invalid, it returns an error that names the
 // change.
 func (t *tables) apply(m *runtime.Message, records *servers, types int, rng *rand.Rand) (*tables, error) {
-	next := &tables{pilot: m.Pilot, run: m.Run, number: m.Number, standing: t.standing, byType: slices.Clone(t.byType),
+	next := &tables{pilot: m.Pilot, run: m.Run, number: m.Number, standing: t.standing, byOpType: slices.Clone(t.byOpType),
 		bindings: t.bindings}
 	if t.pilot == m.Pilot && t.run == m.Run {
 		next.named = maps.Clone(t.named)
@@ -209,14 +209,14 @@
 	}
 	lines := map[control.TableID][]line{} // lines of the tables that the message changes
 	newRecords := map[control.EndpointID]*server{}
-	record := func(id control.EndpointID, at runtime.Server) *server {
-		if e := newRecords[id]; e != nil && e.Server == at {
+	record := func(id control.EndpointID, index runtime.Server) *server {
+		if e := newRecords[id]; e != nil && e.Server == index {
 			return e
 		}
-		newRecords[id] = records.get(id, at)
+		newRecords[id] = records.get(id, index)
 		return newRecords[id]
 	}
-	edit := func(id control.TableID) []line {
+	linesOf := func(id control.TableID) []line {
 		if l, ok := lines[id]; ok {
 			return l
 		}
@@ -227,7 +227,7 @@
 	}
 	levels, adopted := map[control.TableID]map[int]level{}, map[control.TableID]*table{}
 	var mapChanges []runtime.Change
-	each := func(mask uint16, f func(int)) error {
+	forOpTypes := func(mask uint16, f func(int)) error {
 		if mask>>types != 0 {
 			return fmt.Errorf("op type beyond the %d that there are", types)
 		}
@@ -242,28 +242,28 @@
 		var err error
 		switch c.Verb {
 		case runtime.AddServer:
-			l := edit(c.Table)
-			at, found := find(l, c.Endpoint)
+			l := linesOf(c.Table)
+			index, found := find(l, c.Endpoint)
 			e := line{record(c.Endpoint, c.Server), c.Weight}
 			if found {
-				l[at] = e
+				l[index] = e
 			} else {
-				l = slices.Insert(l, at, e)
+				l = slices.Insert(l, index, e)
 			}
 			lines[c.Table] = l
 		case runtime.SetWeight:
-			l := edit(c.Table)
-			at, found := find(l, c.Endpoint)
+			l := linesOf(c.Table)
+			index, found := find(l, c.Endpoint)
 			if !found {
 				err = fmt.Errorf("table t%d has no server e%d", c.Table, c.Endpoint)
 				break
 			}
-			l[at].weight = c.Weight
+			l[index].weight = c.Weight
 			lines[c.Table] = l
 		case runtime.DelServer:
-			l := edit(c.Table)
-			if at, found := find(l, c.Endpoint); found {
-				l = slices.Delete(l, at, at+1)
+			l := linesOf(c.Table)
+			if index, found := find(l, c.Endpoint); found {
+				l = slices.Delete(l, index, index+1)
 			}
 			lines[c.Table] = l
 		case runtime.AdoptTable:
@@ -297,9 +297,9 @@
 			if _, ok := lines[c.Table]; !ok && next.named[c.Table] == nil {
 				lines[c.Table] = nil // a table without lines so far is created empty
 			}
-			err = each(c.OpTypes, func(int) {})
+			err = forOpTypes(c.OpTypes, func(int) {})
 		case runtime.SetLevel:
-			err = each(c.OpTypes, func(i int) {
+			err = forOpTypes(c.OpTypes, func(i int) {
 				l := level{c.Level, c.Again}
 				if c.Table == control.Everywhere {
 					next.levels[i] = l
@@ -314,7 +314,7 @@
 				levels[c.Table][i] = l
 			})
 			if _, ok := lines[c.Table]; !ok && c.Table != control.Everywhere {
-				lines[c.Table] = edit(c.Table)
+				lines[c.Table] = linesOf(c.Table)
 			}
 		}
 		if err != nil {
@@ -331,15 +331,15 @@
 		if levels[id] != nil {
 			changed.levels = levels[id]
 		}
-		for i, used := range next.byType {
+		for i, used := range next.byOpType {
 			if old != nil && used == old {
-				next.byType[i] = changed
+				next.byOpType[i] = changed
 			}
 		}
 		next.named[id] = changed
 	}
 	for _, c := range mapChanges {
-		_ = each(c.OpTypes, func(i int) { next.byType[i] = next.named[c.Table] })
+		_ = forOpTypes(c.OpTypes, func(i int) { next.byOpType[i] = next.named[c.Table] })
 	}
 	return next, nil
 }
@@ -358,7 +358,7 @@
 	if !ok {
 		all = level{1, usual}
 	}
-	if own, ok := t.byType[opType].levels[opType]; ok {
+	if own, ok := t.byOpType[opType].levels[opType]; ok {
 		return level{min(own.share, all.share), own.retry}
 	}
 	return all
@@ -436,7 +436,7 @@
 // that are not avoided, and returns nil if there is no server.
 func (t *tables) pickFor(opType int, now time.Time, may func(*server) bool) *server {
 	in := func(e *server) bool { return !t.drained[e.id] && may(e) }
-	p := t.byType[opType].pickers[opType]
+	p := t.byOpType[opType].pickers[opType]
 	if e := p.pick(func(e *server) bool { return in(e) && !e.avoided(now) }); e != nil {
 		return e
 	}
--- a/proxy/tenants.go
+++ b/proxy/tenants.go
@@ -111,33 +111,33 @@
 
 // admit reports whether the tenant's limit admits an op of the given revenue rank, and counts the op as in progress if so.
 // It also adds the op's share of a retry to the tenant's budget. A nil tenant admits every op.
-func (x *tenant) admit(l tenancy.Limit, rank float64, now time.Duration) bool {
-	if x == nil {
+func (t *tenant) admit(l tenancy.Limit, rank float64, now time.Duration) bool {
+	if t == nil {
 		return true
 	}
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	x.budget.Op(l.Tries)
-	return x.allowance.Admit(now, l.Rate, l.Hand, rank)
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.budget.Op(l.Tries)
+	return t.allowance.Admit(now, l.Rate, l.Hand, rank)
 }
 
 // opDone records that an admitted op has ended.
-func (x *tenant) opDone() {
-	if x != nil {
-		x.mu.Lock()
-		x.allowance.Done()
-		x.mu.Unlock()
+func (t *tenant) opDone() {
+	if t != nil {
+		t.mu.Lock()
+		t.allowance.Done()
+		t.mu.Unlock()
 	}
 }
 
 // spendTry reports whether the retry budget allows another try, and charges it. A nil tenant allows every try.
-func (x *tenant) spendTry() bool {
-	if x == nil {
+func (t *tenant) spendTry() bool {
+	if t == nil {
 		return true
 	}
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	return x.budget.Try()
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.budget.Try()
 }
 
 // pod returns the pod that the server belongs to: its pack within its zone.
--- a/proxy/two_proxies_test.go
+++ b/proxy/two_proxies_test.go
@@ -37,8 +37,8 @@
 	const all = 200
 	for i := range all {
 		owner := &tenant{name: fmt.Sprint("tenant-", i), account: &account{}}
-		first := tenants.packSubset(owner, one.byType[0], one.bindings, unlimited, 0)
-		second := tenants.packSubset(owner, other.byType[0], other.bindings, unlimited, 0)
+		first := tenants.packSubset(owner, one.byOpType[0], one.bindings, unlimited, 0)
+		second := tenants.packSubset(owner, other.byOpType[0], other.bindings, unlimited, 0)
 		if !slices.Equal(first, second) {
 			doubled++
 		}
@@ -68,7 +68,7 @@
 		}
 		s := &files.Service{Zones: []string{"a", "b"}, WritePacks: packs,
 			OpTypes: []files.OpType{{Repeat: "deduplicated", Group: group}}}
-		p := &Proxy{file: &files.Proxy{Service: *s}, types: []opType{{OpType: s.Types()[0]}}, groups: newWriteGroups(s, 0)}
+		p := &Proxy{settings: &files.Proxy{Service: *s}, opTypes: []opType{{OpType: s.Types()[0]}}, groups: newWriteGroups(s, 0)}
 		if subset > 0 {
 			if p.tenants, err = newTenants(&files.Tenants{Header: "Tenant", Subset: subset}); err != nil {
 				t.Fatal(err)
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -47,8 +47,8 @@
 
 // server holds the connections to one address.
 type server struct {
-	idle []*conn // most recently used last
-	open int     // connections open or being dialled, idle or in use
+	idleConns []*conn // most recently used last
+	openConns int     // connections open or being dialled, idle or in use
 }
 
 // conn is one connection to a server.
@@ -130,15 +130,15 @@
 }
 
 // Release returns the connection to the pool, or closes it if it cannot be reused.
-func (a *Response) Release() {
-	c := a.conn
-	keep := !a.Close
-	if size := a.Size; keep {
-		r := c.nc.Reader()
-		keep = r.Skip(size) == nil && r.Release() == nil && r.Len() == 0
+func (r *Response) Release() {
+	c := r.conn
+	keep := !r.Close
+	if size := r.Size; keep {
+		reader := c.nc.Reader()
+		keep = reader.Skip(size) == nil && reader.Release() == nil && reader.Len() == 0
 		c.parser.Reset()
 	}
-	a.pool.release(c, keep)
+	r.pool.release(c, keep)
 }
 
 // Send sends the complete request req to address and waits for the response until the deadline. isHead states that the
@@ -163,7 +163,7 @@
 // exchange writes a request to a connection and reads the response.
 func (p *Pool) exchange(call *Call, c *conn, req []byte, deadline time.Time, isHead bool) (*Response, *Failure) {
 	answered := false
-	fail := func(err error) *Failure {
+	newFailure := func(err error) *Failure {
 		f := &Failure{Err: fmt.Errorf("%s: %w", c.address, err), Timeout: errors.Is(err, netpoll.ErrReadTimeout)}
 		f.Cancelled = call.isCancelled()
 		f.Stale = c.reused && !answered && !f.Timeout && !f.Cancelled
@@ -171,20 +171,20 @@
 	}
 	remaining := time.Until(deadline)
 	if remaining <= 0 {
-		f := fail(netpoll.ErrReadTimeout)
+		f := newFailure(netpoll.ErrReadTimeout)
 		f.NotSent = true
 		return nil, f
 	}
 	_ = c.nc.SetWriteTimeout(remaining)
 	if _, err := c.nc.Write(req); err != nil {
-		return nil, fail(err)
+		return nil, newFailure(err)
 	}
 	if isHead {
 		c.parser.ExpectHeadResponse()
 	}
 	m, begun, err := c.receive(deadline, isHead)
 	if answered = begun; err != nil {
-		return nil, fail(err)
+		return nil, newFailure(err)
 	}
 	return &Response{Message: m, pool: p, conn: c}, nil
 }
@@ -264,20 +264,20 @@
 		s = &server{}
 		p.servers[address] = s
 	}
-	for len(s.idle) > 0 {
-		c := s.idle[len(s.idle)-1]
-		s.idle = s.idle[:len(s.idle)-1]
+	for len(s.idleConns) > 0 {
+		c := s.idleConns[len(s.idleConns)-1]
+		s.idleConns = s.idleConns[:len(s.idleConns)-1]
 		if c.nc.IsActive() && c.nc.Reader().Len() == 0 {
 			p.mu.Unlock()
 			return c, nil
 		}
 		p.drop(s, c)
 	}
-	if s.open >= p.PerServer {
+	if s.openConns >= p.PerServer {
 		p.mu.Unlock()
 		return nil, &Failure{NotSent: true, Err: fmt.Errorf("%s: %w", address, errPoolFull)}
 	}
-	s.open++
+	s.openConns++
 	p.mu.Unlock()
 	timeout := min(p.ConnectTimeout, time.Until(deadline))
 	var nc netpoll.Connection
@@ -287,7 +287,7 @@
 	}
 	if err != nil {
 		p.mu.Lock()
-		s.open--
+		s.openConns--
 		p.mu.Unlock()
 		return nil, &Failure{NotSent: true, Err: fmt.Errorf("dial %s: %w", address, err)}
 	}
@@ -298,7 +298,7 @@
 
 // drop closes a connection, which the caller removes from the idle list. p.mu must be held.
 func (p *Pool) drop(s *server, c *conn) {
-	s.open--
+	s.openConns--
 	p.open.Add(-1)
 	go c.nc.Close()
 }
@@ -313,7 +313,7 @@
 		return
 	}
 	c.idleSince, c.reused = time.Now(), true
-	s.idle = append(s.idle, c)
+	s.idleConns = append(s.idleConns, c)
 }
 
 // CloseIdle closes the idle connections to address, for a server that is no longer used.
@@ -321,10 +321,10 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if s := p.servers[address]; s != nil {
-		for _, c := range s.idle {
+		for _, c := range s.idleConns {
 			p.drop(s, c)
 		}
-		s.idle = nil
+		s.idleConns = nil
 	}
 }
 
@@ -339,16 +339,16 @@
 		case now := <-t.C:
 			p.mu.Lock()
 			for address, s := range p.servers {
-				remaining := s.idle[:0]
-				for _, c := range s.idle {
+				remaining := s.idleConns[:0]
+				for _, c := range s.idleConns {
 					if now.Sub(c.idleSince) > p.IdleTimeout || !c.nc.IsActive() {
 						p.drop(s, c)
 					} else {
 						remaining = append(remaining, c)
 					}
 				}
-				clear(s.idle[len(remaining):])
-				if s.idle = remaining; s.open == 0 {
+				clear(s.idleConns[len(remaining):])
+				if s.idleConns = remaining; s.openConns == 0 {
 					delete(p.servers, address)
 				}
 			}
@@ -368,9 +368,9 @@
 	p.closed = true
 	close(p.stop)
 	for _, s := range p.servers {
-		for _, c := range s.idle {
+		for _, c := range s.idleConns {
 			p.drop(s, c)
 		}
-		s.idle = nil
+		s.idleConns = nil
 	}
 }
