--- a/proxy/placement_test.go
+++ b/proxy/placement_test.go
@@ -194,7 +194,7 @@
 	caching, current := newProxy()
 	current.bindings = &bindings{byTenant: map[string]tenancy.Binding{}}
 	for number := range uint64(1500) {
-		if number%10 == 0 { // sometimes the chosen server stays the same
+		if number%10 == 0 { // the change may leave the servers as they were
 			change := message(2+number, fmt.Sprintf("del server t0/e%d", random.IntN(12)), lineOf(random.IntN(12), 1))
 			changed, err := current.apply(change, records, len(opTypes), rng())
 			if err != nil {
--- a/proxy/proxy_test.go
+++ b/proxy/proxy_test.go
@@ -502,7 +502,7 @@
 		f.Pilots = []files.PilotAddress{{Address: ln.Addr().String(), Zone: "z"}}
 		f.Redial = files.Duration(5 * time.Millisecond)
 	})
-	play := func(send string) (hello, reply string) {
+	exchange := func(send string) (hello, reply string) {
 		c, err := ln.Accept()
 		if err != nil {
 			t.Fatal(err)
@@ -520,30 +520,37 @@
 		}
 		return hello, reply
 	}
-	add := func(run, number, weight int) string {
-		return fmt.Sprintf("apply q %d %d at 0 lines 5 <<\nclear table t0\n%s\nset map op-types * t0\n\n", run, number, lineOf(1, float64(weight)))
+	applyBlock := func(run, number, weight int) string {
+		return fmt.Sprintf("apply q %d %d at 0 lines 5 <<\nclear table t0\n%s\nset map op-types * t0\n\n",
+			run, number, lineOf(1, float64(weight)))
 	}
-	whole := add(5, 1, 3)
-	if _, r := play("welcome q 5 fresh\n" + whole); r != "in-force 5 1\n" {
-		t.Fatal(r)
+	whole := applyBlock(5, 1, 3)
+	if _, reply := exchange("welcome q 5 fresh\n" + whole); reply != "in-force 5 1\n" {
+		t.Fatal(reply)
 	}
-	for i, cut := range []string{add(5, 2, 4)[:60], strings.TrimSuffix(add(5, 2, 4), "\n")} {
-		play("welcome q 5 resumed\n" + cut)
-		if h, r := play("welcome q 5 resumed\n" + whole); !strings.Contains(h, "holds q 5 1 ") || r != "in-force 5 1 again\n" {
-			t.Errorf("cut %d: %s %s", i, h, r)
+	for i, cut := range []string{applyBlock(5, 2, 4)[:60], strings.TrimSuffix(applyBlock(5, 2, 4), "\n")} {
+		exchange("welcome q 5 resumed\n" + cut)
+		if helloLine, reply := exchange("welcome q 5 resumed\n" + whole); !strings.Contains(helloLine, "holds q 5 1 ") ||
+			reply != "in-force 5 1 again\n" {
+			t.Errorf("cut %d: %s %s", i, helloLine, reply)
 		}
 	}
-	for _, c := range [][2]string{{"welcome q 5 resumed\n" + add(5, 3, 4), "refused 5 3 "}, {"welcome q 4 fresh\n" + add(4, 9, 4), "refused 4 9 "},
-		{"welcome q 6 fresh\n" + add(5, 2, 4), "refused 5 2 "}, {"welcome q 6 fresh\napply q 6 1 at 0 lines 2 <<\nset server t9/e1 weight 1\n\n", "refused 6 1 "}} {
-		if _, r := play(c[0]); !strings.HasPrefix(r, c[1]) {
-			t.Errorf("%q: %q", c[0], r)
+	for _, c := range [][2]string{
+		{"welcome q 5 resumed\n" + applyBlock(5, 3, 4), "refused 5 3 "},
+		{"welcome q 4 fresh\n" + applyBlock(4, 9, 4), "refused 4 9 "},
+		{"welcome q 6 fresh\n" + applyBlock(5, 2, 4), "refused 5 2 "},
+		{"welcome q 6 fresh\napply q 6 1 at 0 lines 2 <<\nset server t9/e1 weight 1\n\n", "refused 6 1 "},
+	} {
+		if _, reply := exchange(c[0]); !strings.HasPrefix(reply, c[1]) {
+			t.Errorf("%q: %q", c[0], reply)
 		}
 	}
 	if s := p.Stat(); !strings.Contains(s, "t0,e1,UP,3,") {
 		t.Error(s)
 	}
-	if _, r := play("welcome q 6 fresh\n" + add(6, 1, 8)); r != "in-force 6 1\n" || !strings.Contains(p.Stat(), "t0,e1,UP,8,") {
-		t.Error(r, p.Stat())
+	if _, reply := exchange("welcome q 6 fresh\n" + applyBlock(6, 1, 8)); reply != "in-force 6 1\n" ||
+		!strings.Contains(p.Stat(), "t0,e1,UP,8,") {
+		t.Error(reply, p.Stat())
 	}
 }
 
@@ -661,44 +668,44 @@
 	}
 	for range 9 {
 		if get("delo") != 200 {
-			t.Fatal("read not answered")
+			t.Fatal("read not answered with 200")
 		}
 	}
 	lastWrite := time.Now()
 	if write() != 200 {
-		t.Fatal("write not answered")
+		t.Fatal("write not answered with 200")
 	}
 	subsetPod := 0
 	for received[subsetPod].Load() == 0 {
 		subsetPod++
 	}
-	state := func(s string) {
+	setState := func(s string) {
 		if err := p.apply(message(1, fmt.Sprintf("set server */e%d state %s", subsetPod, s))); err != nil {
 			t.Fatal(err)
 		}
 	}
-	state("drain")
+	setState("drain")
 	if status := get("delo"); status != 200 || p.counters.borrowed.Load() != 1 {
 		t.Errorf("%d", status)
 	}
 	if status := write(); time.Since(lastWrite) < 300*time.Millisecond && status != 503 {
 		t.Errorf("a write was sent to the borrowed pod too early: %d", status)
 	}
-	until := func(what string, ok func() bool) {
+	waitUntil := func(what string, ok func() bool) {
 		for end := time.Now().Add(20 * time.Second); !ok(); time.Sleep(10 * time.Millisecond) {
 			if time.Now().After(end) {
 				t.Fatal(what)
 			}
 		}
 	}
-	until("writes never resumed at the borrowed pod", func() bool { return write() == 200 })
+	waitUntil("writes never resumed at the borrowed pod", func() bool { return write() == 200 })
 	before := received[subsetPod].Load()
-	state("ready")
-	until("writes never returned to the subset", func() bool {
+	setState("ready")
+	waitUntil("writes never returned to the subset", func() bool {
 		time.Sleep(400 * time.Millisecond)
 		return write() == 200 && received[subsetPod].Load() > before
 	})
-	state("drain")
+	setState("drain")
 	newcomer := "" // a tenant without earlier ops whose subset is the same pod
 	for i := 0; newcomer == ""; i++ {
 		candidate := &tenant{name: fmt.Sprint("n", i), account: &account{}}
