--- a/settings/settings.go
+++ b/settings/settings.go
@@ -113,7 +113,7 @@
 		Slices: x.Shards, OutlierAfter: x.OutlierAfter, StandingTableLines: x.Bootstrap, Proxies: x.ProxyCount,
 		MessageLines: x.Envelope, LinesPerSecond: x.LinesPerS, MostWaiting: x.MostWaiting,
 		MessageCap: x.UpdateCap, MessageCapOver: Span(x.MessagesOver),
-		PushDelayMost: Span(x.TransitMax), ReportEvery: Span(x.Cycle), ReportLinesPerS: x.IntakePerS,
+		PushDelayMost: Span(x.TransitMax), ReportInterval: Span(x.Cycle), ReportLinesPerS: x.IntakePerS,
 		CrossZonePrice: o.Prices.CrossZone, ListedWeights: o.Weights != "off",
 		ColdFor: Span(o.Rules.Cold), ColdShare: o.Rules.ColdShare, DrainGrace: Span(o.Rules.DrainGrace),
 	}
