--- a/settings/settings.go
+++ b/settings/settings.go
@@ -110,7 +110,7 @@
 	f.Facts = control.Facts{
 		Instance: o.Me, Instances: o.Peers, Zone: o.Zone, Zones: len(o.Zones),
 		AskForList: o.Registry == "ask", Tick: Span(o.Tick),
-		Slices: x.Shards, OutlierAfter: x.OutlierAfter, StandingTableLines: x.Bootstrap, Proxies: x.ProxyCount,
+		Slices: x.Shards, AvoidAfterFailures: x.OutlierAfter, StandingTableLines: x.Bootstrap, Proxies: x.ProxyCount,
 		MessageLines: x.Envelope, LinesPerSecond: x.LinesPerS, MostWaiting: x.MostWaiting,
 		MessageCap: x.UpdateCap, MessageCapOver: Span(x.MessagesOver),
 		PushDelayMost: Span(x.TransitMax), ReportInterval: Span(x.Cycle), ReportLinesPerS: x.IntakePerS,
