--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -458,7 +458,7 @@
 // forwarding, if the response is a failure after which another try is allowed. The server connection is released before the
 // client is written to, because the client may read slowly.
 func (p *Proxy) forwardResponse(c *serve.Conn, buffers *scratch, response *upstream.Response, target *server,
-	took time.Duration, history *tryHistory, tryStart time.Time, retry control.Again, deadline time.Time, isHead bool) bool {
+	took time.Duration, history *tryHistory, tryStart time.Time, retry control.RetryPolicy, deadline time.Time, isHead bool) bool {
 	good := response.Status < 500
 	target.recordTry(good, took, p.parseLoad(response.Get(http1.LoadHeader)), p.settings.Service.OutlierAfter,
 		p.settings.Service.OutlierFor.Span())
--- a/proxy/proxy_test.go
+++ b/proxy/proxy_test.go
@@ -218,7 +218,7 @@
 		op     control.OpType
 		keyed  bool
 		notRun bool // the first try, at server 0, certainly did not run
-		again  control.Again
+		again  control.RetryPolicy
 		to     control.EndpointID
 		after  time.Duration
 		want   bool
--- a/proxy/retry.go
+++ b/proxy/retry.go
@@ -32,7 +32,7 @@
 }
 
 // maxTries returns how many tries of one op a retry policy allows, including the first.
-func maxTries(retry control.Again) int {
+func maxTries(retry control.RetryPolicy) int {
 	switch retry {
 	case control.IfUnrun, control.OnceMore:
 		return 2
@@ -44,7 +44,7 @@
 
 // mayRetry reports whether the retry policy allows another try after those made, at some server. It never allows one for an
 // op that may have run and must not run twice.
-func (t *tryHistory) mayRetry(retry control.Again) bool {
+func (t *tryHistory) mayRetry(retry control.RetryPolicy) bool {
 	if t.count >= maxTries(retry) {
 		return false
 	}
--- a/proxy/tables.go
+++ b/proxy/tables.go
@@ -87,7 +87,7 @@
 // level is the admitted share of an op type, 1 or more for all ops, and its retry policy.
 type level struct {
 	share float64
-	retry control.Again
+	retry control.RetryPolicy
 }
 
 // tables is the complete state that a pilot has published to the proxy. It is immutable: a message makes a new value, and a
@@ -353,7 +353,7 @@
 
 // level returns the level in force for an op type. The share is the lower of the table's own and the one for all tables. The
 // retry policy is the table's own if it has a level, else the one for all tables, else usual.
-func (t *tables) level(opType int, usual control.Again) level {
+func (t *tables) level(opType int, usual control.RetryPolicy) level {
 	all, ok := t.levels[opType]
 	if !ok {
 		all = level{1, usual}
