--- a/pilot/admin.go
+++ b/pilot/admin.go
@@ -40,7 +40,7 @@
 		{Words: "show info typed", Help: "the same in the typed form", Do: inLoop(func(w io.Writer) {
 			var b strings.Builder
 			p.showInfo(&b)
-			sessions.Typed(w, b.String())
+			sessions.WriteTyped(w, b.String())
 		})},
 		{Words: "show stat", Help: "each server of each table, as CSV", Do: inLoop(p.showStat)},
 		{Words: "show servers state", Help: "the list of servers as this pilot has it", Do: inLoop(p.showServers)},
--- a/proxy/admin.go
+++ b/proxy/admin.go
@@ -19,7 +19,7 @@
 		{Words: "show tenant", Help: "[NAME]: tenants with a limit or a binding, as this proxy has them", Do: p.showTenant},
 		{Words: "show info", Help: "what this proxy is and has done", Do: p.showInfo},
 		{Words: "show info typed", Help: "the same in the typed form", Do: func(w io.Writer, _ runtime.Command) error {
-			session.Typed(w, p.Info())
+			session.WriteTyped(w, p.Info())
 			return nil
 		}},
 		{Words: "show stat", Help: "each server of each table, as CSV", Do: p.showStat},
--- a/session/session.go
+++ b/session/session.go
@@ -207,8 +207,8 @@
 	return string(reply), err
 }
 
-// Typed rewrites lines of "Name: value" in the typed form of show info: position, name and process, tags, type, value.
-func Typed(w io.Writer, text string) {
+// WriteTyped rewrites lines of "Name: value" in the typed form of show info: position, name and process, tags, type, value.
+func WriteTyped(w io.Writer, text string) {
 	for i, line := range strings.Split(strings.TrimSuffix(text, "\n"), "\n") {
 		name, value, _ := strings.Cut(line, ": ")
 		kind := "str"
