--- a/proxy/proxy_test.go
+++ b/proxy/proxy_test.go
@@ -223,7 +223,7 @@
 		after  time.Duration
 		want   bool
 	}{
-		{"never", retryable, false, true, control.Never, 1, 0, false},
+		{"never", retryable, false, true, control.RetryNever, 1, 0, false},
 		{"unrun", once, false, true, control.IfUnrun, 1, 0, true},
 		{"not run, policy allows more", once, false, true, control.TwiceMore, 1, 0, true},
 		{"may have run", once, true, false, control.TwiceMore, 1, 0, false},
