--- a/proxy/proxy_test.go
+++ b/proxy/proxy_test.go
@@ -157,7 +157,7 @@
 		}
 	}
 	if len(current.byOpType[0].lines) != 1 || current.byOpType[1] != current.standing ||
-		current.level(0, 0) != (level{0.5, control.OnceMore}) || current.level(1, 0) != (level{0.5, control.IfUnrun}) {
+		current.level(0, 0) != (level{0.5, control.OnceMore}) || current.level(1, 0) != (level{0.5, control.RetryIfUnrun}) {
 		t.Fatalf("%+v %+v", current.level(0, 0), current.level(1, 0))
 	}
 	nextRun := message(1, "clear table t0", lineOf(2, 1), "set map op-types 1 t0")
@@ -224,10 +224,10 @@
 		want   bool
 	}{
 		{"never", retryable, false, true, control.RetryNever, 1, 0, false},
-		{"unrun", once, false, true, control.IfUnrun, 1, 0, true},
+		{"unrun", once, false, true, control.RetryIfUnrun, 1, 0, true},
 		{"not run, policy allows more", once, false, true, control.TwiceMore, 1, 0, true},
 		{"may have run", once, true, false, control.TwiceMore, 1, 0, false},
-		{"retryable, may have run, policy requires not run", retryable, false, false, control.IfUnrun, 1, 0, false},
+		{"retryable, may have run, policy requires not run", retryable, false, false, control.RetryIfUnrun, 1, 0, false},
 		{"retryable", retryable, false, false, control.OnceMore, 1, time.Hour, true},
 		{"in its group", dedup, true, false, control.OnceMore, 2, 0, true},
 		{"without a key", dedup, false, false, control.OnceMore, 2, 0, false},
--- a/proxy/retry.go
+++ b/proxy/retry.go
@@ -34,7 +34,7 @@
 // maxTries returns how many tries of one op a retry policy allows, including the first.
 func maxTries(retry control.RetryPolicy) int {
 	switch retry {
-	case control.IfUnrun, control.OnceMore:
+	case control.RetryIfUnrun, control.OnceMore:
 		return 2
 	case control.TwiceMore:
 		return 3
@@ -51,7 +51,7 @@
 	if len(t.mayHaveRun) == 0 {
 		return true
 	}
-	if retry == control.IfUnrun || t.opType.Repeat == control.OnceOnly {
+	if retry == control.RetryIfUnrun || t.opType.Repeat == control.OnceOnly {
 		return false
 	}
 	return t.opType.Repeat == control.Retryable || t.hasKey
