--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -367,7 +367,7 @@
 		}
 		history.recordSent()
 		until := deadline
-		if opLevel.retry >= control.OnceMore && history.count < maxTries(opLevel.retry) && p.settings.Service.TryShare > 0 {
+		if opLevel.retry >= control.RetryOnce && history.count < maxTries(opLevel.retry) && p.settings.Service.TryShare > 0 {
 			if short := tryStart.Add(time.Duration(p.settings.Service.TryShare * float64(t.TargetLatency))); short.Before(until) {
 				until = short
 			}
--- a/proxy/proxy_test.go
+++ b/proxy/proxy_test.go
@@ -157,7 +157,7 @@
 		}
 	}
 	if len(current.byOpType[0].lines) != 1 || current.byOpType[1] != current.standing ||
-		current.level(0, 0) != (level{0.5, control.OnceMore}) || current.level(1, 0) != (level{0.5, control.RetryIfUnrun}) {
+		current.level(0, 0) != (level{0.5, control.RetryOnce}) || current.level(1, 0) != (level{0.5, control.RetryIfUnrun}) {
 		t.Fatalf("%+v %+v", current.level(0, 0), current.level(1, 0))
 	}
 	nextRun := message(1, "clear table t0", lineOf(2, 1), "set map op-types 1 t0")
@@ -228,13 +228,13 @@
 		{"not run, policy allows more", once, false, true, control.TwiceMore, 1, 0, true},
 		{"may have run", once, true, false, control.TwiceMore, 1, 0, false},
 		{"retryable, may have run, policy requires not run", retryable, false, false, control.RetryIfUnrun, 1, 0, false},
-		{"retryable", retryable, false, false, control.OnceMore, 1, time.Hour, true},
-		{"in its group", dedup, true, false, control.OnceMore, 2, 0, true},
-		{"without a key", dedup, false, false, control.OnceMore, 2, 0, false},
-		{"outside its group", dedup, true, false, control.OnceMore, 1, 0, false},
-		{"after its window", dedup, true, false, control.OnceMore, 2, 900 * time.Millisecond, false},
-		{"not run, outside its group", dedup, true, true, control.OnceMore, 1, time.Hour, true},
-		{"another pack", pack, true, false, control.OnceMore, 2, 0, false},
+		{"retryable", retryable, false, false, control.RetryOnce, 1, time.Hour, true},
+		{"in its group", dedup, true, false, control.RetryOnce, 2, 0, true},
+		{"without a key", dedup, false, false, control.RetryOnce, 2, 0, false},
+		{"outside its group", dedup, true, false, control.RetryOnce, 1, 0, false},
+		{"after its window", dedup, true, false, control.RetryOnce, 2, 900 * time.Millisecond, false},
+		{"not run, outside its group", dedup, true, true, control.RetryOnce, 1, time.Hour, true},
+		{"another pack", pack, true, false, control.RetryOnce, 2, 0, false},
 	} {
 		history := tryHistory{opType: c.op, hasKey: c.keyed}
 		history.recordSent()
@@ -247,7 +247,7 @@
 	for i := range 3 {
 		history.recordSent()
 		history.recordFailure(records.byID[0], t0, false)
-		if history.mayRetry(control.TwiceMore) != (i < 2) || i > 0 && history.mayRetry(control.OnceMore) {
+		if history.mayRetry(control.TwiceMore) != (i < 2) || i > 0 && history.mayRetry(control.RetryOnce) {
 			t.Errorf("wrong answer of mayRetry after %d tries", i+1)
 		}
 	}
--- a/proxy/retry.go
+++ b/proxy/retry.go
@@ -34,7 +34,7 @@
 // maxTries returns how many tries of one op a retry policy allows, including the first.
 func maxTries(retry control.RetryPolicy) int {
 	switch retry {
-	case control.RetryIfUnrun, control.OnceMore:
+	case control.RetryIfUnrun, control.RetryOnce:
 		return 2
 	case control.TwiceMore:
 		return 3
