--- a/proxy/proxy_test.go
+++ b/proxy/proxy_test.go
@@ -225,8 +225,8 @@
 	}{
 		{"never", retryable, false, true, control.RetryNever, 1, 0, false},
 		{"unrun", once, false, true, control.RetryIfUnrun, 1, 0, true},
-		{"not run, policy allows more", once, false, true, control.TwiceMore, 1, 0, true},
-		{"may have run", once, true, false, control.TwiceMore, 1, 0, false},
+		{"not run, policy allows more", once, false, true, control.RetryTwice, 1, 0, true},
+		{"may have run", once, true, false, control.RetryTwice, 1, 0, false},
 		{"retryable, may have run, policy requires not run", retryable, false, false, control.RetryIfUnrun, 1, 0, false},
 		{"retryable", retryable, false, false, control.RetryOnce, 1, time.Hour, true},
 		{"in its group", dedup, true, false, control.RetryOnce, 2, 0, true},
@@ -247,7 +247,7 @@
 	for i := range 3 {
 		history.recordSent()
 		history.recordFailure(records.byID[0], t0, false)
-		if history.mayRetry(control.TwiceMore) != (i < 2) || i > 0 && history.mayRetry(control.RetryOnce) {
+		if history.mayRetry(control.RetryTwice) != (i < 2) || i > 0 && history.mayRetry(control.RetryOnce) {
 			t.Errorf("wrong answer of mayRetry after %d tries", i+1)
 		}
 	}
--- a/proxy/retry.go
+++ b/proxy/retry.go
@@ -36,7 +36,7 @@
 	switch retry {
 	case control.RetryIfUnrun, control.RetryOnce:
 		return 2
-	case control.TwiceMore:
+	case control.RetryTwice:
 		return 3
 	}
 	return 1
