--- a/control/control.go
+++ b/control/control.go
@@ -307,10 +307,10 @@
 		Why     Why
 	}
 	Suspend struct {
-		Endpoint EndpointID
-		Out      bool
-		Bound    bool // at proxies that were bound alone; others are about to be
-		Why      Why
+		Endpoint  EndpointID
+		Out       bool
+		BoundOnly bool // at proxies that were bound alone; others are about to be
+		Why       Why
 	}
 	Checkpoint struct {
 		Number int
--- a/policy/tables.go
+++ b/policy/tables.go
@@ -150,7 +150,7 @@
 		}
 		if !bare && a.charge(hardWaiting, 1, holders...) {
 			e.out = !e.out
-			a.do(control.Suspend{Endpoint: e.id, Out: e.out, Bound: unbound == nil, Why: e.whyOut()})
+			a.do(control.Suspend{Endpoint: e.id, Out: e.out, BoundOnly: unbound == nil, Why: e.whyOut()})
 		}
 	}
 }
