--- a/pilot/moves.go
+++ b/pilot/moves.go
@@ -60,7 +60,7 @@
 		s.Close()
 		return err
 	}
-	waits := tenancy.Waits{Most: f.Most.Span(), Abreast: f.Abreast}
+	waits := tenancy.MoveLimits{Most: f.Most.Span(), Abreast: f.Abreast}
 	waits.Write, waits.Window = tenancy.Needs(p.facts.OpTypes, p.file.Service.WriteLife.Span())
 	if waits.Most <= 0 {
 		waits.Most = 10 * (waits.Write + waits.Window)
