--- a/pilot/moves.go
+++ b/pilot/moves.go
@@ -34,7 +34,7 @@
 
 // sessionOrder is an order for one session of a proxy. It is not sent if the session has ended.
 type sessionOrder struct {
-	tenancy.Order
+	tenancy.BindingUpdate
 	s *session
 }
 
@@ -124,7 +124,7 @@
 		if len(order.s.bindings) == 0 {
 			p.mover.sendingSessions = append(p.mover.sendingSessions, order.s)
 		}
-		order.s.bindings = append(order.s.bindings, order.Order)
+		order.s.bindings = append(order.s.bindings, order.BindingUpdate)
 	}
 	p.pump()
 }
--- a/pilot/session.go
+++ b/pilot/session.go
@@ -14,16 +14,16 @@
 	id               control.ProxyID
 	token            string // drawn when the proxy starts; distinguishes proxies configured with the same number
 	zone             int
-	rate             float64         // ops per second that the proxy usually gets
-	windowLines      int             // most lines that may be unconfirmed, unless it is a single message
-	conn             *connection     // nil while the proxy is disconnected
-	generation       int             // number of connects and disconnects, so that the timer of an earlier disconnect is ignored
-	unconfirmed      []outgoing      // messages sent and not confirmed, oldest first
-	unconfirmedLines int             // total of the lines in unconfirmed
-	digests          []uint64        // of the tables that the proxy held when it joined
-	standing         bool            // the proxy held only its standing tables when it joined
-	announced        bool            // control.Joined was queued for the module
-	bindings         []tenancy.Order // orders of the mover that are stored but not sent
+	rate             float64                 // ops per second that the proxy usually gets
+	windowLines      int                     // most lines that may be unconfirmed, unless it is a single message
+	conn             *connection             // nil while the proxy is disconnected
+	generation       int                     // number of connects and disconnects, so that the timer of an earlier disconnect is ignored
+	unconfirmed      []outgoing              // messages sent and not confirmed, oldest first
+	unconfirmedLines int                     // total of the lines in unconfirmed
+	digests          []uint64                // of the tables that the proxy held when it joined
+	standing         bool                    // the proxy held only its standing tables when it joined
+	announced        bool                    // control.Joined was queued for the module
+	bindings         []tenancy.BindingUpdate // orders of the mover that are stored but not sent
 }
 
 // newSession starts a session with the tables that the proxy reports in its hello.
