--- a/proxy/admin.go
+++ b/proxy/admin.go
@@ -92,7 +92,7 @@
 			writes = "held"
 		}
 		fmt.Fprintf(w, "%s,%g,%g,%t,%g,%s,%d,%s,\n", runtime.Quote("="+name), limit.Rate, limit.Hand,
-			limit.Fenced, limit.Room, binding.Seat, binding.Number, writes)
+			limit.Fenced, limit.Room, binding.Placement, binding.Number, writes)
 	}
 	return nil
 }
--- a/proxy/bindings.go
+++ b/proxy/bindings.go
@@ -50,7 +50,7 @@
 	next := *b
 	after, changed := &next, map[string]tenancy.Binding{}
 	after.byTenant = maps.Clone(b.byTenant)
-	setBinding := func(tenant string, number uint64, seat tenancy.Seat, held bool) {
+	setBinding := func(tenant string, number uint64, seat tenancy.Placement, held bool) {
 		binding, ok := after.byTenant[tenant]
 		if !ok {
 			binding = tenancy.Bound()
@@ -71,7 +71,7 @@
 			after.pilot, after.upTo, after.unsynced = m.Pilot, c.Number, false
 			for name, binding := range after.byTenant {
 				if binding.Pilot != m.Pilot || binding.Number <= c.Number {
-					setBinding(name, c.Number, tenancy.Seat{}, false)
+					setBinding(name, c.Number, tenancy.Placement{}, false)
 				}
 				after.upTo = max(after.upTo, after.byTenant[name].Number)
 			}
@@ -85,7 +85,7 @@
 func (b *bindings) dropDefaults(now time.Duration) (*bindings, map[string]tenancy.Binding) {
 	dropped := map[string]tenancy.Binding{}
 	for name, binding := range b.byTenant {
-		if !binding.Held && binding.Seat.Equal(tenancy.Seat{}) && binding.Writes(now, b.writeWait) && binding.Number <= b.upTo {
+		if !binding.Held && binding.Placement.Equal(tenancy.Placement{}) && binding.Writes(now, b.writeWait) && binding.Number <= b.upTo {
 			dropped[name] = binding
 		}
 	}
--- a/proxy/placement.go
+++ b/proxy/placement.go
@@ -128,7 +128,7 @@
 
 // writeOf returns what the group of a tenant's write is drawn by, without the write's key.
 func (t *tenants) writeOf(kind groupKind, owner *tenant, current *bindings) tenancy.Write {
-	seat := current.byTenant[owner.name].Seat
+	seat := current.byTenant[owner.name].Placement
 	if kind.isZone() {
 		seat = seat.InZones()
 	}
@@ -146,7 +146,7 @@
 // not agree on the pods, because all servers of the zone recognize each other's repeats.
 func (t *tenants) podsInZone(kind groupKind, owner *tenant, table *table, current *bindings, zone tenancy.PodID,
 	zoneCount int) []tenancy.PodID {
-	seat := current.byTenant[owner.name].Seat
+	seat := current.byTenant[owner.name].Placement
 	count := t.subsetSize
 	if seat.Size > 0 {
 		count = seat.Size
--- a/proxy/placement_test.go
+++ b/proxy/placement_test.go
@@ -82,7 +82,7 @@
 	const all = 200
 	for i := range all {
 		owner := tenantOf(i)
-		synced.bindings.byTenant[owner.name] = tenancy.Bound().Take(0, 0, "p", 1, tenancy.Seat{Draw: 1}, false)
+		synced.bindings.byTenant[owner.name] = tenancy.Bound().Take(0, 0, "p", 1, tenancy.Placement{Draw: 1}, false)
 		first, known := groupOf(syncedProxy, owner, "key", synced, unlimited)
 		second, alsoKnown := groupOf(newProxy, owner, "key", unsynced, unlimited)
 		if known && alsoKnown && first != second {
@@ -177,13 +177,13 @@
 	ownPack, ownZone := byPack, byZone
 	ownPack.OwnZoneOnly, ownZone.OwnZoneOnly = true, true
 	opTypes := []files.OpType{byPack, byZone, ownPack, ownZone}
-	pods := func(zone int, packs ...int) (s tenancy.Seat) {
+	pods := func(zone int, packs ...int) (s tenancy.Placement) {
 		for _, pack := range packs {
 			s.Pods = append(s.Pods, tenancy.PodOf(zone, pack))
 		}
 		return s
 	}
-	seats := []tenancy.Seat{{}, {Draw: 1}, {Size: 3}, {Size: 5}, {Draw: 2, Size: 2}, pods(0, 2), pods(1, 1, 4), pods(0, 0, 1, 5)}
+	seats := []tenancy.Placement{{}, {Draw: 1}, {Size: 3}, {Size: 5}, {Draw: 2, Size: 2}, pods(0, 2), pods(1, 1, 4), pods(0, 0, 1, 5)}
 	newProxy := func() (*Proxy, *tables) {
 		p, current := newPlacingProxy(t, &files.Tenants{Header: "Tenant", Subset: podsPerTenant}, opTypes...)
 		p.settings.Service.WritePacksNext = packsNext
@@ -204,7 +204,7 @@
 		}
 		owner := tenantOf(random.IntN(3))
 		if number%5 == 0 {
-			current.bindings.byTenant[owner.name] = tenancy.Binding{Seat: seats[random.IntN(len(seats))]}
+			current.bindings.byTenant[owner.name] = tenancy.Binding{Placement: seats[random.IntN(len(seats))]}
 		}
 		fresh, freshTables := newProxy()
 		freshTables.bindings = current.bindings
@@ -221,7 +221,7 @@
 		}
 		if known != alsoKnown || !reflect.DeepEqual(got, want) {
 			t.Fatalf("op type %d, %s at %v, %d pods per tenant: %+v %t, without cache %+v %t", i, owner.name,
-				current.bindings.byTenant[owner.name].Seat,
+				current.bindings.byTenant[owner.name].Placement,
 				podsPerTenant, got, known, want, alsoKnown)
 		}
 	}
--- a/proxy/tenants.go
+++ b/proxy/tenants.go
@@ -183,7 +183,7 @@
 
 // cachedSubset is a tenant's subset of pods or groups, with the parameters that it was drawn by.
 type cachedSubset struct {
-	seat  tenancy.Seat
+	seat  tenancy.Placement
 	count int
 	pods  []tenancy.PodID
 }
@@ -243,7 +243,7 @@
 	if t == nil || len(table.lines) == 0 {
 		return nil
 	}
-	seat := current.byTenant[owner.name].Seat
+	seat := current.byTenant[owner.name].Placement
 	if t.subsetSize == 0 && seat.Size == 0 && len(seat.Pods) == 0 {
 		return nil
 	}
@@ -274,7 +274,7 @@
 		s.cache.clear()
 	}
 	return s.cache.getOrDraw(w, func(w tenancy.Write) []tenancy.PodID {
-		return tenancy.Seat{Draw: w.Seat.Draw, Size: w.Count, Pods: w.Seat.Pods}.Among(w.Tenant, s.candidates, w.Count)
+		return tenancy.Placement{Draw: w.Seat.Draw, Size: w.Count, Pods: w.Seat.Pods}.Among(w.Tenant, s.candidates, w.Count)
 	})
 }
 
