--- a/pilot/moves.go
+++ b/pilot/moves.go
@@ -377,7 +377,7 @@
 	}
 	name = runtime.TenantName(name)
 	r, _ := p.mover.Of(name)
-	seat := r.Seat
+	seat := r.Placement
 	if newDraw {
 		seat.Draw++
 		seat.Pods = nil
@@ -450,7 +450,7 @@
 		period := p.facts.ReportInterval.Seconds()
 		fmt.Fprintf(w, "%s,%g,%g,%g,%t,%g,%s,%s,%d,%.3g,%.3g,%.3g,\n", runtime.Quote("="+name), limit.Rate, limit.Tries, limit.Hand,
 			limit.Fenced,
-			limit.Room, r.Seat, r.Phase, r.Number,
+			limit.Room, r.Placement, r.Phase, r.Number,
 			use.Ops/period, use.Failed/period, use.Busy.Seconds()/period)
 	}
 	return nil
@@ -464,7 +464,7 @@
 	moving, waiting := p.mover.Moving(p.host.Now())
 	fmt.Fprintln(w, "# tenant,phase,from,to,held_ms,left_ms,awaited,away,")
 	for _, m := range moving {
-		fmt.Fprintf(w, "%s,%s,%s,%s,%d,%d,%s,%s,\n", runtime.Quote("="+m.Tenant), m.Phase, m.Seat, m.To, m.Held.Milliseconds(),
+		fmt.Fprintf(w, "%s,%s,%s,%s,%d,%d,%s,%s,\n", runtime.Quote("="+m.Tenant), m.Phase, m.Placement, m.To, m.Held.Milliseconds(),
 			m.Left.Milliseconds(), formatProxyIDs(m.Awaited), formatProxyIDs(m.Away))
 	}
 	joined, away := p.mover.Known()
