--- a/proxy/placement.go
+++ b/proxy/placement.go
@@ -132,7 +132,7 @@
 	if kind.isZone() {
 		seat = seat.InZones()
 	}
-	return tenancy.Write{Tenant: owner.name, Seat: seat, Count: t.subsetSize}
+	return tenancy.Write{Tenant: owner.name, Placement: seat, Count: t.subsetSize}
 }
 
 // packSubset returns the packs that a tenant's deduplicated writes may go to. The table, the limit and the time are ignored,
@@ -159,6 +159,6 @@
 		return nil
 	}
 	seat.Size = (count + zoneCount - 1) / zoneCount
-	return inZone.subsets[kind].getOrDraw(tenancy.Write{Tenant: owner.name, Seat: seat, Count: seat.Size},
-		func(w tenancy.Write) []tenancy.PodID { return w.Seat.Among(w.Tenant, inZone.live, w.Count) })
+	return inZone.subsets[kind].getOrDraw(tenancy.Write{Tenant: owner.name, Placement: seat, Count: seat.Size},
+		func(w tenancy.Write) []tenancy.PodID { return w.Placement.Among(w.Tenant, inZone.live, w.Count) })
 }
--- a/proxy/tenants.go
+++ b/proxy/tenants.go
@@ -197,10 +197,10 @@
 		s.byTenant = map[string]cachedSubset{}
 	}
 	cached, ok := s.byTenant[w.Tenant]
-	if ok && cached.count == w.Count && cached.seat.Equal(w.Seat) {
+	if ok && cached.count == w.Count && cached.seat.Equal(w.Placement) {
 		return cached.pods
 	}
-	cached = cachedSubset{w.Seat, w.Count, draw(w)}
+	cached = cachedSubset{w.Placement, w.Count, draw(w)}
 	if ok || len(s.byTenant) < maxCachedSubsets {
 		s.byTenant[w.Tenant] = cached
 	}
@@ -254,7 +254,7 @@
 	if count > 1 { // a subset of one pod is not enlarged: a second pod would not have what was written to the first
 		count = int(math.Ceil(float64(count) * limit.Room))
 	}
-	pods := table.subsets.subsetFor(tenancy.Write{Tenant: owner.name, Seat: seat, Count: count}, now)
+	pods := table.subsets.subsetFor(tenancy.Write{Tenant: owner.name, Placement: seat, Count: count}, now)
 	if limit.Fenced && len(pods) > 1 {
 		return pods[:1]
 	}
@@ -274,7 +274,7 @@
 		s.cache.clear()
 	}
 	return s.cache.getOrDraw(w, func(w tenancy.Write) []tenancy.PodID {
-		return tenancy.Placement{Draw: w.Seat.Draw, Size: w.Count, Pods: w.Seat.Pods}.Among(w.Tenant, s.candidates, w.Count)
+		return tenancy.Placement{Draw: w.Placement.Draw, Size: w.Count, Pods: w.Placement.Pods}.Among(w.Tenant, s.candidates, w.Count)
 	})
 }
 
