--- a/pilot/records.go
+++ b/pilot/records.go
@@ -323,7 +323,7 @@
 }
 
 // recordMoveRequest records that a move of a tenant was requested.
-func (r *recorder) recordMoveRequest(a tenancy.Ask) {
+func (r *recorder) recordMoveRequest(a tenancy.MoveRequest) {
 	r.enqueue(1, func() {
 		r.write(slog.LevelInfo+2, record.Move, "asked", "tenant move requested", slog.String(record.Tenant, a.Tenant),
 			slog.String("to", a.To.String()))
