--- a/pilot/moves.go
+++ b/pilot/moves.go
@@ -392,7 +392,7 @@
 			return fmt.Errorf("pod %s has no server on the list", tenancy.AppendPods(nil, []tenancy.PodID{pod}))
 		}
 	}
-	return p.applyCommand(tenancy.Event{Ask: &tenancy.MoveRequest{Tenant: name, To: seat, Waits: waitForOpen}})
+	return p.applyCommand(tenancy.Event{Ask: &tenancy.MoveRequest{Tenant: name, To: seat, ManualOpen: waitForOpen}})
 }
 
 // hasPod reports whether the list has a server of a pod.
