--- a/pilot/moves.go
+++ b/pilot/moves.go
@@ -85,8 +85,8 @@
 	}
 	done := m.Step(p.host.Now(), events...)
 	for _, e := range events {
-		if e.Ask != nil && len(done.Refused) == 0 {
-			p.records.recordMoveRequest(*e.Ask)
+		if e.MoveRequest != nil && len(done.Refused) == 0 {
+			p.records.recordMoveRequest(*e.MoveRequest)
 		}
 	}
 	for _, e := range done.Ended {
@@ -392,7 +392,7 @@
 			return fmt.Errorf("pod %s has no server on the list", tenancy.AppendPods(nil, []tenancy.PodID{pod}))
 		}
 	}
-	return p.applyCommand(tenancy.Event{Ask: &tenancy.MoveRequest{Tenant: name, To: seat, ManualOpen: waitForOpen}})
+	return p.applyCommand(tenancy.Event{MoveRequest: &tenancy.MoveRequest{Tenant: name, To: seat, ManualOpen: waitForOpen}})
 }
 
 // hasPod reports whether the list has a server of a pod.
