--- a/pilot/moves.go
+++ b/pilot/moves.go
@@ -219,7 +219,7 @@
 
 // add queues the result of a step. While writes fail, memory is bounded by one record per tenant and the orders of current
 // sessions, for which isCurrent reports true.
-func (w *storeWriter) add(result tenancy.Done, orders []sessionOrder, isCurrent func(sessionOrder) bool) {
+func (w *storeWriter) add(result tenancy.StepResult, orders []sessionOrder, isCurrent func(sessionOrder) bool) {
 	w.mu.Lock()
 	for _, r := range result.Records {
 		w.records[r.Tenant] = r
@@ -264,7 +264,7 @@
 		case <-w.wake:
 		}
 		w.mu.Lock()
-		step, limits, orders := tenancy.Done{Records: slices.Collect(maps.Values(w.records)), Known: w.known}, w.limits, w.orders
+		step, limits, orders := tenancy.StepResult{Records: slices.Collect(maps.Values(w.records)), Known: w.known}, w.limits, w.orders
 		w.records, w.known, w.limits, w.orders = map[string]tenancy.Record{}, nil, nil, nil
 		w.mu.Unlock()
 		for {
