--- a/pilot/moves.go
+++ b/pilot/moves.go
@@ -103,9 +103,9 @@
 	if done.Wake >= 0 {
 		m.wake.Reset(done.Wake)
 	}
-	if len(done.Records) > 0 || done.Known != nil || len(done.Orders) > 0 {
-		orders := make([]sessionOrder, 0, len(done.Orders))
-		for _, o := range done.Orders {
+	if len(done.Records) > 0 || done.Known != nil || len(done.Updates) > 0 {
+		orders := make([]sessionOrder, 0, len(done.Updates))
+		for _, o := range done.Updates {
 			if s := p.sessions[control.ProxyID(o.Proxy)]; s != nil {
 				orders = append(orders, sessionOrder{o, s})
 			}
