--- a/pilot/moves.go
+++ b/pilot/moves.go
@@ -24,12 +24,12 @@
 	*tenancy.Mover
 	store           *store.Store
 	writer          *storeWriter
-	wake            *time.Timer        // calls stepMover when the mover asked for it
-	sendingSessions []*session         // sessions with orders to send, in turn
-	moved           uint64             // number of moves that were completed
-	cancelled       uint64             // number of moves that were cancelled
-	recentEnds      []tenancy.End      // the latest ends of moves, for show move
-	restoredLimits  []tenancy.Sentence // limits loaded from the store at the start
+	wake            *time.Timer          // calls stepMover when the mover asked for it
+	sendingSessions []*session           // sessions with orders to send, in turn
+	moved           uint64               // number of moves that were completed
+	cancelled       uint64               // number of moves that were cancelled
+	recentEnds      []tenancy.MoveResult // the latest ends of moves, for show move
+	restoredLimits  []tenancy.Sentence   // limits loaded from the store at the start
 }
 
 // sessionOrder is an order for one session of a proxy. It is not sent if the session has ended.
--- a/pilot/records.go
+++ b/pilot/records.go
@@ -331,7 +331,7 @@
 }
 
 // recordMoveEnd records that a move of a tenant was completed or cancelled.
-func (r *recorder) recordMoveEnd(e tenancy.End) {
+func (r *recorder) recordMoveEnd(e tenancy.MoveResult) {
 	reason := control.Reason("cancelled")
 	if e.Moved {
 		reason = "moved"
