--- a/pilot/hello.go
+++ b/pilot/hello.go
@@ -110,7 +110,7 @@
 	if h.Bound == p.file.Name {
 		confirmedTo = h.BoundTo
 	}
-	p.stepMover(tenancy.Event{Joined: &tenancy.Joined{Proxy: tenancy.ProxyID(h.Proxy), Has: confirmedTo}})
+	p.stepMover(tenancy.Event{Joined: &tenancy.Joined{Proxy: tenancy.ProxyID(h.Proxy), AppliedUpTo: confirmedTo}})
 }
 
 // adoptLaterRun restarts the pilot with a run number above the one that a proxy has seen, because a proxy refuses older runs.
