--- a/pilot/moves.go
+++ b/pilot/moves.go
@@ -376,7 +376,7 @@
 		return p.applyCommand(tenancy.Event{})
 	}
 	name = runtime.TenantName(name)
-	r, _ := p.mover.Of(name)
+	r, _ := p.mover.RecordOf(name)
 	seat := r.Placement
 	if newDraw {
 		seat.Draw++
@@ -441,7 +441,7 @@
 		}
 		r := tenancy.Record{}
 		if p.mover != nil {
-			r, _ = p.mover.Of(name)
+			r, _ = p.mover.RecordOf(name)
 		}
 		var use tenancy.Use
 		if p.quarantine != nil {
