--- a/pilot/session.go
+++ b/pilot/session.go
@@ -153,6 +153,6 @@
 // markAway reports to the mover that a proxy cannot be reached.
 func (p *Pilot) markAway(id control.ProxyID) {
 	if p.mover != nil {
-		p.mover.Left(tenancy.ProxyID(id))
+		p.mover.ProxyLeft(tenancy.ProxyID(id))
 	}
 }
