--- a/pilot/moves.go
+++ b/pilot/moves.go
@@ -467,7 +467,7 @@
 		fmt.Fprintf(w, "%s,%s,%s,%s,%d,%d,%s,%s,\n", runtime.Quote("="+m.Tenant), m.Phase, m.Placement, m.To, m.Held.Milliseconds(),
 			m.Remaining.Milliseconds(), formatProxyIDs(m.Unconfirmed), formatProxyIDs(m.Disconnected))
 	}
-	joined, away := p.mover.Known()
+	joined, away := p.mover.Proxies()
 	fmt.Fprintf(w,
 		"Moving: %d\nWaiting: %d\nMoved: %d\nCancelled: %d\nOrders_waiting: %d\nProxies_joined: %d\nProxies_away: %s\n",
 		len(moving), waiting,
