--- a/proxy/bindings.go
+++ b/proxy/bindings.go
@@ -53,7 +53,7 @@
 	setBinding := func(tenant string, number uint64, seat tenancy.Placement, held bool) {
 		binding, ok := after.byTenant[tenant]
 		if !ok {
-			binding = tenancy.Bound()
+			binding = tenancy.NewBinding()
 		}
 		after.byTenant[tenant] = binding.Take(now, after.writeWait, m.Pilot, number, seat, held)
 		changed[tenant] = after.byTenant[tenant]
