--- a/proxy/bindings.go
+++ b/proxy/bindings.go
@@ -154,7 +154,7 @@
 		}
 		switch {
 		case stored.Tenant != nil && stored.Binding != nil:
-			b.byTenant[*stored.Tenant] = stored.Binding.Kept(now)
+			b.byTenant[*stored.Tenant] = stored.Binding.AfterRestart(now)
 		case stored.Tenant != nil:
 			delete(b.byTenant, *stored.Tenant)
 		default:
