--- a/proxy/bindings.go
+++ b/proxy/bindings.go
@@ -55,7 +55,7 @@
 		if !ok {
 			binding = tenancy.NewBinding()
 		}
-		after.byTenant[tenant] = binding.Take(now, after.writeWait, m.Pilot, number, seat, held)
+		after.byTenant[tenant] = binding.Apply(now, after.writeWait, m.Pilot, number, seat, held)
 		changed[tenant] = after.byTenant[tenant]
 	}
 	for _, c := range m.Changes {
--- a/proxy/placement_test.go
+++ b/proxy/placement_test.go
@@ -82,7 +82,7 @@
 	const all = 200
 	for i := range all {
 		owner := tenantOf(i)
-		synced.bindings.byTenant[owner.name] = tenancy.NewBinding().Take(0, 0, "p", 1, tenancy.Placement{Draw: 1}, false)
+		synced.bindings.byTenant[owner.name] = tenancy.NewBinding().Apply(0, 0, "p", 1, tenancy.Placement{Draw: 1}, false)
 		first, known := groupOf(syncedProxy, owner, "key", synced, unlimited)
 		second, alsoKnown := groupOf(newProxy, owner, "key", unsynced, unlimited)
 		if known && alsoKnown && first != second {
