--- a/proxy/admin.go
+++ b/proxy/admin.go
@@ -88,7 +88,7 @@
 			limit = unlimited
 		}
 		binding, writes := t.bindings.byTenant[name], "open"
-		if _, bound := t.bindings.byTenant[name]; bound && !binding.Writes(now, t.bindings.writeWait) {
+		if _, bound := t.bindings.byTenant[name]; bound && !binding.AllowsWrites(now, t.bindings.writeWait) {
 			writes = "held"
 		}
 		fmt.Fprintf(w, "%s,%g,%g,%t,%g,%s,%d,%s,\n", runtime.Quote("="+name), limit.Rate, limit.Hand,
--- a/proxy/bindings.go
+++ b/proxy/bindings.go
@@ -37,7 +37,7 @@
 		return false
 	}
 	binding, bound := b.byTenant[tenant]
-	return bound && !binding.Writes(now, b.writeWait)
+	return bound && !binding.AllowsWrites(now, b.writeWait)
 }
 
 // apply returns the bindings after a message, and the bindings that it changed, by tenant. If the message holds no binding
@@ -85,7 +85,7 @@
 func (b *bindings) dropDefaults(now time.Duration) (*bindings, map[string]tenancy.Binding) {
 	dropped := map[string]tenancy.Binding{}
 	for name, binding := range b.byTenant {
-		if !binding.Held && binding.Placement.Equal(tenancy.Placement{}) && binding.Writes(now, b.writeWait) && binding.Number <= b.upTo {
+		if !binding.Held && binding.Placement.Equal(tenancy.Placement{}) && binding.AllowsWrites(now, b.writeWait) && binding.Number <= b.upTo {
 			dropped[name] = binding
 		}
 	}
