--- a/pilot/moves.go
+++ b/pilot/moves.go
@@ -61,7 +61,7 @@
 		return err
 	}
 	waits := tenancy.MoveLimits{Most: f.Most.Span(), Abreast: f.Abreast}
-	waits.WriteLifetime, waits.DedupWindow = tenancy.Needs(p.facts.OpTypes, p.file.Service.WriteLife.Span())
+	waits.WriteLifetime, waits.DedupWindow = tenancy.MoveDurations(p.facts.OpTypes, p.file.Service.WriteLife.Span())
 	if waits.Most <= 0 {
 		waits.Most = 10 * (waits.WriteLifetime + waits.DedupWindow)
 	}
