--- a/pilot/moves.go
+++ b/pilot/moves.go
@@ -24,12 +24,12 @@
 	*tenancy.Mover
 	store           *store.Store
 	writer          *storeWriter
-	wake            *time.Timer          // calls stepMover when the mover asked for it
-	sendingSessions []*session           // sessions with orders to send, in turn
-	moved           uint64               // number of moves that were completed
-	cancelled       uint64               // number of moves that were cancelled
-	recentEnds      []tenancy.MoveResult // the latest ends of moves, for show move
-	restoredLimits  []tenancy.Sentence   // limits loaded from the store at the start
+	wake            *time.Timer           // calls stepMover when the mover asked for it
+	sendingSessions []*session            // sessions with orders to send, in turn
+	moved           uint64                // number of moves that were completed
+	cancelled       uint64                // number of moves that were cancelled
+	recentEnds      []tenancy.MoveResult  // the latest ends of moves, for show move
+	restoredLimits  []tenancy.LimitRecord // limits loaded from the store at the start
 }
 
 // sessionOrder is an order for one session of a proxy. It is not sent if the session has ended.
@@ -197,7 +197,7 @@
 	mu      sync.Mutex
 	records map[string]tenancy.Record // newest record of each tenant, to be stored
 	known   []tenancy.ProxyID         // proxies to be stored; nil: unchanged
-	limits  []tenancy.Sentence        // limits to be stored; nil: unchanged
+	limits  []tenancy.LimitRecord     // limits to be stored; nil: unchanged
 	orders  []sessionOrder            // orders to be sent once records is stored
 	pruneAt int                       // number of orders at which those of ended sessions are removed
 	err     error                     // of the last write
@@ -244,10 +244,10 @@
 }
 
 // setLimits queues all current limits of tenants to be stored.
-func (w *storeWriter) setLimits(all []tenancy.Sentence) {
+func (w *storeWriter) setLimits(all []tenancy.LimitRecord) {
 	w.mu.Lock()
 	if w.limits = all; all == nil {
-		w.limits = []tenancy.Sentence{}
+		w.limits = []tenancy.LimitRecord{}
 	}
 	w.mu.Unlock()
 	w.wakeUp()
--- a/pilot/pilot.go
+++ b/pilot/pilot.go
@@ -132,7 +132,7 @@
 	p.intake.opTypeCount = len(p.facts.OpTypes)
 	p.intake.isKnown = func(id control.EndpointID) bool { _, ok := p.list[id]; return ok }
 	if p.tenantUses, p.podLoadSums = nil, map[tenancy.PodID]*[2]float64{}; p.file.Tenants {
-		var sentences []tenancy.Sentence
+		var sentences []tenancy.LimitRecord
 		if p.quarantine != nil {
 			sentences = p.quarantine.Sentences()
 		} else if p.mover != nil {
