--- a/pilot/pilot.go
+++ b/pilot/pilot.go
@@ -134,7 +134,7 @@
 	if p.tenantUses, p.podLoadSums = nil, map[tenancy.PodID]*[2]float64{}; p.file.Tenants {
 		var sentences []tenancy.LimitRecord
 		if p.quarantine != nil {
-			sentences = p.quarantine.Sentences()
+			sentences = p.quarantine.LimitRecords()
 		} else if p.mover != nil {
 			sentences = p.mover.restoredLimits
 		}
@@ -240,7 +240,7 @@
 	}
 	if len(limits) > 0 {
 		if p.mover != nil {
-			p.mover.writer.setLimits(p.quarantine.Sentences())
+			p.mover.writer.setLimits(p.quarantine.LimitRecords())
 		}
 		p.sendLimits(limits)
 	}
