--- a/pilot/moves.go
+++ b/pilot/moves.go
@@ -445,7 +445,7 @@
 		}
 		var use tenancy.Use
 		if p.quarantine != nil {
-			use = p.quarantine.Met(name)
+			use = p.quarantine.UsageOf(name)
 		}
 		period := p.facts.ReportInterval.Seconds()
 		fmt.Fprintf(w, "%s,%g,%g,%g,%t,%g,%s,%s,%d,%.3g,%.3g,%.3g,\n", runtime.Quote("="+name), limit.Rate, limit.Tries, limit.Hand,
