--- a/pilot/moves.go
+++ b/pilot/moves.go
@@ -443,7 +443,7 @@
 		if p.mover != nil {
 			r, _ = p.mover.RecordOf(name)
 		}
-		var use tenancy.Use
+		var use tenancy.Usage
 		if p.quarantine != nil {
 			use = p.quarantine.UsageOf(name)
 		}
--- a/pilot/pilot.go
+++ b/pilot/pilot.go
@@ -65,7 +65,7 @@
 	channel        *channel
 	intake         *intake
 	quarantine     *tenancy.Quarantine           // nil if tenants are not limited
-	tenantUses     []tenancy.Use                 // per-tenant sums of the current period
+	tenantUses     []tenancy.Usage               // per-tenant sums of the current period
 	podLoadSums    map[tenancy.PodID]*[2]float64 // sum and number of the load reports of the current period
 	mover          *mover                        // nil if tenants are not moved
 	records        *recorder
@@ -307,7 +307,7 @@
 	}
 	for _, t := range s.Tenants {
 		if len(p.tenantUses) < maxTenantUses {
-			p.tenantUses = append(p.tenantUses, tenancy.Use{Tenant: t.Tenant, Pod: tenancy.PodID(t.Pod), Ops: float64(t.Ops),
+			p.tenantUses = append(p.tenantUses, tenancy.Usage{Tenant: t.Tenant, Pod: tenancy.PodID(t.Pod), Ops: float64(t.Ops),
 				Failed: float64(t.Failed), Busy: t.Busy})
 		}
 	}
