--- a/pilot/notices.go
+++ b/pilot/notices.go
@@ -53,7 +53,7 @@
 // markLimits stores changed limits of tenants and marks them for all proxies.
 func (ds *desiredState) markLimits(limits []runtime.Change) {
 	for _, c := range limits {
-		if ds.limits[c.Tenant] = c; c.Limit().Free() {
+		if ds.limits[c.Tenant] = c; c.Limit().IsDefault() {
 			delete(ds.limits, c.Tenant)
 		}
 		for id, proxy := range ds.proxies {
--- a/proxy/tables.go
+++ b/proxy/tables.go
@@ -287,7 +287,7 @@
 			if next.limits == nil {
 				next.limits = map[string]tenancy.Limit{}
 			}
-			if next.limits[c.Tenant] = c.Limit(); c.Limit().Free() {
+			if next.limits[c.Tenant] = c.Limit(); c.Limit().IsDefault() {
 				delete(next.limits, c.Tenant)
 			}
 		case runtime.ClearState:
