--- a/proxy/tenants.go
+++ b/proxy/tenants.go
@@ -101,10 +101,10 @@
 		t.known[name] = record
 		return record
 	}
-	shared := t.known[tenancy.Folded]
+	shared := t.known[tenancy.AggregatedTenant]
 	if shared == nil {
-		shared = &tenant{name: tenancy.Folded, account: &account{}}
-		t.known[tenancy.Folded] = shared
+		shared = &tenant{name: tenancy.AggregatedTenant, account: &account{}}
+		t.known[tenancy.AggregatedTenant] = shared
 	}
 	return &tenant{name, true, shared.account}
 }
@@ -322,7 +322,7 @@
 	defer t.mu.Unlock()
 	sum := t.sums[key]
 	if sum == nil && len(t.sums) >= maxTenantSums {
-		key.name = tenancy.Folded
+		key.name = tenancy.AggregatedTenant
 		sum = t.sums[key]
 	}
 	if sum == nil {
