--- a/proxy/tenants.go
+++ b/proxy/tenants.go
@@ -117,7 +117,7 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.budget.Op(l.Tries)
+	t.budget.Earn(l.Tries)
 	return t.allowance.Admit(now, l.Rate, l.Hand, rank)
 }
 
