--- a/proxy/tenants.go
+++ b/proxy/tenants.go
@@ -137,7 +137,7 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.budget.Try()
+	return t.budget.Spend()
 }
 
 // pod returns the pod that the server belongs to: its pack within its zone.
