--- a/proxy/tenants.go
+++ b/proxy/tenants.go
@@ -48,7 +48,7 @@
 	mu     sync.Mutex          // guards the fields below
 	budget tenancy.RetryBudget // tries beyond the first
 	credit tenancy.Credit      // success rate; decides whether the tenant may borrow a pod
-	lent   tenancy.Lent        // where the tenant's writes went last
+	lent   tenancy.BorrowState // where the tenant's writes went last
 
 	allowance tenancy.Allowance // op rate and ops in progress
 }
