--- a/proxy/tenants.go
+++ b/proxy/tenants.go
@@ -288,7 +288,7 @@
 		return pick(subset), false
 	}
 	owner.mu.Lock()
-	pod, borrowing := owner.lent.At(now, wait)
+	pod, borrowing := owner.lent.BorrowedPod(now, wait)
 	mayBorrow := !owner.shared && !limited && owner.credit.Lends() && (!writes || owner.lent.May(now, wait))
 	overdue := owner.lent.Long(now)
 	owner.mu.Unlock()
