--- a/proxy/tenants.go
+++ b/proxy/tenants.go
@@ -303,7 +303,7 @@
 	}
 	if e != nil && writes && !owner.shared {
 		owner.mu.Lock()
-		owner.lent.Wrote(now, pod, borrowing)
+		owner.lent.RecordWrite(now, pod, borrowing)
 		owner.mu.Unlock()
 	}
 	return e, borrowing && e != nil
