--- a/proxy/tenants.go
+++ b/proxy/tenants.go
@@ -290,7 +290,7 @@
 	owner.mu.Lock()
 	pod, borrowing := owner.lent.BorrowedPod(now, wait)
 	mayBorrow := !owner.shared && !limited && owner.credit.Lends() && (!writes || owner.lent.MayBorrow(now, wait))
-	overdue := owner.lent.Long(now)
+	overdue := owner.lent.MustReturn(now)
 	owner.mu.Unlock()
 	if borrowing = borrowing && writes && !owner.shared; borrowing && overdue && pick(subset) != nil {
 		return nil, false // the subset is usable again, so the writes must return to it and wait until that is safe
