--- a/proxy/tenants.go
+++ b/proxy/tenants.go
@@ -45,10 +45,10 @@
 
 // account is a tenant's use of its limits, its retry budget, and its borrowing of a pod outside its subset.
 type account struct {
-	mu     sync.Mutex          // guards the fields below
-	budget tenancy.RetryBudget // tries beyond the first
-	credit tenancy.Credit      // success rate; decides whether the tenant may borrow a pod
-	lent   tenancy.BorrowState // where the tenant's writes went last
+	mu     sync.Mutex           // guards the fields below
+	budget tenancy.RetryBudget  // tries beyond the first
+	credit tenancy.BorrowCredit // success rate; decides whether the tenant may borrow a pod
+	lent   tenancy.BorrowState  // where the tenant's writes went last
 
 	allowance tenancy.Allowance // op rate and ops in progress
 }
