--- a/proxy/tenants.go
+++ b/proxy/tenants.go
@@ -315,7 +315,7 @@
 		return
 	}
 	owner.mu.Lock()
-	owner.credit.Met(!failed)
+	owner.credit.AddTry(!failed)
 	owner.mu.Unlock()
 	key := sumKey{owner.name, e.pod()}
 	t.mu.Lock()
