--- a/proxy/tenants.go
+++ b/proxy/tenants.go
@@ -289,7 +289,7 @@
 	}
 	owner.mu.Lock()
 	pod, borrowing := owner.lent.BorrowedPod(now, wait)
-	mayBorrow := !owner.shared && !limited && owner.credit.Lends() && (!writes || owner.lent.MayBorrow(now, wait))
+	mayBorrow := !owner.shared && !limited && owner.credit.Sufficient() && (!writes || owner.lent.MayBorrow(now, wait))
 	overdue := owner.lent.MustReturn(now)
 	owner.mu.Unlock()
 	if borrowing = borrowing && writes && !owner.shared; borrowing && overdue && pick(subset) != nil {
