--- a/proxy/placement.go
+++ b/proxy/placement.go
@@ -83,7 +83,7 @@
 	if !p.isZone {
 		return e.pod() == p.group
 	}
-	return tenancy.ZoneOf(e.pod()) == p.group && (p.pods == nil || slices.Contains(p.pods, e.pod()))
+	return tenancy.ZoneGroup(e.pod()) == p.group && (p.pods == nil || slices.Contains(p.pods, e.pod()))
 }
 
 // placeWrite returns the placement of an op of the given type. The placement is nil if the op may go to any server that its
--- a/proxy/two_proxies_test.go
+++ b/proxy/two_proxies_test.go
@@ -91,7 +91,7 @@
 			t.Fatalf("write %d: no server of its group", i)
 		}
 		if group.isZone {
-			return tenancy.ZoneOf(e.pod()), true
+			return tenancy.ZoneGroup(e.pod()), true
 		}
 		return e.pod(), true
 	}
