--- a/proxy/placement.go
+++ b/proxy/placement.go
@@ -49,7 +49,7 @@
 func newWriteGroups(s *files.Service, zone int) *writeGroups {
 	g, own := &writeGroups{}, tenancy.PodOf(zone, 0)
 	g.byKind[allPacks], g.byKind[allZones] = s.WriteGroups()
-	g.byKind[ownZonePacks], g.byKind[ownZone] = g.byKind[allPacks].Within(own), g.byKind[allZones].Within(own)
+	g.byKind[ownZonePacks], g.byKind[ownZone] = g.byKind[allPacks].InZone(own), g.byKind[allZones].InZone(own)
 	return g
 }
 
