--- a/proxy/placement.go
+++ b/proxy/placement.go
@@ -55,7 +55,7 @@
 
 // groupsFor returns the groups of a kind that a write may go to. The caller must not modify the result.
 func (g *writeGroups) groupsFor(kind groupKind, w tenancy.Write) []tenancy.PodID {
-	if w.All() { // the tenant may use all groups: nothing to draw or cache
+	if w.AllGroups() { // the tenant may use all groups: nothing to draw or cache
 		return g.byKind[kind].Subset(w)
 	}
 	return g.subsets[kind].getOrDraw(w, g.byKind[kind].Subset)
@@ -65,7 +65,7 @@
 // groups are being changed and the next groups would assign another one.
 func (g *writeGroups) draw(kind groupKind, w tenancy.Write, subset []tenancy.PodID) (tenancy.PodID, bool) {
 	groups := &g.byKind[kind]
-	if w.All() || !groups.Joint() { // no next subset to cache
+	if w.AllGroups() || !groups.Joint() { // no next subset to cache
 		return groups.Draw(w, subset)
 	}
 	return groups.DrawFrom(w, subset, g.nextSubsets[kind].getOrDraw(w, groups.NextSubset))
@@ -100,7 +100,7 @@
 	if owner != nil {
 		write = p.tenants.writeOf(kind, owner, current.bindings)
 	}
-	if write.Key = string(key); write.Key == "" && write.All() {
+	if write.Key = string(key); write.Key == "" && write.AllGroups() {
 		return nil, true
 	}
 	if owner != nil && current.bindings.unsynced {
@@ -113,7 +113,7 @@
 		subset = p.groups.groupsFor(kind, write)
 	}
 	group, known := p.groups.draw(kind, write, subset)
-	if !known || limit.Fenced && !write.All() && group != subset[0] {
+	if !known || limit.Fenced && !write.AllGroups() && group != subset[0] {
 		return nil, false
 	}
 	placed = &placement{isZone: kind.isZone(), group: group}
