--- a/proxy/tenants.go
+++ b/proxy/tenants.go
@@ -84,7 +84,7 @@
 	if at, err := netip.ParseAddrPort(c.Remote()); err == nil {
 		client = at.Addr()
 	}
-	return t.lookup(t.matcher.Of(field, m.Target, client))
+	return t.lookup(t.matcher.Tenant(field, m.Target, client))
 }
 
 // lookup returns the record of a tenant, which it creates if needed. Tenants beyond maxTenants get a record that is not kept
