--- a/pilot/moves.go
+++ b/pilot/moves.go
@@ -268,7 +268,7 @@
 		w.records, w.known, w.limits, w.orders = map[string]tenancy.Record{}, nil, nil, nil
 		w.mu.Unlock()
 		for {
-			err := w.store.Keep(step, limits)
+			err := w.store.Save(step, limits)
 			w.mu.Lock()
 			w.err = err
 			w.mu.Unlock()
