--- a/pilot/moves.go
+++ b/pilot/moves.go
@@ -68,7 +68,7 @@
 	if waits.Abreast <= 0 {
 		waits.Abreast = defaultConcurrentMoves
 	}
-	p.mover = &mover{Mover: tenancy.NewMover(waits, stored.Born, stored.Records, stored.Known), store: s,
+	p.mover = &mover{Mover: tenancy.NewMover(waits, stored.CreatedAt, stored.Records, stored.Known), store: s,
 		wake:           p.host.After(0, func() { p.stepMover() }),
 		restoredLimits: stored.Sentences}
 	p.mover.writer = startStoreWriter(s, p.log, func(orders []sessionOrder) { p.post(func() { p.queueBindings(orders) }) })
