--- a/pilot/moves.go
+++ b/pilot/moves.go
@@ -70,7 +70,7 @@
 	}
 	p.mover = &mover{Mover: tenancy.NewMover(waits, stored.CreatedAt, stored.Records, stored.Known), store: s,
 		wake:           p.host.After(0, func() { p.stepMover() }),
-		restoredLimits: stored.Sentences}
+		restoredLimits: stored.Limits}
 	p.mover.writer = startStoreWriter(s, p.log, func(orders []sessionOrder) { p.post(func() { p.queueBindings(orders) }) })
 	p.log.Info("store of tenants opened; moves of tenants enabled", "store", f.Store, "moved", len(stored.Records),
 		"proxies", len(stored.Known))
