--- a/pilot/fleet.go
+++ b/pilot/fleet.go
@@ -25,7 +25,7 @@
 	}
 	p.updateAdvertised()
 	p.members, err = members.Start(members.Gossip{Name: p.file.Name, Bind: f.Bind, Others: f.Others, Keys: keys, Allow: f.Allow,
-		Log: p.log, Tell: func() members.Who { return *p.advertised.Load() }})
+		Log: p.log, Tell: func() members.PilotStatus { return *p.advertised.Load() }})
 	return err
 }
 
@@ -51,7 +51,7 @@
 // updateAdvertised updates the data that is gossiped to the other pilots. It must be called on the loop, or before the loop
 // runs.
 func (p *Pilot) updateAdvertised() {
-	w := members.Who{Pilot: p.file.Name, Zone: p.file.Zone, Run: p.run, List: p.listVersion, From: p.listOrigin,
+	w := members.PilotStatus{Pilot: p.file.Name, Zone: p.file.Zone, Run: p.run, List: p.listVersion, From: p.listOrigin,
 		Servers: len(p.list), Proxies: len(p.sessions),
 		Wire: runtime.Wire, At: p.file.Listen}
 	if p.ln != nil {
--- a/pilot/fleet_test.go
+++ b/pilot/fleet_test.go
@@ -183,8 +183,8 @@
 	before := countEvents[control.Event](module)
 	forged, err := members.Start(members.Gossip{Name: "zz", Bind: gossip(), Others: []string{a.p.file.Members.Bind},
 		Keys: []string{key},
-		Log:  slog.New(slog.DiscardHandler), Tell: func() members.Who {
-			return members.Who{Pilot: "a", Proxies: 1 << 30,
+		Log:  slog.New(slog.DiscardHandler), Tell: func() members.PilotStatus {
+			return members.PilotStatus{Pilot: "a", Proxies: 1 << 30,
 				List: 1 << 60}
 		}})
 	if err != nil {
--- a/pilot/pilot.go
+++ b/pilot/pilot.go
@@ -54,8 +54,8 @@
 	ln            *stream.Listener
 	admin         *sessions.Listener
 	probePool     *upstream.Pool
-	members       *members.Members            // nil if gossip with other pilots is not configured
-	advertised    atomic.Pointer[members.Who] // gossiped to the other pilots
+	members       *members.Members                    // nil if gossip with other pilots is not configured
+	advertised    atomic.Pointer[members.PilotStatus] // gossiped to the other pilots
 	pendingProbes atomic.Int64
 	pendingNotes  atomic.Int64
 
