--- a/pilot/fleet.go
+++ b/pilot/fleet.go
@@ -71,8 +71,8 @@
 	fmt.Fprintln(w, "# pilot,zone,at,run,wire,list,from,skew,servers,proxies,")
 	proxies, reachable := 0, 0
 	for _, m := range p.members.All() {
-		if m.Bad != "" {
-			fmt.Fprintf(w, "%s,,%s,%s,\n", runtime.Quote(m.Pilot), m.Address, runtime.Quote(m.Bad))
+		if m.Invalid != "" {
+			fmt.Fprintf(w, "%s,,%s,%s,\n", runtime.Quote(m.Pilot), m.Address, runtime.Quote(m.Invalid))
 			continue
 		}
 		proxies, reachable = proxies+m.Proxies, reachable+1
