--- a/pilot/fleet.go
+++ b/pilot/fleet.go
@@ -25,7 +25,7 @@
 	}
 	p.updateAdvertised()
 	p.members, err = members.Start(members.Config{Name: p.file.Name, Bind: f.Bind, Others: f.Others, Keys: keys, Allow: f.Allow,
-		Log: p.log, Tell: func() members.PilotStatus { return *p.advertised.Load() }})
+		Log: p.log, Status: func() members.PilotStatus { return *p.advertised.Load() }})
 	return err
 }
 
--- a/pilot/fleet_test.go
+++ b/pilot/fleet_test.go
@@ -183,7 +183,7 @@
 	before := countEvents[control.Event](module)
 	forged, err := members.Start(members.Config{Name: "zz", Bind: gossip(), Others: []string{a.p.file.Members.Bind},
 		Keys: []string{key},
-		Log:  slog.New(slog.DiscardHandler), Tell: func() members.PilotStatus {
+		Log:  slog.New(slog.DiscardHandler), Status: func() members.PilotStatus {
 			return members.PilotStatus{Pilot: "a", Proxies: 1 << 30,
 				List: 1 << 60}
 		}})
