--- a/pilot/fleet.go
+++ b/pilot/fleet.go
@@ -53,9 +53,9 @@
 func (p *Pilot) updateAdvertised() {
 	w := members.PilotStatus{Pilot: p.file.Name, Zone: p.file.Zone, Run: p.run, List: p.listVersion, From: p.listOrigin,
 		Servers: len(p.list), Proxies: len(p.sessions),
-		Wire: runtime.Wire, At: p.file.Listen}
+		Wire: runtime.Wire, ListenAddress: p.file.Listen}
 	if p.ln != nil {
-		w.At = p.ln.Address()
+		w.ListenAddress = p.ln.Address()
 	}
 	p.advertised.Store(&w)
 }
@@ -76,7 +76,7 @@
 			continue
 		}
 		proxies, reachable = proxies+m.Proxies, reachable+1
-		fmt.Fprintf(w, "%s,%s,%s,%d,%d,%d,%s,%d,%d,%d,\n", runtime.Quote(m.Pilot), runtime.Quote(m.Zone), runtime.Quote(m.At),
+		fmt.Fprintf(w, "%s,%s,%s,%d,%d,%d,%s,%d,%d,%d,\n", runtime.Quote(m.Pilot), runtime.Quote(m.Zone), runtime.Quote(m.ListenAddress),
 			m.Run, m.Wire, m.List,
 			runtime.Quote(m.From), int64(m.List-p.listVersion), m.Servers, m.Proxies)
 	}
