--- a/pilot/fleet.go
+++ b/pilot/fleet.go
@@ -51,7 +51,7 @@
 // updateAdvertised updates the data that is gossiped to the other pilots. It must be called on the loop, or before the loop
 // runs.
 func (p *Pilot) updateAdvertised() {
-	w := members.PilotStatus{Pilot: p.file.Name, Zone: p.file.Zone, Run: p.run, List: p.listVersion, ListSource: p.listOrigin,
+	w := members.PilotStatus{Pilot: p.file.Name, Zone: p.file.Zone, Run: p.run, ListVersion: p.listVersion, ListSource: p.listOrigin,
 		Servers: len(p.list), Proxies: len(p.sessions),
 		Wire: runtime.Wire, ListenAddress: p.file.Listen}
 	if p.ln != nil {
@@ -77,8 +77,8 @@
 		}
 		proxies, reachable = proxies+m.Proxies, reachable+1
 		fmt.Fprintf(w, "%s,%s,%s,%d,%d,%d,%s,%d,%d,%d,\n", runtime.Quote(m.Pilot), runtime.Quote(m.Zone), runtime.Quote(m.ListenAddress),
-			m.Run, m.Wire, m.List,
-			runtime.Quote(m.ListSource), int64(m.List-p.listVersion), m.Servers, m.Proxies)
+			m.Run, m.Wire, m.ListVersion,
+			runtime.Quote(m.ListSource), int64(m.ListVersion-p.listVersion), m.Servers, m.Proxies)
 	}
 	fmt.Fprintf(w, "Pilots: %d\nProxies: %d\n", reachable, proxies)
 	return nil
--- a/pilot/fleet_test.go
+++ b/pilot/fleet_test.go
@@ -185,7 +185,7 @@
 		Keys: []string{key},
 		Log:  slog.New(slog.DiscardHandler), Status: func() members.PilotStatus {
 			return members.PilotStatus{Pilot: "a", Proxies: 1 << 30,
-				List: 1 << 60}
+				ListVersion: 1 << 60}
 		}})
 	if err != nil {
 		t.Fatal(err)
