--- a/proxy/placement.go
+++ b/proxy/placement.go
@@ -160,5 +160,5 @@
 	}
 	seat.Size = (count + zoneCount - 1) / zoneCount
 	return inZone.subsets[kind].getOrDraw(tenancy.Write{Tenant: owner.name, Placement: seat, Count: seat.Size},
-		func(w tenancy.Write) []tenancy.PodID { return w.Placement.Among(w.Tenant, inZone.live, w.Count) })
+		func(w tenancy.Write) []tenancy.PodID { return w.Placement.SelectFrom(w.Tenant, inZone.live, w.Count) })
 }
