--- a/proxy/tenants.go
+++ b/proxy/tenants.go
@@ -267,7 +267,7 @@
 	defer s.mu.Unlock()
 	if s.candidates == nil || now >= s.validUntil {
 		var until time.Duration
-		if s.candidates, until = s.pods.Draw(now); until < math.MaxInt64-now {
+		if s.candidates, until = s.pods.Candidates(now); until < math.MaxInt64-now {
 			until += now
 		}
 		s.validUntil = until
