--- a/pilot/moves.go
+++ b/pilot/moves.go
@@ -103,7 +103,7 @@
 	if done.Wake >= 0 {
 		m.wake.Reset(done.Wake)
 	}
-	if len(done.Records) > 0 || done.Known != nil || len(done.Updates) > 0 {
+	if len(done.Records) > 0 || done.KnownProxies != nil || len(done.Updates) > 0 {
 		orders := make([]sessionOrder, 0, len(done.Updates))
 		for _, o := range done.Updates {
 			if s := p.sessions[control.ProxyID(o.Proxy)]; s != nil {
@@ -224,8 +224,8 @@
 	for _, r := range result.Records {
 		w.records[r.Tenant] = r
 	}
-	if result.Known != nil {
-		w.known = result.Known
+	if result.KnownProxies != nil {
+		w.known = result.KnownProxies
 	}
 	if w.orders = append(w.orders, orders...); len(w.orders) > w.pruneAt {
 		w.orders = slices.DeleteFunc(w.orders, func(b sessionOrder) bool { return !isCurrent(b) })
@@ -264,7 +264,7 @@
 		case <-w.wake:
 		}
 		w.mu.Lock()
-		step, limits, orders := tenancy.StepResult{Records: slices.Collect(maps.Values(w.records)), Known: w.known}, w.limits, w.orders
+		step, limits, orders := tenancy.StepResult{Records: slices.Collect(maps.Values(w.records)), KnownProxies: w.known}, w.limits, w.orders
 		w.records, w.known, w.limits, w.orders = map[string]tenancy.Record{}, nil, nil, nil
 		w.mu.Unlock()
 		for {
