--- a/pilot/moves.go
+++ b/pilot/moves.go
@@ -68,12 +68,12 @@
 	if waits.Abreast <= 0 {
 		waits.Abreast = defaultConcurrentMoves
 	}
-	p.mover = &mover{Mover: tenancy.NewMover(waits, stored.CreatedAt, stored.Records, stored.Known), store: s,
+	p.mover = &mover{Mover: tenancy.NewMover(waits, stored.CreatedAt, stored.Records, stored.KnownProxies), store: s,
 		wake:           p.host.After(0, func() { p.stepMover() }),
 		restoredLimits: stored.Limits}
 	p.mover.writer = startStoreWriter(s, p.log, func(orders []sessionOrder) { p.post(func() { p.queueBindings(orders) }) })
 	p.log.Info("store of tenants opened; moves of tenants enabled", "store", f.Store, "moved", len(stored.Records),
-		"proxies", len(stored.Known))
+		"proxies", len(stored.KnownProxies))
 	return nil
 }
 
