--- a/pilot/moves.go
+++ b/pilot/moves.go
@@ -60,10 +60,10 @@
 		s.Close()
 		return err
 	}
-	waits := tenancy.MoveLimits{Most: f.Most.Span(), Abreast: f.Abreast}
+	waits := tenancy.MoveLimits{MaxHold: f.Most.Span(), Abreast: f.Abreast}
 	waits.WriteLifetime, waits.DedupWindow = tenancy.MoveDurations(p.facts.OpTypes, p.file.Service.WriteLife.Span())
-	if waits.Most <= 0 {
-		waits.Most = 10 * (waits.WriteLifetime + waits.DedupWindow)
+	if waits.MaxHold <= 0 {
+		waits.MaxHold = 10 * (waits.WriteLifetime + waits.DedupWindow)
 	}
 	if waits.Abreast <= 0 {
 		waits.Abreast = defaultConcurrentMoves
