--- a/pilot/moves.go
+++ b/pilot/moves.go
@@ -60,13 +60,13 @@
 		s.Close()
 		return err
 	}
-	waits := tenancy.MoveLimits{MaxHold: f.Most.Span(), Abreast: f.Abreast}
+	waits := tenancy.MoveLimits{MaxHold: f.Most.Span(), MaxConcurrent: f.Abreast}
 	waits.WriteLifetime, waits.DedupWindow = tenancy.MoveDurations(p.facts.OpTypes, p.file.Service.WriteLife.Span())
 	if waits.MaxHold <= 0 {
 		waits.MaxHold = 10 * (waits.WriteLifetime + waits.DedupWindow)
 	}
-	if waits.Abreast <= 0 {
-		waits.Abreast = defaultConcurrentMoves
+	if waits.MaxConcurrent <= 0 {
+		waits.MaxConcurrent = defaultConcurrentMoves
 	}
 	p.mover = &mover{Mover: tenancy.NewMover(waits, stored.CreatedAt, stored.Records, stored.KnownProxies), store: s,
 		wake:           p.host.After(0, func() { p.stepMover() }),
