--- a/pilot/fleet_test.go
+++ b/pilot/fleet_test.go
@@ -181,7 +181,7 @@
 	a.waitFor("both", all(a, "\na,z,", "\nb,z,", "Pilots: 2"))
 	b.waitFor("both", all(b, "\na,z,", "\nb,z,", "Pilots: 2"))
 	before := countEvents[control.Event](module)
-	forged, err := members.Start(members.Config{Name: "zz", Bind: gossip(), Others: []string{a.p.file.Members.Bind},
+	forged, err := members.Start(members.Config{Name: "zz", Bind: gossip(), Peers: []string{a.p.file.Members.Bind},
 		Keys: []string{key},
 		Log:  slog.New(slog.DiscardHandler), Status: func() members.PilotStatus {
 			return members.PilotStatus{Pilot: "a", Proxies: 1 << 30,
