--- a/tenancy/move.go
+++ b/tenancy/move.go
@@ -39,13 +39,13 @@
 
 // Record is the durable part of one tenant's place.
 type Record struct {
-	Tenant    string    `json:"tenant"`
-	Placement Placement `json:"seat"`
-	To        Placement `json:"to,omitzero"` // where it goes, while it moves
-	Phase     Phase     `json:"phase"`
-	Number    uint64    `json:"number"`          // of its newest order
-	Waits     bool      `json:"waits,omitempty"` // it opens when told to
-	Asked     *Ask      `json:"asked,omitempty"` // a move that waits for its turn
+	Tenant     string    `json:"tenant"`
+	Placement  Placement `json:"seat"`
+	To         Placement `json:"to,omitzero"` // where it goes, while it moves
+	Phase      Phase     `json:"phase"`
+	Number     uint64    `json:"number"`          // of its newest order
+	ManualOpen bool      `json:"waits,omitempty"` // it opens when told to
+	Asked      *Ask      `json:"asked,omitempty"` // a move that waits for its turn
 }
 
 // BindingUpdate is a binding for one proxy: how the tenant's ops go from now on. It may be sent any number of times; a proxy
@@ -342,7 +342,7 @@
 	if t.Placement.Equal(a.To) {
 		return
 	}
-	t.To, t.Waits = a.To, a.Waits
+	t.To, t.ManualOpen = a.To, a.Waits
 	m.await(t)
 	m.tell(t)
 }
@@ -384,7 +384,7 @@
 // proxy may open as it hears of it; one that does not hear goes on as it was.
 func (m *Mover) settle(t *tenant, at Placement) {
 	m.done.Ended = append(m.done.Ended, End{t.Tenant, !at.Equal(t.Placement), m.now - t.held})
-	t.Phase, t.Placement, t.To, t.Waits, t.awaited = Settled, at, Placement{}, false, nil
+	t.Phase, t.Placement, t.To, t.ManualOpen, t.awaited = Settled, at, Placement{}, false, nil
 	delete(m.moving, t.Tenant)
 	m.tell(t)
 }
@@ -436,7 +436,7 @@
 	wait := t.held + m.waits.Most - m.now
 	if t.Phase == Draining {
 		left := t.since + m.waits.Write + m.waits.Window - m.now
-		if left <= 0 && !t.Waits {
+		if left <= 0 && !t.ManualOpen {
 			m.settle(t, t.To)
 			return
 		}
