--- a/tenancy/move.go
+++ b/tenancy/move.go
@@ -86,9 +86,9 @@
 
 // MoveRequest asks for a tenant to be moved.
 type MoveRequest struct {
-	Tenant string    `json:"tenant"`
-	To     Placement `json:"to"`
-	Waits  bool      `json:"waits,omitempty"` // once all hold and nothing is in hand, open only when told to
+	Tenant     string    `json:"tenant"`
+	To         Placement `json:"to"`
+	ManualOpen bool      `json:"waits,omitempty"` // once all hold and nothing is in hand, open only when told to
 }
 
 // Done is what one step asks for: records to be kept first, then orders to be sent, and when to step again at the latest
@@ -342,7 +342,7 @@
 	if t.Placement.Equal(a.To) {
 		return
 	}
-	t.To, t.ManualOpen = a.To, a.Waits
+	t.To, t.ManualOpen = a.To, a.ManualOpen
 	m.await(t)
 	m.tell(t)
 }
