--- a/pilot/moves.go
+++ b/pilot/moves.go
@@ -174,7 +174,7 @@
 	var events []tenancy.Event
 	for _, c := range m.Changes {
 		if c.Verb == runtime.SetBinding {
-			events = append(events, tenancy.Event{Confirmed: &tenancy.Confirm{Proxy: tenancy.ProxyID(s.id), Tenant: c.Tenant, Number: c.Number}})
+			events = append(events, tenancy.Event{Confirmed: &tenancy.Confirmation{Proxy: tenancy.ProxyID(s.id), Tenant: c.Tenant, Number: c.Number}})
 		}
 	}
 	if len(events) > 0 {
--- a/tenancy/move.go
+++ b/tenancy/move.go
@@ -63,7 +63,7 @@
 type Event struct {
 	Joined      *Joined
 	Forgotten   *ProxyID // a proxy is known to be dead and to come back without bindings, if at all
-	Confirmed   *Confirm
+	Confirmed   *Confirmation
 	MoveRequest *MoveRequest
 	Cancel      *string // a tenant: its move ends where it began
 	Open        *string // a tenant: a move that waits to be told is told
@@ -76,9 +76,9 @@
 	AppliedUpTo uint64
 }
 
-// Confirm is a proxy's word that an order is in force, and that no write that it let go under an older one is yet to be
+// Confirmation is a proxy's word that an order is in force, and that no write that it let go under an older one is yet to be
 // sent.
-type Confirm struct {
+type Confirmation struct {
 	Proxy  ProxyID
 	Tenant string
 	Number uint64
@@ -300,7 +300,7 @@
 	}
 }
 
-func (m *Mover) confirmed(c Confirm) {
+func (m *Mover) confirmed(c Confirmation) {
 	if t := m.moving[c.Tenant]; t != nil && c.Number == t.Number {
 		delete(t.awaited, c.Proxy)
 	}
--- a/tenancy/move_test.go
+++ b/tenancy/move_test.go
@@ -33,7 +33,7 @@
 	joined  bool
 	has     uint64          // orders of the pilot that it has all of
 	orders  []BindingUpdate // on their way to it
-	answers []Confirm       // on their way back
+	answers []Confirmation  // on their way back
 }
 
 type op struct {
@@ -101,7 +101,7 @@
 		return
 	}
 	p.Binding = p.Take(w.now, w.alone, "p", o.Number, o.Placement, o.Held)
-	p.answers = append(p.answers, Confirm{id, o.Tenant, o.Number})
+	p.answers = append(p.answers, Confirmation{id, o.Tenant, o.Number})
 }
 
 // happen plays one thing that may happen.
@@ -338,7 +338,7 @@
 		var events []Event
 		for _, o := range d.Updates {
 			if !o.Clear && !slices.Contains(but, o.Proxy) {
-				events = append(events, Event{Confirmed: &Confirm{o.Proxy, o.Tenant, o.Number}})
+				events = append(events, Event{Confirmed: &Confirmation{o.Proxy, o.Tenant, o.Number}})
 			}
 		}
 		d = m.Step(now, events...)
