--- a/tenancy/move.go
+++ b/tenancy/move.go
@@ -183,7 +183,7 @@
 type MoveStatus struct {
 	Record
 	Held, Remaining time.Duration // how long it has been held, and how long at the most until the move ends or is cancelled
-	Awaited         []ProxyID     // that have not confirmed that they hold
+	Unconfirmed     []ProxyID     // that have not confirmed that they hold
 	Away            []ProxyID     // of those, the ones whose streams are down
 }
 
@@ -191,8 +191,8 @@
 func (m *Mover) Moving(now time.Duration) (out []MoveStatus, waiting int) {
 	for _, name := range slices.Sorted(maps.Keys(m.moving)) {
 		t := m.moving[name]
-		s := MoveStatus{Record: clone(t.Record), Held: now - t.held, Remaining: t.held + m.waits.Most - now, Awaited: slices.Sorted(maps.Keys(t.awaited))}
-		for _, p := range s.Awaited {
+		s := MoveStatus{Record: clone(t.Record), Held: now - t.held, Remaining: t.held + m.waits.Most - now, Unconfirmed: slices.Sorted(maps.Keys(t.awaited))}
+		for _, p := range s.Unconfirmed {
 			if !m.proxies[p] {
 				s.Away = append(s.Away, p)
 			}
