--- a/pilot/moves.go
+++ b/pilot/moves.go
@@ -438,7 +438,7 @@
 	fmt.Fprintln(w, "# tenant,phase,from,to,held_ms,left_ms,awaited,away,")
 	for _, m := range moving {
 		fmt.Fprintf(w, "%s,%s,%s,%s,%d,%d,%s,%s,\n", runtime.Quote("="+m.Tenant), m.Phase, m.Placement, m.To, m.Held.Milliseconds(), m.Remaining.Milliseconds(),
-			someIDs(m.Unconfirmed), someIDs(m.Away))
+			someIDs(m.Unconfirmed), someIDs(m.Disconnected))
 	}
 	joined, away := p.mover.Known()
 	fmt.Fprintf(w, "Moving: %d\nWaiting: %d\nMoved: %d\nCancelled: %d\nOrders_waiting: %d\nProxies_joined: %d\nProxies_away: %s\n", len(moving), waiting,
--- a/tenancy/move.go
+++ b/tenancy/move.go
@@ -184,7 +184,7 @@
 	Record
 	Held, Remaining time.Duration // how long it has been held, and how long at the most until the move ends or is cancelled
 	Unconfirmed     []ProxyID     // that have not confirmed that they hold
-	Away            []ProxyID     // of those, the ones whose streams are down
+	Disconnected    []ProxyID     // of those, the ones whose streams are down
 }
 
 // Moving returns the moves under way, by tenant, and how many wait for their turn.
@@ -194,7 +194,7 @@
 		s := MoveStatus{Record: clone(t.Record), Held: now - t.held, Remaining: t.held + m.waits.Most - now, Unconfirmed: slices.Sorted(maps.Keys(t.awaited))}
 		for _, p := range s.Unconfirmed {
 			if !m.proxies[p] {
-				s.Away = append(s.Away, p)
+				s.Disconnected = append(s.Disconnected, p)
 			}
 		}
 		out = append(out, s)
