--- a/pilot/moves.go
+++ b/pilot/moves.go
@@ -354,7 +354,7 @@
 		return p.asked(tenancy.Event{})
 	}
 	name = runtime.TenantName(name)
-	r, _ := p.mover.Of(name)
+	r, _ := p.mover.RecordOf(name)
 	seat := r.Placement
 	if fresh {
 		seat.Draw++
@@ -417,7 +417,7 @@
 		}
 		r := tenancy.Record{}
 		if p.mover != nil {
-			r, _ = p.mover.Of(name)
+			r, _ = p.mover.RecordOf(name)
 		}
 		var u tenancy.Use
 		if p.quarantine != nil {
--- a/tenancy/move.go
+++ b/tenancy/move.go
@@ -170,8 +170,8 @@
 	return r
 }
 
-// Of returns a tenant's record; false for one that was never moved.
-func (m *Mover) Of(name string) (Record, bool) {
+// RecordOf returns a tenant's record; false for one that was never moved.
+func (m *Mover) RecordOf(name string) (Record, bool) {
 	t := m.tenants[name]
 	if t == nil {
 		return Record{Tenant: name}, false
--- a/tenancy/move_test.go
+++ b/tenancy/move_test.go
@@ -237,7 +237,7 @@
 		if n := w.doubled(); n > 0 {
 			t.Fatalf("seed %d: %d ops took effect twice", seed, n)
 		}
-		r, _ := w.m.Of("a")
+		r, _ := w.m.RecordOf("a")
 		if r.Phase != Settled || r.Queued != nil {
 			t.Fatalf("seed %d: no way out of %+v", seed, r)
 		}
--- a/tenancy/store/store_test.go
+++ b/tenancy/store/store_test.go
@@ -136,8 +136,8 @@
 		t.Fatal(err)
 	}
 	again := tenancy.NewMover(waits, 5, kept.Records, kept.Known)
-	one, _ := m.Of("a")
-	two, ok := again.Of("a")
+	one, _ := m.RecordOf("a")
+	two, ok := again.RecordOf("a")
 	if !ok || fmt.Sprint(one) != fmt.Sprint(two) || two.Phase != tenancy.Holding {
 		t.Errorf("%+v\n%+v", one, two)
 	}
