--- a/pilot/admin.go
+++ b/pilot/admin.go
@@ -72,7 +72,7 @@
 		p.Info(w)
 	}
 	if m := p.mover; m != nil {
-		moving, waiting := m.Moving(p.host.Now())
+		moving, waiting := m.ActiveMoves(p.host.Now())
 		fmt.Fprintf(w, "Moves: %d\nMoves_waiting: %d\nMoved: %d\nMoves_cancelled: %d\nBindings_waiting: %d\n", len(moving), waiting, m.moved, m.undone, m.waiting())
 	}
 }
--- a/pilot/moves.go
+++ b/pilot/moves.go
@@ -434,7 +434,7 @@
 	if p.mover == nil {
 		return p.asked(tenancy.Event{})
 	}
-	moving, waiting := p.mover.Moving(p.host.Now())
+	moving, waiting := p.mover.ActiveMoves(p.host.Now())
 	fmt.Fprintln(w, "# tenant,phase,from,to,held_ms,left_ms,awaited,away,")
 	for _, m := range moving {
 		fmt.Fprintf(w, "%s,%s,%s,%s,%d,%d,%s,%s,\n", runtime.Quote("="+m.Tenant), m.Phase, m.Placement, m.To, m.Held.Milliseconds(), m.Remaining.Milliseconds(),
--- a/tenancy/move.go
+++ b/tenancy/move.go
@@ -187,8 +187,8 @@
 	Disconnected    []ProxyID     // of those, the ones whose streams are down
 }
 
-// Moving returns the moves under way, by tenant, and how many wait for their turn.
-func (m *Mover) Moving(now time.Duration) (out []MoveStatus, waiting int) {
+// ActiveMoves returns the moves under way, by tenant, and how many wait for their turn.
+func (m *Mover) ActiveMoves(now time.Duration) (out []MoveStatus, waiting int) {
 	for _, name := range slices.Sorted(maps.Keys(m.moving)) {
 		t := m.moving[name]
 		s := MoveStatus{Record: clone(t.Record), Held: now - t.held, Remaining: t.held + m.waits.Most - now, Unconfirmed: slices.Sorted(maps.Keys(t.awaited))}
--- a/tenancy/move_test.go
+++ b/tenancy/move_test.go
@@ -370,7 +370,7 @@
 		}
 	}
 	d = m.Step(now, ask("a", 1), ask("", 1), ask("\x00\xff \n", 1))
-	if moving, waiting := m.Moving(now); len(moving) != 2 || waiting != 1 || len(d.Updates) != 4 || len(d.Records) != 3 {
+	if moving, waiting := m.ActiveMoves(now); len(moving) != 2 || waiting != 1 || len(d.Updates) != 4 || len(d.Records) != 3 {
 		t.Fatalf("%v %d, %+v", moving, waiting, d)
 	}
 	confirmAll(m, now, d, 2)
@@ -378,7 +378,7 @@
 	if d = m.Step(now); len(d.Ended) != 0 || d.Wake != tick {
 		t.Errorf("%+v", d)
 	}
-	if moving, _ := m.Moving(now); !slices.Equal(moving[0].Unconfirmed, []ProxyID{2}) || moving[0].Remaining != tick || moving[0].Phase != Holding {
+	if moving, _ := m.ActiveMoves(now); !slices.Equal(moving[0].Unconfirmed, []ProxyID{2}) || moving[0].Remaining != tick || moving[0].Phase != Holding {
 		t.Errorf("%+v", moving)
 	}
 	now = 10 * tick
@@ -395,7 +395,7 @@
 	confirmAll(m, now, d)
 	now += 3 * tick
 	m.Step(now)
-	if moving, _ := m.Moving(now); moving[0].Phase != Ready {
+	if moving, _ := m.ActiveMoves(now); moving[0].Phase != Ready {
 		t.Errorf("%+v", moving)
 	}
 	name := "a"
--- a/tenancy/store/store_test.go
+++ b/tenancy/store/store_test.go
@@ -141,7 +141,7 @@
 	if !ok || fmt.Sprint(one) != fmt.Sprint(two) || two.Phase != tenancy.Holding {
 		t.Errorf("%+v\n%+v", one, two)
 	}
-	if moving, _ := again.Moving(0); len(moving) != 1 || len(moving[0].Disconnected) != 3 {
+	if moving, _ := again.ActiveMoves(0); len(moving) != 1 || len(moving[0].Disconnected) != 3 {
 		t.Errorf("%+v", moving)
 	}
 }
