--- a/pilot/moves.go
+++ b/pilot/moves.go
@@ -401,7 +401,7 @@
 func (p *Pilot) showTenant(w io.Writer, words []string) error {
 	names := slices.Collect(maps.Keys(p.desired.limits))
 	if p.mover != nil {
-		for _, r := range p.mover.Seated() {
+		for _, r := range p.mover.Records() {
 			names = append(names, r.Tenant)
 		}
 	}
--- a/tenancy/move.go
+++ b/tenancy/move.go
@@ -202,8 +202,8 @@
 	return out, len(m.queue)
 }
 
-// Seated returns the records of all tenants that were ever moved, by name.
-func (m *Mover) Seated() (out []Record) {
+// Records returns the records of all tenants that were ever moved, by name.
+func (m *Mover) Records() (out []Record) {
 	for _, name := range slices.Sorted(maps.Keys(m.tenants)) {
 		out = append(out, clone(m.tenants[name].Record))
 	}
