--- a/proxy/bindings.go
+++ b/proxy/bindings.go
@@ -50,7 +50,7 @@
 	set := func(tenant string, number uint64, seat tenancy.Placement, held bool) {
 		x, ok := n.of[tenant]
 		if !ok {
-			x = tenancy.Bound()
+			x = tenancy.NewBinding()
 		}
 		n.of[tenant] = x.Take(now, n.wait, m.Pilot, number, seat, held)
 		changed[tenant] = n.of[tenant]
--- a/tenancy/move_test.go
+++ b/tenancy/move_test.go
@@ -76,7 +76,7 @@
 		effects: map[string]map[int]time.Duration{}}
 	w.m = NewMover(waits, 100, nil, nil)
 	for i := range proxies {
-		w.proxies[ProxyID(i)] = &held{Binding: Bound(), joined: true}
+		w.proxies[ProxyID(i)] = &held{Binding: NewBinding(), joined: true}
 		w.step(Event{Joined: &Joined{Proxy: ProxyID(i)}})
 	}
 	return w
@@ -280,7 +280,7 @@
 	run := func(seed uint64, alone time.Duration) (doubled, opened int) {
 		rng := rand.New(rand.NewPCG(seed, 3))
 		w := &world{effects: map[string]map[int]time.Duration{}}
-		b := Bound()
+		b := NewBinding()
 		numbers := map[string]uint64{"a": 100, "b": 7}
 		for range 200 {
 			switch rng.IntN(6) {
--- a/tenancy/seat.go
+++ b/tenancy/seat.go
@@ -115,8 +115,8 @@
 	either bool          // they may have been let go at the seat as well as where Wrote says
 }
 
-// Bound is a binding that was never ordered: the tenant is where its name draws it.
-func Bound() Binding { return Binding{open: true} }
+// NewBinding is a binding that was never ordered: the tenant is where its name draws it.
+func NewBinding() Binding { return Binding{open: true} }
 
 // Kept is a binding that was on disk when the proxy started: writes may have gone until then.
 func (b Binding) Kept(now time.Duration) Binding {
