--- a/tenancy/seat.go
+++ b/tenancy/seat.go
@@ -106,13 +106,13 @@
 // two seats within the span that a repeat of one could meet servers which do not know it, whoever orders what.
 type Binding struct {
 	Placement
-	Pilot  string        `json:"pilot"` // whose order it is
-	Number uint64        `json:"number"`
-	Held   bool          `json:"held,omitempty"`
-	Wrote  Placement     `json:"wrote"` // where writes were last let go
-	shut   time.Duration // since when none are let go there, once the seat is another or it is held
-	open   bool          // they are let go there
-	either bool          // they may have been let go at the seat as well as where Wrote says
+	Pilot         string        `json:"pilot"` // whose order it is
+	Number        uint64        `json:"number"`
+	Held          bool          `json:"held,omitempty"`
+	LastPlacement Placement     `json:"wrote"` // where writes were last let go
+	shut          time.Duration // since when none are let go there, once the seat is another or it is held
+	open          bool          // they are let go there
+	either        bool          // they may have been let go at the seat as well as where Wrote says
 }
 
 // NewBinding is a binding that was never ordered: the tenant is where its name draws it.
@@ -120,7 +120,7 @@
 
 // Kept is a binding that was on disk when the proxy started: writes may have gone until then.
 func (b Binding) Kept(now time.Duration) Binding {
-	b.either = !b.Held && !b.Placement.Equal(b.Wrote) // the wait may have been over
+	b.either = !b.Held && !b.Placement.Equal(b.LastPlacement) // the wait may have been over
 	b.open, b.shut = !b.Held && !b.either, now
 	return b
 }
@@ -133,7 +133,7 @@
 	}
 	b = b.settle(now, wait)
 	b.Pilot, b.Number, b.Held, b.Placement = pilot, number, held, seat
-	if b.open && (held || !seat.Equal(b.Wrote)) {
+	if b.open && (held || !seat.Equal(b.LastPlacement)) {
 		b.open, b.shut = false, now
 	}
 	return b.settle(now, wait)
@@ -141,8 +141,8 @@
 
 // settle opens it once it may: at the seat where writes went before at once, at another when those are surely over.
 func (b Binding) settle(now, wait time.Duration) Binding {
-	if !b.open && !b.Held && (b.Placement.Equal(b.Wrote) && !b.either || now-b.shut >= wait) {
-		b.open, b.either, b.Wrote = true, false, b.Placement
+	if !b.open && !b.Held && (b.Placement.Equal(b.LastPlacement) && !b.either || now-b.shut >= wait) {
+		b.open, b.either, b.LastPlacement = true, false, b.Placement
 	}
 	return b
 }
