--- a/proxy/bindings.go
+++ b/proxy/bindings.go
@@ -52,7 +52,7 @@
 		if !ok {
 			x = tenancy.NewBinding()
 		}
-		n.of[tenant] = x.Take(now, n.wait, m.Pilot, number, seat, held)
+		n.of[tenant] = x.Apply(now, n.wait, m.Pilot, number, seat, held)
 		changed[tenant] = n.of[tenant]
 	}
 	for _, c := range m.Changes {
--- a/proxy/places_test.go
+++ b/proxy/places_test.go
@@ -79,7 +79,7 @@
 	const all = 200
 	for i := range all {
 		who := tenantOf(i)
-		told.bindings.of[who.name] = tenancy.NewBinding().Take(0, 0, "p", 1, tenancy.Placement{Draw: 1}, false)
+		told.bindings.of[who.name] = tenancy.NewBinding().Apply(0, 0, "p", 1, tenancy.Placement{Draw: 1}, false)
 		first, known := groupOf(old, who, "key", told, unlimited)
 		second, also := groupOf(fresh, who, "key", untold, unlimited)
 		if known && also && first != second {
--- a/tenancy/move_test.go
+++ b/tenancy/move_test.go
@@ -96,11 +96,11 @@
 	p.has = max(p.has, o.Number)
 	if o.Clear {
 		if p.Pilot != "p" || p.Number < o.Number {
-			p.Binding = p.Take(w.now, w.alone, "p", o.Number, Placement{}, false)
+			p.Binding = p.Apply(w.now, w.alone, "p", o.Number, Placement{}, false)
 		}
 		return
 	}
-	p.Binding = p.Take(w.now, w.alone, "p", o.Number, o.Placement, o.Held)
+	p.Binding = p.Apply(w.now, w.alone, "p", o.Number, o.Placement, o.Held)
 	p.answers = append(p.answers, Confirmation{id, o.Tenant, o.Number})
 }
 
@@ -287,7 +287,7 @@
 			case 0: // one pilot or the other orders, by its own numbers; some orders come late
 				pilot := []string{"a", "b"}[rng.IntN(2)]
 				numbers[pilot]++
-				b = b.Take(w.now, alone, pilot, numbers[pilot]-rng.Uint64N(2)*2, Placement{Draw: rng.Uint32N(2)}, rng.IntN(4) == 0)
+				b = b.Apply(w.now, alone, pilot, numbers[pilot]-rng.Uint64N(2)*2, Placement{Draw: rng.Uint32N(2)}, rng.IntN(4) == 0)
 			case 1, 2:
 				if b.Writes(w.now, alone) {
 					opened++
--- a/tenancy/seat.go
+++ b/tenancy/seat.go
@@ -125,9 +125,9 @@
 	return b
 }
 
-// Take returns the binding after an order of a pilot; wait is the span that a write, and the window in which a repeat of
+// Apply returns the binding after an order of a pilot; wait is the span that a write, and the window in which a repeat of
 // it may come, take. An order that is older than the binding, of the same pilot, changes nothing.
-func (b Binding) Take(now, wait time.Duration, pilot string, number uint64, seat Placement, held bool) Binding {
+func (b Binding) Apply(now, wait time.Duration, pilot string, number uint64, seat Placement, held bool) Binding {
 	if pilot == b.Pilot && number < b.Number {
 		return b
 	}
