--- a/tenancy/bench_test.go
+++ b/tenancy/bench_test.go
@@ -51,7 +51,7 @@
 	pods := somePods(36)
 	b.ReportAllocs()
 	for b.Loop() {
-		Place("newsroom-4711", pods, 3)
+		SelectPods("newsroom-4711", pods, 3)
 	}
 }
 
--- a/tenancy/placement.go
+++ b/tenancy/placement.go
@@ -22,10 +22,10 @@
 	Power float64 // work a second that its listed servers can do
 }
 
-// Place gives a tenant its subset: count pods, drawn by rendezvous weighted by power, no zone giving a second pod before
+// SelectPods gives a tenant its subset: count pods, drawn by rendezvous weighted by power, no zone giving a second pod before
 // each with one left has given its first. A pod that comes or goes changes the subsets only of tenants that it is drawn
 // for; every proxy and pilot that knows the same pods finds the same subset, without a line sent.
-func Place(tenant string, pods []Pod, count int) []PodID {
+func SelectPods(tenant string, pods []Pod, count int) []PodID {
 	type drawn struct {
 		Pod
 		score float64
--- a/tenancy/pods.go
+++ b/tenancy/pods.go
@@ -69,7 +69,7 @@
 			others = append(others, x)
 		}
 	}
-	if s := Place(tenant, others, 1); len(s) > 0 {
+	if s := SelectPods(tenant, others, 1); len(s) > 0 {
 		return s[0], true
 	}
 	return 0, false
--- a/tenancy/pods_test.go
+++ b/tenancy/pods_test.go
@@ -37,7 +37,7 @@
 	if pods, _ = p.After(40*time.Second, []Pod{{ID: 50, Power: 1}}).Draw(40 * time.Second); len(pods) != 1 {
 		t.Errorf("made anew: %v", pods)
 	}
-	subset := Place("delo", all, 3)
+	subset := SelectPods("delo", all, 3)
 	id, ok := p.Spare("delo", subset)
 	if !ok || slices.Contains(subset, id) || id < 2 {
 		t.Errorf("borrows %d beside %v", id, subset)
--- a/tenancy/seat.go
+++ b/tenancy/seat.go
@@ -81,7 +81,7 @@
 	if s.Draw > 0 {
 		tenant += "\x00" + strconv.FormatUint(uint64(s.Draw), 10)
 	}
-	return Place(tenant, pods, count)
+	return SelectPods(tenant, pods, count)
 }
 
 // MoveDurations returns what a move of a tenant must wait out: the longest that a write, which a proxy has taken in, may take until
--- a/tenancy/tenancy_test.go
+++ b/tenancy/tenancy_test.go
@@ -25,7 +25,7 @@
 	subsets := map[string][]PodID{}
 	for i := range tenants {
 		name := fmt.Sprint("newsroom ", i)
-		s := Place(name, pods, count)
+		s := SelectPods(name, pods, count)
 		subsets[name] = s
 		zones := map[int]bool{}
 		for _, p := range s {
@@ -46,10 +46,10 @@
 	rand.New(rand.NewPCG(1, 1)).Shuffle(len(shuffled), func(i, j int) { shuffled[i], shuffled[j] = shuffled[j], shuffled[i] })
 	changed := 0
 	for name, s := range subsets {
-		if !reflect.DeepEqual(s, Place(name, shuffled, count)) {
+		if !reflect.DeepEqual(s, SelectPods(name, shuffled, count)) {
 			t.Fatal("depends on the order of the pods")
 		}
-		after := Place(name, pods[:29], count)
+		after := SelectPods(name, pods[:29], count)
 		if had := slices.Contains(s, 29); had != !reflect.DeepEqual(s, after) {
 			t.Fatalf("%s: %v, then %v", name, s, after)
 		} else if had {
@@ -63,10 +63,10 @@
 	for i := range even {
 		even[i] = Pod{ID: PodID(i), Power: 1}
 	}
-	poisoned := Place("poisoned", even, count)
+	poisoned := SelectPods("poisoned", even, count)
 	whole, any := 0.0, 0.0
 	for name := range subsets {
-		s := Place(name, even, count)
+		s := SelectPods(name, even, count)
 		shared := 0
 		for _, p := range s {
 			if slices.Contains(poisoned, p) {
@@ -85,11 +85,11 @@
 		t.Errorf("lost whole %v, any %v; predicted %v, %v", whole/tenants, any/tenants, w, a)
 	}
 	for _, odd := range []string{"", "\x00", string(make([]byte, 1<<16)), "🗳"} {
-		if len(Place(odd, pods, count)) != count {
+		if len(SelectPods(odd, pods, count)) != count {
 			t.Errorf("%.10q", odd)
 		}
 	}
-	if s := Place("x", pods[:2], 5); len(s) != 2 || Place("x", nil, 3) != nil {
+	if s := SelectPods("x", pods[:2], 5); len(s) != 2 || SelectPods("x", nil, 3) != nil {
 		t.Errorf("%v", s)
 	}
 }
