--- a/lab/tenants.go
+++ b/lab/tenants.go
@@ -262,7 +262,7 @@
 		for id := range x.byType[opType] {
 			where := h.places[id]
 			zone := d.Service.ZoneIndex(where.zone)
-			p := tenancy.Pod{ID: tenancy.PodOf(zone, where.pack), Zone: zone, Power: 1}
+			p := tenancy.Pod{ID: tenancy.PodOf(zone, where.pack), Zone: zone, Capacity: 1}
 			if !slices.Contains(out, p) {
 				out = append(out, p)
 			}
