--- a/pilot/moves.go
+++ b/pilot/moves.go
@@ -26,9 +26,9 @@
 	wake    *time.Timer
 	sending []*session // that have orders to be sent, in turn
 	moved   uint64
-	undone  uint64               // cancelled
-	last    []tenancy.MoveResult // the newest ends, for people
-	kept    []tenancy.Sentence   // limits that stood when the last run ended
+	undone  uint64                // cancelled
+	last    []tenancy.MoveResult  // the newest ends, for people
+	kept    []tenancy.LimitRecord // limits that stood when the last run ended
 }
 
 // bound is an order for one session of a proxy.
@@ -191,7 +191,7 @@
 	mu    sync.Mutex
 	next  map[string]tenancy.Record
 	known []tenancy.ProxyID
-	limit []tenancy.Sentence // not nil: to be kept
+	limit []tenancy.LimitRecord // not nil: to be kept
 	bound []bound
 	look  int // orders at which those of sessions that ended are left out
 	err   error
@@ -235,10 +235,10 @@
 }
 
 // sentences takes in the limits that stand.
-func (d *disk) sentences(all []tenancy.Sentence) {
+func (d *disk) sentences(all []tenancy.LimitRecord) {
 	d.mu.Lock()
 	if d.limit = all; all == nil {
-		d.limit = []tenancy.Sentence{}
+		d.limit = []tenancy.LimitRecord{}
 	}
 	d.mu.Unlock()
 	d.poke()
--- a/pilot/pilot.go
+++ b/pilot/pilot.go
@@ -131,7 +131,7 @@
 	p.intake.types = len(p.facts.OpTypes)
 	p.intake.known = func(id control.EndpointID) bool { _, ok := p.list[id]; return ok }
 	if p.uses, p.loads = nil, map[tenancy.PodID]*[2]float64{}; p.file.Tenants {
-		var kept []tenancy.Sentence
+		var kept []tenancy.LimitRecord
 		if p.quarantine != nil {
 			kept = p.quarantine.Sentences()
 		} else if p.mover != nil {
--- a/tenancy/quarantine.go
+++ b/tenancy/quarantine.go
@@ -72,8 +72,8 @@
 // Limited tells whether the tenant may use less than others.
 func (l Limit) Limited() bool { return l.Rate >= 0 || l.Hand >= 0 || l.Fenced }
 
-// Sentence is a limit with what makes the next one longer; it outlives the pilot.
-type Sentence struct {
+// LimitRecord is a limit with what makes the next one longer; it outlives the pilot.
+type LimitRecord struct {
 	Limit
 	Fences int
 }
@@ -160,7 +160,7 @@
 }
 
 // Restore takes back what a pilot that ended had said. Its periods of good behaviour begin anew.
-func (w *Quarantine) Restore(kept []Sentence) {
+func (w *Quarantine) Restore(kept []LimitRecord) {
 	for _, s := range kept {
 		if len(w.tenants) < mostKept {
 			w.tenants[s.Tenant] = &watched{name: s.Tenant, pods: map[PodID]*[2]float64{}, limit: s.Limit, fences: s.Fences}
@@ -169,10 +169,10 @@
 }
 
 // Sentences returns all limits that stand, by tenant.
-func (w *Quarantine) Sentences() (out []Sentence) {
+func (w *Quarantine) Sentences() (out []LimitRecord) {
 	for _, name := range slices.Sorted(maps.Keys(w.tenants)) {
 		if t := w.tenants[name]; !t.limit.Free() {
-			out = append(out, Sentence{t.limit, t.fences})
+			out = append(out, LimitRecord{t.limit, t.fences})
 		}
 	}
 	return out
--- a/tenancy/store/store.go
+++ b/tenancy/store/store.go
@@ -177,7 +177,7 @@
 
 // Keep writes what a step of the Mover hands out, all of it or, on an error, nothing.
 // Limits that stand take the place of those kept before where they are not nil.
-func (s *Store) Keep(d tenancy.StepResult, limits []tenancy.Sentence) (err error) {
+func (s *Store) Keep(d tenancy.StepResult, limits []tenancy.LimitRecord) (err error) {
 	defer s.guard(&err)()
 	if len(d.Records) == 0 && d.Known == nil && limits == nil {
 		return nil
@@ -222,7 +222,7 @@
 	Records []tenancy.Record
 	Known   []tenancy.ProxyID
 
-	Sentences []tenancy.Sentence // limits that stand
+	Sentences []tenancy.LimitRecord // limits that stand
 }
 
 // Load reads all that was kept. One torn record refuses the whole: a tenant whose place is not known must not be guessed.
--- a/tenancy/store/store_test.go
+++ b/tenancy/store/store_test.go
@@ -33,7 +33,7 @@
 		for v := range uint64(3) {
 			r := tenancy.Record{Tenant: n, Placement: tenancy.Placement{Draw: uint32(i), Pods: []tenancy.PodID{7}}, Number: v, Phase: tenancy.Draining,
 				Queued: &tenancy.MoveRequest{Tenant: n, ManualOpen: true}}
-			if err := s.Keep(tenancy.StepResult{Records: []tenancy.Record{r}, Known: []tenancy.ProxyID{1, 2, 3}}, []tenancy.Sentence{{Limit: tenancy.Limit{Tenant: n, Rate: 2, Fenced: true}, Fences: 3}}); err != nil {
+			if err := s.Keep(tenancy.StepResult{Records: []tenancy.Record{r}, Known: []tenancy.ProxyID{1, 2, 3}}, []tenancy.LimitRecord{{Limit: tenancy.Limit{Tenant: n, Rate: 2, Fenced: true}, Fences: 3}}); err != nil {
 				t.Fatal(err)
 			}
 			want[n] = r
