--- a/pilot/pilot.go
+++ b/pilot/pilot.go
@@ -133,7 +133,7 @@
 	if p.uses, p.loads = nil, map[tenancy.PodID]*[2]float64{}; p.file.Tenants {
 		var kept []tenancy.LimitRecord
 		if p.quarantine != nil {
-			kept = p.quarantine.Sentences()
+			kept = p.quarantine.LimitRecords()
 		} else if p.mover != nil {
 			kept = p.mover.kept
 		}
@@ -238,7 +238,7 @@
 	}
 	if len(limits) > 0 {
 		if p.mover != nil {
-			p.mover.disk.sentences(p.quarantine.Sentences())
+			p.mover.disk.sentences(p.quarantine.LimitRecords())
 		}
 		p.sendLimits(limits)
 	}
--- a/tenancy/quarantine.go
+++ b/tenancy/quarantine.go
@@ -168,8 +168,8 @@
 	}
 }
 
-// Sentences returns all limits that stand, by tenant.
-func (w *Quarantine) Sentences() (out []LimitRecord) {
+// LimitRecords returns all limits that stand, by tenant.
+func (w *Quarantine) LimitRecords() (out []LimitRecord) {
 	for _, name := range slices.Sorted(maps.Keys(w.tenants)) {
 		if t := w.tenants[name]; !t.limit.Free() {
 			out = append(out, LimitRecord{t.limit, t.fences})
--- a/tenancy/quarantine_test.go
+++ b/tenancy/quarantine_test.go
@@ -174,13 +174,13 @@
 		}
 	}
 	evening(w, 8, limits, bad, 0.6)
-	kept := w.Sentences()
+	kept := w.LimitRecords()
 	if len(kept) != 1 || !kept[0].Fenced || kept[0].Fences != 1 {
 		t.Fatalf("%+v", kept)
 	}
 	w = NewQuarantine(time.Second)
 	w.Restore(kept)
-	if got := w.Sentences(); len(got) != 1 || got[0] != kept[0] {
+	if got := w.LimitRecords(); len(got) != 1 || got[0] != kept[0] {
 		t.Errorf("%+v", got)
 	}
 	if n := evening(w, forgiving-1, limits, func(int, *Use) {}, 0.5); n != 0 {
