--- a/pilot/moves.go
+++ b/pilot/moves.go
@@ -421,7 +421,7 @@
 		}
 		var u tenancy.Use
 		if p.quarantine != nil {
-			u = p.quarantine.Met(name)
+			u = p.quarantine.UsageOf(name)
 		}
 		per := p.facts.ReportEvery.Seconds()
 		fmt.Fprintf(w, "%s,%g,%g,%g,%t,%g,%s,%s,%d,%.3g,%.3g,%.3g,\n", runtime.Quote("="+name), l.Rate, l.Tries, l.Hand, l.Fenced, l.Room, r.Placement, r.Phase, r.Number,
--- a/tenancy/quarantine.go
+++ b/tenancy/quarantine.go
@@ -150,8 +150,8 @@
 	return out
 }
 
-// Met returns the running mean of what was met of a tenant over a period.
-func (w *Quarantine) Met(name string) Use {
+// UsageOf returns the running mean of what was met of a tenant over a period.
+func (w *Quarantine) UsageOf(name string) Use {
 	t := w.tenants[name]
 	if t == nil {
 		return Use{Tenant: name}
