--- a/pilot/notices.go
+++ b/pilot/notices.go
@@ -51,7 +51,7 @@
 // limit marks changed limits for all.
 func (ds *desiredState) limit(limits []runtime.Change) {
 	for _, c := range limits {
-		if ds.limits[c.Tenant] = c; c.Limit().Free() {
+		if ds.limits[c.Tenant] = c; c.Limit().IsDefault() {
 			delete(ds.limits, c.Tenant)
 		}
 		for id, h := range ds.proxies {
--- a/proxy/tables.go
+++ b/proxy/tables.go
@@ -282,7 +282,7 @@
 			if n.limits == nil {
 				n.limits = map[string]tenancy.Limit{}
 			}
-			if n.limits[c.Tenant] = c.Limit(); c.Limit().Free() {
+			if n.limits[c.Tenant] = c.Limit(); c.Limit().IsDefault() {
 				delete(n.limits, c.Tenant)
 			}
 		case runtime.ClearState:
--- a/tenancy/quarantine.go
+++ b/tenancy/quarantine.go
@@ -66,8 +66,8 @@
 	return Limit{Tenant: name, Rate: -1, Tries: TryBudget, Hand: -1, Room: 1}
 }
 
-// Free tells whether it says nothing: no limit, no room beyond the usual.
-func (l Limit) Free() bool { return !l.Limited() && l.Room <= 1 }
+// IsDefault tells whether it says nothing: no limit, no room beyond the usual.
+func (l Limit) IsDefault() bool { return !l.Limited() && l.Room <= 1 }
 
 // Limited tells whether the tenant may use less than others.
 func (l Limit) Limited() bool { return l.Rate >= 0 || l.Hand >= 0 || l.Fenced }
@@ -143,7 +143,7 @@
 				out = append(out, t.limit)
 			}
 		}
-		if t.idle > forgotten && t.limit.Free() {
+		if t.idle > forgotten && t.limit.IsDefault() {
 			delete(w.tenants, name)
 		}
 	}
@@ -171,7 +171,7 @@
 // LimitRecords returns all limits that stand, by tenant.
 func (w *Quarantine) LimitRecords() (out []LimitRecord) {
 	for _, name := range slices.Sorted(maps.Keys(w.tenants)) {
-		if t := w.tenants[name]; !t.limit.Free() {
+		if t := w.tenants[name]; !t.limit.IsDefault() {
 			out = append(out, LimitRecord{t.limit, t.fences})
 		}
 	}
--- a/tenancy/quarantine_test.go
+++ b/tenancy/quarantine_test.go
@@ -159,7 +159,7 @@
 	w, limits = NewQuarantine(time.Second), map[string]Limit{}
 	evening(w, 2*asking, limits, big, 0.7)
 	evening(w, 3*asking*doublings, limits, func(int, *Usage) {}, 0.5)
-	if l := limits["t7"]; !l.Free() {
+	if l := limits["t7"]; !l.IsDefault() {
 		t.Errorf("%+v", l)
 	}
 }
@@ -187,7 +187,7 @@
 		t.Errorf("%d changes", n)
 	}
 	evening(w, forgiving, limits, func(int, *Usage) {}, 0.5)
-	if l := limits["t7"]; l.Fenced || l.Free() {
+	if l := limits["t7"]; l.Fenced || l.IsDefault() {
 		t.Errorf("%+v", l)
 	}
 }
