--- a/proxy/tenants.go
+++ b/proxy/tenants.go
@@ -98,10 +98,10 @@
 		t.known[name] = x
 		return x
 	}
-	shared := t.known[tenancy.Folded]
+	shared := t.known[tenancy.AggregatedTenant]
 	if shared == nil {
-		shared = &tenant{name: tenancy.Folded, account: &account{}}
-		t.known[tenancy.Folded] = shared
+		shared = &tenant{name: tenancy.AggregatedTenant, account: &account{}}
+		t.known[tenancy.AggregatedTenant] = shared
 	}
 	return &tenant{name, true, shared.account}
 }
@@ -313,7 +313,7 @@
 	defer t.mu.Unlock()
 	s := t.sums[k]
 	if s == nil && len(t.sums) >= mostSums {
-		k.name = tenancy.Folded
+		k.name = tenancy.AggregatedTenant
 		s = t.sums[k]
 	}
 	if s == nil {
--- a/tenancy/move.go
+++ b/tenancy/move.go
@@ -313,7 +313,7 @@
 func (m *Mover) ask(a MoveRequest) {
 	t := m.tenants[a.Tenant]
 	switch {
-	case a.Tenant == Folded || len(a.Tenant) > mostName:
+	case a.Tenant == AggregatedTenant || len(a.Tenant) > mostName:
 		m.refuse("tenant %.40q cannot be moved: no tenant's name", a.Tenant)
 		return
 	case t == nil && len(m.tenants) >= mostBound:
--- a/tenancy/move_test.go
+++ b/tenancy/move_test.go
@@ -362,7 +362,7 @@
 	for _, c := range []struct {
 		event Event
 		want  string
-	}{{ask("x", 0), "there already"}, {ask(Folded, 1), "no tenant's name"}, {ask(strings.Repeat("x", 257), 1), "no tenant's name"},
+	}{{ask("x", 0), "there already"}, {ask(AggregatedTenant, 1), "no tenant's name"}, {ask(strings.Repeat("x", 257), 1), "no tenant's name"},
 		{Event{Cancel: &[]string{"x"}[0]}, "does not move"}, {Event{Open: &[]string{"x"}[0]}, "no move that is ready"},
 		{Event{Forgotten: &[]ProxyID{9}[0]}, "not known"}} {
 		if d := m.Step(now, c.event); len(d.Refused) != 1 || !strings.Contains(d.Refused[0].Error(), c.want) || len(d.Records) != 0 {
--- a/tenancy/quarantine.go
+++ b/tenancy/quarantine.go
@@ -107,8 +107,8 @@
 	return &Quarantine{period: period, tenants: map[string]*watched{}, load: map[PodID]float64{}, settled: settling}
 }
 
-// Folded is the name under which the lightest tenants are kept together where there are too many; it is never limited.
-const Folded = "\x00folded"
+// AggregatedTenant is the name under which the lightest tenants are kept together where there are too many; it is never limited.
+const AggregatedTenant = "\x00folded"
 
 // Step takes a period's sums and returns the limits that changed, by tenant.
 func (w *Quarantine) Step(uses []Usage, health []Health) []Limit {
@@ -131,7 +131,7 @@
 	w.settled++
 	for _, name := range slices.Sorted(maps.Keys(w.tenants)) {
 		t := w.tenants[name]
-		if before := t.limit; name != Folded {
+		if before := t.limit; name != AggregatedTenant {
 			cause := causes[name]
 			if w.settled < settling && !before.Limited() && !cause.ruins {
 				cause.part = 0
@@ -199,7 +199,7 @@
 	out := slices.Clone(uses)
 	for i := range out {
 		if _, folded := fresh[out[i].Tenant]; folded {
-			out[i].Tenant = Folded
+			out[i].Tenant = AggregatedTenant
 		}
 	}
 	return out
--- a/tenancy/quarantine_test.go
+++ b/tenancy/quarantine_test.go
@@ -203,7 +203,7 @@
 	for range 5 {
 		w.Step(uses, nil)
 	}
-	if len(w.tenants) > mostKept+1 || w.tenants["tenant 9999\n;<<"] == nil || w.tenants[Folded] == nil {
+	if len(w.tenants) > mostKept+1 || w.tenants["tenant 9999\n;<<"] == nil || w.tenants[AggregatedTenant] == nil {
 		t.Errorf("%d tenants are kept", len(w.tenants))
 	}
 	for range forgotten + 2 {
