--- a/tenancy/quarantine.go
+++ b/tenancy/quarantine.go
@@ -30,8 +30,8 @@
 	mostKept  = 4096 // tenants kept one by one; the lightest beyond are folded into one
 )
 
-// TryBudget is how many tries beyond the first, for each op, a proxy may spend on a tenant that is not limited.
-const TryBudget = 0.2
+// RetriesPerOp is how many tries beyond the first, for each op, a proxy may spend on a tenant that is not limited.
+const RetriesPerOp = 0.2
 
 // opsAt is its part of a running mean's ops at a pod: by the time that they took there and, as what fails at once takes none,
 // at least those that failed.
@@ -63,7 +63,7 @@
 
 // Unlimited is the limit of a tenant that is not limited.
 func Unlimited(name string) Limit {
-	return Limit{Tenant: name, Rate: -1, Tries: TryBudget, Hand: -1, Room: 1}
+	return Limit{Tenant: name, Rate: -1, Tries: RetriesPerOp, Hand: -1, Room: 1}
 }
 
 // IsDefault tells whether it says nothing: no limit, no room beyond the usual.
--- a/tenancy/quarantine_test.go
+++ b/tenancy/quarantine_test.go
@@ -96,7 +96,7 @@
 		t.Errorf("let back after %d periods, then %d", first, second)
 	}
 	evening(w, 20, limits, fine, 0.5)
-	if l := limits["t7"]; l.Rate >= 0 || l.Tries != TryBudget {
+	if l := limits["t7"]; l.Rate >= 0 || l.Tries != RetriesPerOp {
 		t.Errorf("never forgiven: %+v", l)
 	}
 	if n := evening(w, 50, limits, fine, 0.5); n != 0 {
@@ -272,7 +272,7 @@
 	var b RetryBudget
 	spent := 0
 	for range 1000 {
-		if b.Earn(TryBudget); b.Spend() {
+		if b.Earn(RetriesPerOp); b.Spend() {
 			spent++
 		}
 	}
@@ -280,7 +280,7 @@
 		t.Errorf("%d tries for 1000 ops", spent)
 	}
 	for range 1000 {
-		b.Earn(TryBudget)
+		b.Earn(RetriesPerOp)
 	}
 	burst := 0
 	for b.Spend() {
