--- a/tenancy/pods.go
+++ b/tenancy/pods.go
@@ -90,8 +90,8 @@
 	return l.pod, l.away && now-l.last < wait
 }
 
-// May tells whether writes that are the subset's may go to a borrowed pod now.
-func (l BorrowState) May(now, wait time.Duration) bool { return !l.wrote || now-l.last >= wait }
+// MayBorrow tells whether writes that are the subset's may go to a borrowed pod now.
+func (l BorrowState) MayBorrow(now, wait time.Duration) bool { return !l.wrote || now-l.last >= wait }
 
 // Wrote books a write.
 func (l *BorrowState) Wrote(now time.Duration, pod PodID, away bool) {
--- a/tenancy/pods_test.go
+++ b/tenancy/pods_test.go
@@ -51,11 +51,11 @@
 func TestLent(t *testing.T) {
 	const wait = 3 * time.Second
 	var l BorrowState
-	if _, away := l.BorrowedPod(0, wait); away || !l.May(0, wait) {
+	if _, away := l.BorrowedPod(0, wait); away || !l.MayBorrow(0, wait) {
 		t.Error("never wrote")
 	}
 	l.Wrote(10*time.Second, 0, false)
-	if l.May(12*time.Second, wait) || !l.May(13*time.Second, wait) {
+	if l.MayBorrow(12*time.Second, wait) || !l.MayBorrow(13*time.Second, wait) {
 		t.Error("borrows too early or never")
 	}
 	l.Wrote(13*time.Second, 7, true)
