--- a/proxy/tenants.go
+++ b/proxy/tenants.go
@@ -294,7 +294,7 @@
 	}
 	if e != nil && writes && !x.shared {
 		x.mu.Lock()
-		x.lent.Wrote(now, pod, away)
+		x.lent.RecordWrite(now, pod, away)
 		x.mu.Unlock()
 	}
 	return e, away && e != nil
--- a/tenancy/pods.go
+++ b/tenancy/pods.go
@@ -93,8 +93,8 @@
 // MayBorrow tells whether writes that are the subset's may go to a borrowed pod now.
 func (l BorrowState) MayBorrow(now, wait time.Duration) bool { return !l.wrote || now-l.last >= wait }
 
-// Wrote books a write.
-func (l *BorrowState) Wrote(now time.Duration, pod PodID, away bool) {
+// RecordWrite books a write.
+func (l *BorrowState) RecordWrite(now time.Duration, pod PodID, away bool) {
 	if !l.away {
 		l.since = now
 	}
--- a/tenancy/pods_test.go
+++ b/tenancy/pods_test.go
@@ -54,11 +54,11 @@
 	if _, away := l.BorrowedPod(0, wait); away || !l.MayBorrow(0, wait) {
 		t.Error("never wrote")
 	}
-	l.Wrote(10*time.Second, 0, false)
+	l.RecordWrite(10*time.Second, 0, false)
 	if l.MayBorrow(12*time.Second, wait) || !l.MayBorrow(13*time.Second, wait) {
 		t.Error("borrows too early or never")
 	}
-	l.Wrote(13*time.Second, 7, true)
+	l.RecordWrite(13*time.Second, 7, true)
 	if pod, away := l.BorrowedPod(15*time.Second, wait); !away || pod != 7 {
 		t.Error("home too early")
 	}
@@ -69,7 +69,7 @@
 		if l.Long(at) != (at >= 73*time.Second) {
 			t.Errorf("away since 13s, at %v: %t", at, l.Long(at))
 		}
-		l.Wrote(at, 7, true)
+		l.RecordWrite(at, 7, true)
 	}
 }
 
