--- a/proxy/tenants.go
+++ b/proxy/tenants.go
@@ -47,7 +47,7 @@
 type account struct {
 	mu     sync.Mutex
 	budget tenancy.RetryBudget
-	credit tenancy.Credit
+	credit tenancy.BorrowCredit
 	lent   tenancy.BorrowState
 
 	allowance tenancy.Allowance
--- a/tenancy/pods.go
+++ b/tenancy/pods.go
@@ -105,9 +105,9 @@
 // used again.
 func (l BorrowState) MustReturn(now time.Duration) bool { return l.away && now-l.since >= Linger }
 
-// Credit is how a proxy knows a tenant whose ops usually succeed: only such a one may borrow. It has none at first, and one
+// BorrowCredit is how a proxy knows a tenant whose ops usually succeed: only such a one may borrow. It has none at first, and one
 // that spoils what it borrows has soon none left.
-type Credit struct{ tries, good float64 }
+type BorrowCredit struct{ tries, good float64 }
 
 // Of the credit: how fast it forgets, how many tries it takes and what part of them must be good.
 const (
@@ -117,7 +117,7 @@
 )
 
 // Met books a try.
-func (c *Credit) Met(good bool) {
+func (c *BorrowCredit) Met(good bool) {
 	c.tries, c.good = c.tries*remembered+1, c.good*remembered
 	if good {
 		c.good++
@@ -125,4 +125,4 @@
 }
 
 // Lends tells whether it may borrow.
-func (c *Credit) Lends() bool { return c.tries >= leastKnown && c.good >= trusted*c.tries }
+func (c *BorrowCredit) Lends() bool { return c.tries >= leastKnown && c.good >= trusted*c.tries }
--- a/tenancy/pods_test.go
+++ b/tenancy/pods_test.go
@@ -75,7 +75,7 @@
 
 // A tenant is lent to once its tries are known to be good; one that spoils what it borrows loses that within a few.
 func TestCredit(t *testing.T) {
-	var c Credit
+	var c BorrowCredit
 	for i := range 10 {
 		if c.Lends() != (i > 5) {
 			t.Errorf("after %d good tries: %t", i, c.Lends())
