--- a/proxy/tenants.go
+++ b/proxy/tenants.go
@@ -306,7 +306,7 @@
 		return
 	}
 	x.mu.Lock()
-	x.credit.Met(!failed)
+	x.credit.AddTry(!failed)
 	x.mu.Unlock()
 	k := sumKey{x.name, e.pod()}
 	t.mu.Lock()
--- a/tenancy/pods.go
+++ b/tenancy/pods.go
@@ -116,8 +116,8 @@
 	trusted    = 0.8
 )
 
-// Met books a try.
-func (c *BorrowCredit) Met(good bool) {
+// AddTry books a try.
+func (c *BorrowCredit) AddTry(good bool) {
 	c.tries, c.good = c.tries*remembered+1, c.good*remembered
 	if good {
 		c.good++
--- a/tenancy/pods_test.go
+++ b/tenancy/pods_test.go
@@ -80,14 +80,14 @@
 		if c.Lends() != (i > 5) {
 			t.Errorf("after %d good tries: %t", i, c.Lends())
 		}
-		c.Met(true)
+		c.AddTry(true)
 	}
 	for range 1000 {
-		c.Met(true)
+		c.AddTry(true)
 	}
 	n := 0
 	for ; c.Lends(); n++ {
-		c.Met(false)
+		c.AddTry(false)
 	}
 	if n > 5 {
 		t.Errorf("spoilt %d", n)
