--- a/proxy/tenants.go
+++ b/proxy/tenants.go
@@ -280,7 +280,7 @@
 	}
 	x.mu.Lock()
 	pod, away := x.lent.BorrowedPod(now, wait)
-	lends := !x.shared && !limited && x.credit.Lends() && (!writes || x.lent.MayBorrow(now, wait))
+	lends := !x.shared && !limited && x.credit.Sufficient() && (!writes || x.lent.MayBorrow(now, wait))
 	long := x.lent.MustReturn(now)
 	x.mu.Unlock()
 	if away = away && writes && !x.shared; away && long && pick(subset) != nil {
--- a/tenancy/pods.go
+++ b/tenancy/pods.go
@@ -124,5 +124,5 @@
 	}
 }
 
-// Lends tells whether it may borrow.
-func (c *BorrowCredit) Lends() bool { return c.tries >= leastKnown && c.good >= trusted*c.tries }
+// Sufficient tells whether it may borrow.
+func (c *BorrowCredit) Sufficient() bool { return c.tries >= leastKnown && c.good >= trusted*c.tries }
--- a/tenancy/pods_test.go
+++ b/tenancy/pods_test.go
@@ -77,8 +77,8 @@
 func TestCredit(t *testing.T) {
 	var c BorrowCredit
 	for i := range 10 {
-		if c.Lends() != (i > 5) {
-			t.Errorf("after %d good tries: %t", i, c.Lends())
+		if c.Sufficient() != (i > 5) {
+			t.Errorf("after %d good tries: %t", i, c.Sufficient())
 		}
 		c.AddTry(true)
 	}
@@ -86,7 +86,7 @@
 		c.AddTry(true)
 	}
 	n := 0
-	for ; c.Lends(); n++ {
+	for ; c.Sufficient(); n++ {
 		c.AddTry(false)
 	}
 	if n > 5 {
