--- a/files/groups.go
+++ b/files/groups.go
@@ -31,7 +31,7 @@
 // zoneIDs are the zones of packs, or all of the service's where no pack is named.
 func (s *Service) zoneIDs(packs []tenancy.PodID) (ids []tenancy.PodID) {
 	for _, p := range packs {
-		ids = append(ids, tenancy.ZoneOf(p))
+		ids = append(ids, tenancy.ZoneGroup(p))
 	}
 	if len(packs) == 0 {
 		for zone := range s.Zones {
