--- a/proxy/placement.go
+++ b/proxy/placement.go
@@ -46,7 +46,7 @@
 func newWriteGroups(s *files.Service, zone int) *writeGroups {
 	g, own := &writeGroups{}, tenancy.PodOf(zone, 0)
 	g.byKind[packs], g.byKind[zones] = s.WriteGroups()
-	g.byKind[ownPacks], g.byKind[ownZone] = g.byKind[packs].Within(own), g.byKind[zones].Within(own)
+	g.byKind[ownPacks], g.byKind[ownZone] = g.byKind[packs].InZone(own), g.byKind[zones].InZone(own)
 	return g
 }
 
--- a/tenancy/groups.go
+++ b/tenancy/groups.go
@@ -44,8 +44,8 @@
 	return Groups{now: newGroupSet(now), next: newGroupSet(next), joint: true}
 }
 
-// Within returns the groups of one zone.
-func (g Groups) Within(zone PodID) Groups {
+// InZone returns the groups of one zone.
+func (g Groups) InZone(zone PodID) Groups {
 	elsewhere := func(id PodID) bool { return ZoneGroup(id) != zone }
 	g.now = newGroupSet(slices.DeleteFunc(slices.Clone(g.now.ids), elsewhere))
 	g.next = newGroupSet(slices.DeleteFunc(slices.Clone(g.next.ids), elsewhere))
