--- a/tenancy/placement.go
+++ b/tenancy/placement.go
@@ -65,9 +65,9 @@
 	return -p.Capacity / math.Log(u)
 }
 
-// Blast is what a tenant that ruins every pod that it reaches does to the others, by the sizes alone: the share of
+// BlastRadius is what a tenant that ruins every pod that it reaches does to the others, by the sizes alone: the share of
 // tenants that lose their whole subset with it, and the share that lose any of theirs.
-func Blast(pods, count int) (whole, any float64) {
+func BlastRadius(pods, count int) (whole, any float64) {
 	if count <= 0 || count > pods {
 		return 1, 1
 	}
--- a/tenancy/tenancy_test.go
+++ b/tenancy/tenancy_test.go
@@ -80,7 +80,7 @@
 			any++
 		}
 	}
-	w, a := Blast(30, count)
+	w, a := BlastRadius(30, count)
 	if math.Abs(any/tenants-a) > 0.03 || whole/tenants > w+0.002 {
 		t.Errorf("lost whole %v, any %v; predicted %v, %v", whole/tenants, any/tenants, w, a)
 	}
