--- a/proxy/tenants.go
+++ b/proxy/tenants.go
@@ -82,7 +82,7 @@
 	if at, err := netip.ParseAddrPort(c.Remote()); err == nil {
 		client = at.Addr()
 	}
-	return t.named(t.match.Of(field, m.Target, client))
+	return t.named(t.match.Tenant(field, m.Target, client))
 }
 
 // named returns the record of a tenant.
--- a/tenancy/match/match.go
+++ b/tenancy/match/match.go
@@ -76,9 +76,9 @@
 	return len(b) > 0 && len(b) <= mostName
 }
 
-// Of tells the tenant of an op by its header field (nil: it has none), its target and its client's address. A claim that
+// Tenant tells the tenant of an op by its header field (nil: it has none), its target and its client's address. A claim that
 // cannot be taken is not passed over for the next rule: it is Unknown.
-func (m *Matcher) Of(field []byte, target []byte, client netip.Addr) string {
+func (m *Matcher) Tenant(field []byte, target []byte, client netip.Addr) string {
 	if m.header != "" && field != nil {
 		return m.take(field)
 	}
--- a/tenancy/match/match_test.go
+++ b/tenancy/match/match_test.go
@@ -33,12 +33,12 @@
 		if c.field == "-" {
 			field = nil
 		}
-		if got := m.Of(field, []byte(c.target), netip.MustParseAddr(c.client)); got != c.want {
+		if got := m.Tenant(field, []byte(c.target), netip.MustParseAddr(c.client)); got != c.want {
 			t.Errorf("%.20q %s %s: %q, want %q", c.field, c.target, c.client, got, c.want)
 		}
 	}
 	open, err := New(Rules{Header: "Newsroom"})
-	if err != nil || open.Of([]byte("anybody"), nil, netip.Addr{}) != "anybody" || open.Of(nil, []byte("/"), netip.Addr{}) != Unknown {
+	if err != nil || open.Tenant([]byte("anybody"), nil, netip.Addr{}) != "anybody" || open.Tenant(nil, []byte("/"), netip.Addr{}) != Unknown {
 		t.Error(err)
 	}
 }
