--- a/tenancy/store/store.go
+++ b/tenancy/store/store.go
@@ -218,9 +218,9 @@
 
 // Contents is all that a store holds.
 type Contents struct {
-	Born    uint64 // microseconds since 1970 at which the store was made: below the numbers of all its orders
-	Records []tenancy.Record
-	Known   []tenancy.ProxyID
+	CreatedAt uint64 // microseconds since 1970 at which the store was made: below the numbers of all its orders
+	Records   []tenancy.Record
+	Known     []tenancy.ProxyID
 
 	Sentences []tenancy.LimitRecord // limits that stand
 }
@@ -229,7 +229,7 @@
 func (s *Store) Load() (k Contents, err error) {
 	defer s.guard(&err)()
 	err = s.db.View(func(tx *bbolt.Tx) error {
-		k.Born = binary.BigEndian.Uint64(tx.Bucket(about).Get(theBirth))
+		k.CreatedAt = binary.BigEndian.Uint64(tx.Bucket(about).Get(theBirth))
 		err := tx.Bucket(tenants).ForEach(func(key, v []byte) error {
 			var r tenancy.Record
 			if err := s.unseal(fmt.Sprintf("a tenant, key %.40q", key), v, &r); err != nil {
