--- a/pilot/moves.go
+++ b/pilot/moves.go
@@ -67,7 +67,7 @@
 		w.Abreast = defaultAbreast
 	}
 	p.mover = &mover{Mover: tenancy.NewMover(w, kept.CreatedAt, kept.Records, kept.Known), store: s, wake: p.host.After(0, func() { p.move() }),
-		kept: kept.Sentences}
+		kept: kept.Limits}
 	p.mover.disk = startDisk(s, p.log, func(orders []bound) { p.post(func() { p.bindings(orders) }) })
 	p.log.Info("tenants may be moved", "store", f.Store, "moved", len(kept.Records), "proxies", len(kept.Known))
 	return nil
--- a/tenancy/store/store.go
+++ b/tenancy/store/store.go
@@ -222,7 +222,7 @@
 	Records   []tenancy.Record
 	Known     []tenancy.ProxyID
 
-	Sentences []tenancy.LimitRecord // limits that stand
+	Limits []tenancy.LimitRecord // limits that stand
 }
 
 // Load reads all that was kept. One torn record refuses the whole: a tenant whose place is not known must not be guessed.
@@ -242,7 +242,7 @@
 			err = s.unseal("the proxies", b, &k.Known)
 		}
 		if b := tx.Bucket(proxies).Get(theLimits); err == nil && b != nil {
-			err = s.unseal("the limits", b, &k.Sentences)
+			err = s.unseal("the limits", b, &k.Limits)
 		}
 		return err
 	})
--- a/tenancy/store/store_test.go
+++ b/tenancy/store/store_test.go
@@ -44,7 +44,7 @@
 	}
 	s.Close()
 	kept, err := open(t, path).Load()
-	if err != nil || len(kept.Records) != len(names) || !reflect.DeepEqual(kept.Known, []tenancy.ProxyID{1, 2, 3}) || kept.CreatedAt == 0 || len(kept.Sentences) != 1 || kept.Sentences[0].Fences != 3 {
+	if err != nil || len(kept.Records) != len(names) || !reflect.DeepEqual(kept.Known, []tenancy.ProxyID{1, 2, 3}) || kept.CreatedAt == 0 || len(kept.Limits) != 1 || kept.Limits[0].Fences != 3 {
 		t.Fatal(kept, err)
 	}
 	for _, r := range kept.Records {
