--- a/members/members.go
+++ b/members/members.go
@@ -50,7 +50,7 @@
 	Keys   []string // base64 of 16, 24 or 32 bytes, the first one writes
 	Allow  []string // networks whose addresses are heard; empty: none but loopback
 	Log    *slog.Logger
-	Tell   func() PilotStatus // called now and then, by a goroutine of its own; must not wait
+	Status func() PilotStatus // called now and then, by a goroutine of its own; must not wait
 	Every  time.Duration
 }
 
@@ -155,7 +155,7 @@
 
 // refresh writes what is told of this pilot and says whether it is new.
 func (m *Members) refresh() bool {
-	b, err := json.Marshal(m.g.Tell())
+	b, err := json.Marshal(m.g.Status())
 	if err != nil || len(b) > memberlist.MetaMaxSize {
 		return false
 	}
--- a/members/members_test.go
+++ b/members/members_test.go
@@ -44,7 +44,7 @@
 	t.Helper()
 	var proxies atomic.Int64
 	m, err := Start(Config{Name: name, Bind: freePort(t), Others: others, Keys: keys, Log: quiet, Every: 20 * time.Millisecond,
-		Tell: func() PilotStatus { return PilotStatus{Pilot: name, Zone: "z", Proxies: int(proxies.Load())} }})
+		Status: func() PilotStatus { return PilotStatus{Pilot: name, Zone: "z", Proxies: int(proxies.Load())} }})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -118,7 +118,7 @@
 
 // What cannot be is refused at the start, in a line.
 func TestRefused(t *testing.T) {
-	good := Config{Name: "a", Bind: "127.0.0.1:0", Keys: []string{key(1)}, Log: quiet, Tell: func() PilotStatus { return PilotStatus{} }}
+	good := Config{Name: "a", Bind: "127.0.0.1:0", Keys: []string{key(1)}, Log: quiet, Status: func() PilotStatus { return PilotStatus{} }}
 	for name, change := range map[string]func(*Config){"no key": func(g *Config) { g.Keys = nil }, "a bad key": func(g *Config) { g.Keys = []string{"x"} },
 		"no address": func(g *Config) { g.Bind = "here" }, "no network": func(g *Config) { g.Allow = []string{"10.0.0.0"} }} {
 		g := good
--- a/pilot/fleet.go
+++ b/pilot/fleet.go
@@ -24,7 +24,7 @@
 	}
 	p.updateSelf()
 	p.members, err = members.Start(members.Config{Name: p.file.Name, Bind: f.Bind, Others: f.Others, Keys: keys, Allow: f.Allow, Log: p.log,
-		Tell: func() members.PilotStatus { return *p.self.Load() }})
+		Status: func() members.PilotStatus { return *p.self.Load() }})
 	return err
 }
 
