--- a/pilot/lifecycle.go
+++ b/pilot/lifecycle.go
@@ -27,7 +27,7 @@
 	rng := rand.New(rand.NewPCG(p.host.Seed, uint64(p.file.Instance)))
 	p.probes.Net = p.Net
 	p.source = &roster.Client{Address: p.file.Roster, Log: p.log, Rand: rng, Net: p.Net,
-		Take: func(u *roster.Update) { p.post(func() { p.listed(u) }) }}
+		OnUpdate: func(u *roster.Update) { p.post(func() { p.listed(u) }) }}
 	if p.file.Cache != "" {
 		version, entries, err := roster.Load(p.file.Cache, p.file.Name)
 		if err != nil {
--- a/roster/client.go
+++ b/roster/client.go
@@ -14,12 +14,12 @@
 
 // Client follows a list service. It dials again after a break, with jitter, and asks from the version that it has.
 type Client struct {
-	Address string
-	Redial  time.Duration // mean wait between dials; 0: a second
-	Log     *slog.Logger
-	Rand    *rand.Rand
-	Take    func(u *Update) // called from one goroutine at a time
-	Net     stream.Net      // nil: sockets
+	Address  string
+	Redial   time.Duration // mean wait between dials; 0: a second
+	Log      *slog.Logger
+	Rand     *rand.Rand
+	OnUpdate func(u *Update) // called from one goroutine at a time
+	Net      stream.Net      // nil: sockets
 
 	mu   sync.Mutex
 	conn *stream.Conn
@@ -102,7 +102,7 @@
 	conn := c.conn
 	c.mu.Unlock()
 	if conn == nil || conn.Send(askLine(Request{Fetch: true})) != nil {
-		go c.Take(&Update{Kind: "failed"})
+		go c.OnUpdate(&Update{Kind: "failed"})
 	}
 }
 
@@ -154,7 +154,7 @@
 			s.client.Log.Warn("list service skipped a version; asking for the whole list", "version", u.Version)
 			_ = conn.Send(askLine(Request{Fetch: true}))
 		case !stale:
-			s.client.Take(u)
+			s.client.OnUpdate(u)
 		}
 	}
 }
--- a/roster/roster_test.go
+++ b/roster/roster_test.go
@@ -42,7 +42,7 @@
 func follow(t *testing.T, address string, have uint64) (*follower, *roster.Client) {
 	f := &follower{list: map[control.EndpointID]string{}}
 	c := &roster.Client{Address: address, Redial: 5 * time.Millisecond, Log: slog.New(slog.DiscardHandler), Rand: rand.New(rand.NewPCG(1, 1)),
-		Take: func(u *roster.Update) {
+		OnUpdate: func(u *roster.Update) {
 			f.mu.Lock()
 			defer f.mu.Unlock()
 			f.told = append(f.told, fmt.Sprintf("%s %d", u.Kind, u.Version))
@@ -98,7 +98,7 @@
 			}
 			ctx, cancel := context.WithCancel(t.Context())
 			c := &roster.Client{Address: "list:80", Log: slog.New(slog.DiscardHandler), Rand: rand.New(rand.NewPCG(1, 1)),
-				Net: dialled{net, &dials}, Take: func(*roster.Update) {}}
+				Net: dialled{net, &dials}, OnUpdate: func(*roster.Update) {}}
 			done := make(chan struct{})
 			go func() { c.Run(ctx); close(done) }()
 			time.Sleep(10 * time.Minute)
