--- a/tenancy/match/match.go
+++ b/tenancy/match/match.go
@@ -1,6 +1,6 @@
-// Package match tells whose an op is: by a header, by a part of its path, or by the client's network, in that order. New
-// and Of are the way in. What an op claims is the client's word: names are bounded, and where a list of tenants is given a
-// name that is not on it counts as unknown, so that nobody makes new tenants by asking.
+// Package match finds the tenant of an op: by a header, by a part of the path, or by the client's network, in that order.
+// The client may claim any name, so names are bounded in length; and if a list of tenants is configured, a name that is
+// not on it counts as unknown, so that clients cannot create tenants.
 package match
 
 import (
@@ -11,94 +11,95 @@
 	"github.com/gaissmai/bart"
 )
 
-// Unknown is the one tenant of all ops that are nobody's, or whose claim cannot be taken.
+// Unknown is the tenant of all ops that match no rule or claim an invalid name.
 const Unknown = ""
 
-// mostName bounds a tenant's name, in bytes.
-const mostName = 128
+// maxNameBytes bounds the length of a tenant's name.
+const maxNameBytes = 128
 
-// Rules say how a tenant is known; what is empty is not used.
+// Rules configure how the tenant of an op is found. Empty fields are not used.
 type Rules struct {
-	Header     string              // a field whose value is the name
-	PathPrefix string              // the part of the path behind it, up to the next slash, is the name
-	Networks   map[string][]string // by tenant: prefixes such as 10.1.0.0/16; the longest that holds an address wins
-	Known      []string            // if any, the only tenants there are
+	Header     string              // header field that holds the name
+	PathPrefix string              // prefix of the path that the name follows, up to the next slash
+	Networks   map[string][]string // by tenant: prefixes such as 10.1.0.0/16; the longest one that contains the address applies
+	Known      []string            // if not empty, the only valid tenants
 }
 
-// Matcher applies rules.
+// Matcher applies Rules to ops.
 type Matcher struct {
-	header string
-	prefix []byte
-	nets   *bart.Table[string]
-	known  map[string]bool
+	header   string
+	prefix   []byte
+	networks *bart.Table[string]
+	known    map[string]bool
 }
 
-// New checks rules and makes a matcher. A prefix that two tenants claim is an error.
+// New validates the rules and returns a Matcher. It returns an error for an invalid name or prefix, and for a prefix of
+// two tenants.
 func New(r Rules) (*Matcher, error) {
-	m := &Matcher{header: r.Header, prefix: []byte(r.PathPrefix), nets: &bart.Table[string]{}}
+	m := &Matcher{header: r.Header, prefix: []byte(r.PathPrefix), networks: &bart.Table[string]{}}
 	if len(r.Known) > 0 {
 		m.known = map[string]bool{}
 		for _, name := range r.Known {
 			if !valid([]byte(name)) {
-				return nil, fmt.Errorf("tenant %.40q: a name of 1 to %d printable bytes is allowed", name, mostName)
+				return nil, fmt.Errorf("tenant %.40q: a name must have 1 to %d printable bytes and no spaces", name, maxNameBytes)
 			}
 			m.known[name] = true
 		}
 	}
 	for name, prefixes := range r.Networks {
 		if !valid([]byte(name)) || m.known != nil && !m.known[name] {
-			return nil, fmt.Errorf("tenant %.40q has networks, but is no known tenant", name)
+			return nil, fmt.Errorf("tenant %.40q has networks, but is not among the known tenants", name)
 		}
 		for _, text := range prefixes {
 			p, err := netip.ParsePrefix(text)
 			if err != nil {
-				return nil, fmt.Errorf("tenant %.40q: %q is no network prefix", name, text)
+				return nil, fmt.Errorf("tenant %.40q: %q is not a network prefix", name, text)
 			}
 			if p != p.Masked() {
-				return nil, fmt.Errorf("tenant %.40q: %q has bits beyond its length; %v is meant", name, text, p.Masked())
+				return nil, fmt.Errorf("tenant %.40q: %q has host bits set; the network is %v", name, text, p.Masked())
 			}
-			if other, ok := m.nets.Get(p); ok && other != name {
-				return nil, fmt.Errorf("tenants %.40q and %.40q both claim %v", min(name, other), max(name, other), p)
+			if other, ok := m.networks.Get(p); ok && other != name {
+				return nil, fmt.Errorf("tenants %.40q and %.40q both have the network %v", min(name, other), max(name, other), p)
 			}
-			m.nets.Insert(p, name)
+			m.networks.Insert(p, name)
 		}
 	}
 	return m, nil
 }
 
-// valid names are printable, without blanks, and bounded.
+// valid reports whether a name is of 1 to maxNameBytes bytes, none of them a space or an ASCII control character.
 func valid(b []byte) bool {
 	for _, c := range b {
 		if c <= ' ' || c == 0x7f {
 			return false
 		}
 	}
-	return len(b) > 0 && len(b) <= mostName
+	return len(b) > 0 && len(b) <= maxNameBytes
 }
 
-// Tenant tells the tenant of an op by its header field (nil: it has none), its target and its client's address. A claim that
-// cannot be taken is not passed over for the next rule: it is Unknown.
+// Tenant returns the tenant of an op. field is the value of the header field named by Header, or nil if the op has none.
+// If the first rule that applies yields an invalid name, the result is Unknown; the next rules are not tried.
 func (m *Matcher) Tenant(field []byte, target []byte, client netip.Addr) string {
 	if m.header != "" && field != nil {
-		return m.take(field)
+		return m.validated(field)
 	}
 	if len(m.prefix) > 0 && bytes.HasPrefix(target, m.prefix) {
 		name := target[len(m.prefix):]
 		if end := bytes.IndexAny(name, "/?#"); end >= 0 {
 			name = name[:end]
 		}
-		return m.take(name)
+		return m.validated(name)
 	}
-	if name, ok := m.nets.Lookup(client.Unmap()); ok {
+	if name, ok := m.networks.Lookup(client.Unmap()); ok {
 		return name
 	}
 	return Unknown
 }
 
-// Header is the field that Of wants; empty for none.
+// Header returns the name of the header field that Tenant needs; empty if none.
 func (m *Matcher) Header() string { return m.header }
 
-func (m *Matcher) take(name []byte) string {
+func (m *Matcher) validated(name []byte) string {
 	if !valid(name) || m.known != nil && !m.known[string(name)] {
 		return Unknown
 	}
--- a/tenancy/match/match_test.go
+++ b/tenancy/match/match_test.go
@@ -6,9 +6,10 @@
 	"testing"
 )
 
-func TestOf(t *testing.T) {
+func TestTenant(t *testing.T) {
 	m, err := New(Rules{Header: "Newsroom", PathPrefix: "/n/", Known: []string{"delo", "vecer", "dnevnik"},
-		Networks: map[string][]string{"delo": {"10.0.0.0/8", "2001:db8::/32"}, "vecer": {"10.1.0.0/16"}, "dnevnik": {"10.1.2.0/24", "10.1.2.3/32"}}})
+		Networks: map[string][]string{"delo": {"10.0.0.0/8", "2001:db8::/32"}, "vecer": {"10.1.0.0/16"},
+			"dnevnik": {"10.1.2.0/24", "10.1.2.3/32"}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -38,18 +39,19 @@
 		}
 	}
 	open, err := New(Rules{Header: "Newsroom"})
-	if err != nil || open.Tenant([]byte("anybody"), nil, netip.Addr{}) != "anybody" || open.Tenant(nil, []byte("/"), netip.Addr{}) != Unknown {
+	if err != nil || open.Tenant([]byte("anybody"), nil, netip.Addr{}) != "anybody" ||
+		open.Tenant(nil, []byte("/"), netip.Addr{}) != Unknown {
 		t.Error(err)
 	}
 }
 
 func TestRules(t *testing.T) {
 	for want, r := range map[string]Rules{
-		"no network prefix": {Networks: map[string][]string{"a": {"10.0.0.0"}}},
-		"10.0.0.0/8 is":     {Networks: map[string][]string{"a": {"10.0.0.1/8"}}},
-		"both claim":        {Networks: map[string][]string{"a": {"10.0.0.0/8"}, "b": {"10.0.0.0/8"}}},
-		"no known tenant":   {Known: []string{"a"}, Networks: map[string][]string{"b": {"10.0.0.0/8"}}},
-		"printable":         {Known: []string{"a b"}},
+		"not a network prefix":        {Networks: map[string][]string{"a": {"10.0.0.0"}}},
+		"network is 10.0.0.0/8":       {Networks: map[string][]string{"a": {"10.0.0.1/8"}}},
+		"both have the network":       {Networks: map[string][]string{"a": {"10.0.0.0/8"}, "b": {"10.0.0.0/8"}}},
+		"not among the known tenants": {Known: []string{"a"}, Networks: map[string][]string{"b": {"10.0.0.0/8"}}},
+		"printable":                   {Known: []string{"a b"}},
 	} {
 		if _, err := New(r); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v", want, err)
