--- a/tenancy/store/store.go
+++ b/tenancy/store/store.go
@@ -1,6 +1,6 @@
-// Package store keeps tenants' records on disk, in one bbolt file. Open is the way in; Keep returns once what it was given
-// is on disk, by bbolt's own fsync at the end of each transaction, and only then may the orders that go with it be sent. A
-// file that is torn, of another version or of something else is refused with a plain message and left as it is.
+// Package store saves the records of tenants in a bbolt file. Save returns once its data is on disk, as bbolt calls fsync
+// at the end of each transaction; only then may the binding updates of the same step be sent. Open refuses a file that is
+// corrupt, of another version or of another kind, with a one-line error, and leaves it unchanged.
 package store
 
 import (
@@ -19,17 +19,17 @@
 	"vetchdoor/tenancy"
 )
 
-// version of the file's layout.
+// version is the version of the file's layout.
 const version = 2
 
 var (
-	about     = []byte("about")
-	tenants   = []byte("tenants")
-	proxies   = []byte("proxies")
-	theForm   = []byte("version")
-	theKnown  = []byte("known")
-	theLimits = []byte("limits")
-	theBirth  = []byte("born")
+	aboutBucket   = []byte("about")
+	tenantsBucket = []byte("tenants")
+	proxiesBucket = []byte("proxies")
+	versionKey    = []byte("version")
+	knownKey      = []byte("known")
+	limitsKey     = []byte("limits")
+	bornKey       = []byte("born")
 )
 
 // Store is an open file.
@@ -38,11 +38,12 @@
 	db   *bbolt.DB
 }
 
-// Open opens a file or makes a new one. Another process that has it open is waited for no longer than a second.
+// Open opens a file, or creates it if it does not exist. It waits up to a second for another process that has the file
+// open.
 func Open(path string) (s *Store, err error) {
 	s = &Store{path: path}
-	defer s.guard(&err)()
-	if err := s.whole(); err != nil {
+	defer s.recoverFaults(&err)()
+	if err := s.checkSize(); err != nil {
 		return nil, err
 	}
 	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: time.Second})
@@ -53,9 +54,9 @@
 		return nil, fmt.Errorf("%s: not a store of tenants, or torn: %w", path, err)
 	}
 	s.db = db
-	fresh := false
-	if err = db.View(func(tx *bbolt.Tx) error { fresh, err = s.check(tx); return err }); err == nil && fresh {
-		err = db.Update(layOut)
+	isNew := false
+	if err = db.View(func(tx *bbolt.Tx) error { isNew, err = s.check(tx); return err }); err == nil && isNew {
+		err = db.Update(createLayout)
 	}
 	if err != nil {
 		db.Close()
@@ -64,8 +65,8 @@
 	return s, nil
 }
 
-// guard turns what bbolt does on torn pages, panics and faults of its memory map, into an error.
-func (s *Store) guard(err *error) func() {
+// recoverFaults turns panics of bbolt and faults in its memory map, which corrupt pages cause, into an error.
+func (s *Store) recoverFaults(err *error) func() {
 	before := debug.SetPanicOnFault(true)
 	return func() {
 		debug.SetPanicOnFault(before)
@@ -75,8 +76,8 @@
 	}
 }
 
-// whole looks a file over before bbolt maps it: one shorter than its newest header says was cut off.
-func (s *Store) whole() error {
+// checkSize checks a file before bbolt maps it: one that is shorter than its newest meta page says is truncated.
+func (s *Store) checkSize() error {
 	f, err := os.Open(s.path)
 	if errors.Is(err, os.ErrNotExist) {
 		return nil
@@ -90,9 +91,9 @@
 		return err
 	}
 	if info.Size() == 0 {
-		return fmt.Errorf("%s: an empty file is no store of tenants; remove it to begin anew", s.path)
+		return fmt.Errorf("%s: an empty file is not a store of tenants; remove it to create a new store", s.path)
 	}
-	const magic, header = 0xED0CDAED, 80 // of bbolt's meta pages
+	const magic, header = 0xED0CDAED, 80 // of bbolt's meta pages: the magic number, and the bytes that are read
 	newest, pages, size := uint64(0), uint64(0), int64(0)
 	for i := range int64(2) {
 		b := make([]byte, header)
@@ -108,48 +109,49 @@
 		return fmt.Errorf("%s: not a store of tenants", s.path)
 	}
 	if uint64(info.Size()) < pages*uint64(size) {
-		return fmt.Errorf("%s: torn: %d bytes of %d", s.path, info.Size(), pages*uint64(size))
+		return fmt.Errorf("%s: truncated: %d bytes of %d", s.path, info.Size(), pages*uint64(size))
 	}
 	return nil
 }
 
-// check looks at the layout; fresh says that the file is new.
-func (s *Store) check(tx *bbolt.Tx) (fresh bool, err error) {
-	b := tx.Bucket(about)
+// check validates the layout; fresh reports that the file is new and has none.
+func (s *Store) check(tx *bbolt.Tx) (isNew bool, err error) {
+	b := tx.Bucket(aboutBucket)
 	if b == nil {
 		if k, _ := tx.Cursor().First(); k != nil {
-			return false, fmt.Errorf("%s: a bbolt file, but no store of tenants", s.path)
+			return false, fmt.Errorf("%s: a bbolt file, but not a store of tenants", s.path)
 		}
 		return true, nil
 	}
-	v := b.Get(theForm)
-	if len(v) != 4 || tx.Bucket(tenants) == nil || tx.Bucket(proxies) == nil {
+	v := b.Get(versionKey)
+	if len(v) != 4 || tx.Bucket(tenantsBucket) == nil || tx.Bucket(proxiesBucket) == nil {
 		return false, fmt.Errorf("%s: not a store of tenants, or torn", s.path)
 	}
 	if got := binary.BigEndian.Uint32(v); got != version {
-		return false, fmt.Errorf("%s: its layout is version %d, this program reads version %d; it is left as it is", s.path, got, version)
+		return false, fmt.Errorf("%s: its layout is version %d, this program reads version %d; the file is left unchanged",
+			s.path, got, version)
 	}
-	if len(b.Get(theBirth)) != 8 {
+	if len(b.Get(bornKey)) != 8 {
 		return false, fmt.Errorf("%s: not a store of tenants, or torn", s.path)
 	}
 	return false, nil
 }
 
-func layOut(tx *bbolt.Tx) error {
-	for _, name := range [][]byte{about, tenants, proxies} {
+func createLayout(tx *bbolt.Tx) error {
+	for _, name := range [][]byte{aboutBucket, tenantsBucket, proxiesBucket} {
 		if _, err := tx.CreateBucket(name); err != nil {
 			return err
 		}
 	}
 	born := uint64(time.Now().UnixMicro())
-	if err := tx.Bucket(about).Put(theBirth, binary.BigEndian.AppendUint64(nil, born)); err != nil {
+	if err := tx.Bucket(aboutBucket).Put(bornKey, binary.BigEndian.AppendUint64(nil, born)); err != nil {
 		return err
 	}
-	return tx.Bucket(about).Put(theForm, binary.BigEndian.AppendUint32(nil, version))
+	return tx.Bucket(aboutBucket).Put(versionKey, binary.BigEndian.AppendUint32(nil, version))
 }
 
-// seal writes a value with a hash before it.
-func seal(v any) ([]byte, error) {
+// seal encodes a value as JSON, preceded by its hash.
+func encode(v any) ([]byte, error) {
 	text, err := json.Marshal(v)
 	if err != nil {
 		return nil, err
@@ -157,17 +159,17 @@
 	return append(binary.BigEndian.AppendUint64(nil, xxhash.Sum64(text)), text...), nil
 }
 
-func (s *Store) unseal(what string, b []byte, v any) error {
+func (s *Store) decode(what string, b []byte, v any) error {
 	if len(b) < 8 || binary.BigEndian.Uint64(b) != xxhash.Sum64(b[8:]) {
-		return fmt.Errorf("%s: the record of %s is torn", s.path, what)
+		return fmt.Errorf("%s: the record of %s is torn: its hash does not match", s.path, what)
 	}
 	if err := json.Unmarshal(b[8:], v); err != nil {
-		return fmt.Errorf("%s: the record of %s: %w", s.path, what, err)
+		return fmt.Errorf("%s: cannot decode the record of %s: %w", s.path, what, err)
 	}
 	return nil
 }
 
-// key is a tenant's: its name, or the hash of one that bbolt would not take as a key.
+// key returns the key of a tenant: its name, or a hash of it where the name is too short or too long for a key of bbolt.
 func key(name string) []byte {
 	if name == "" || len(name) > 1024 {
 		return binary.BigEndian.AppendUint64([]byte{0}, xxhash.Sum64String(name))
@@ -175,30 +177,30 @@
 	return append([]byte{1}, name...)
 }
 
-// Save writes what a step of the Mover hands out, all of it or, on an error, nothing.
-// Limits that stand take the place of those kept before where they are not nil.
+// Save writes the records and proxies of a step of the Mover, and the limits, in one transaction: on an error, nothing is
+// written. limits, if not nil, replaces all limits saved before.
 func (s *Store) Save(d tenancy.StepResult, limits []tenancy.LimitRecord) (err error) {
-	defer s.guard(&err)()
+	defer s.recoverFaults(&err)()
 	if len(d.Records) == 0 && d.KnownProxies == nil && limits == nil {
 		return nil
 	}
 	err = s.db.Update(func(tx *bbolt.Tx) error {
 		for _, r := range d.Records {
-			b, err := seal(r)
+			b, err := encode(r)
 			if err != nil {
 				return err
 			}
-			if err := tx.Bucket(tenants).Put(key(r.Tenant), b); err != nil {
+			if err := tx.Bucket(tenantsBucket).Put(key(r.Tenant), b); err != nil {
 				return err
 			}
 		}
 		if d.KnownProxies != nil {
-			if err := put(tx, theKnown, d.KnownProxies); err != nil {
+			if err := put(tx, knownKey, d.KnownProxies); err != nil {
 				return err
 			}
 		}
 		if limits != nil {
-			return put(tx, theLimits, limits)
+			return put(tx, limitsKey, limits)
 		}
 		return nil
 	})
@@ -209,40 +211,40 @@
 }
 
 func put(tx *bbolt.Tx, key []byte, v any) error {
-	b, err := seal(v)
+	b, err := encode(v)
 	if err != nil {
 		return err
 	}
-	return tx.Bucket(proxies).Put(key, b)
+	return tx.Bucket(proxiesBucket).Put(key, b)
 }
 
 // Contents is all that a store holds.
 type Contents struct {
-	CreatedAt    uint64 // microseconds since 1970 at which the store was made: below the numbers of all its orders
+	CreatedAt    uint64 // when the store was created, in microseconds since 1970; all update numbers are greater
 	Records      []tenancy.Record
 	KnownProxies []tenancy.ProxyID
 
-	Limits []tenancy.LimitRecord // limits that stand
+	Limits []tenancy.LimitRecord // limits in force
 }
 
-// Load reads all that was kept. One torn record refuses the whole: a tenant whose place is not known must not be guessed.
+// Load reads the contents. A corrupt record fails the whole load: the placement of a tenant must not be guessed.
 func (s *Store) Load() (k Contents, err error) {
-	defer s.guard(&err)()
+	defer s.recoverFaults(&err)()
 	err = s.db.View(func(tx *bbolt.Tx) error {
-		k.CreatedAt = binary.BigEndian.Uint64(tx.Bucket(about).Get(theBirth))
-		err := tx.Bucket(tenants).ForEach(func(key, v []byte) error {
+		k.CreatedAt = binary.BigEndian.Uint64(tx.Bucket(aboutBucket).Get(bornKey))
+		err := tx.Bucket(tenantsBucket).ForEach(func(key, v []byte) error {
 			var r tenancy.Record
-			if err := s.unseal(fmt.Sprintf("a tenant, key %.40q", key), v, &r); err != nil {
+			if err := s.decode(fmt.Sprintf("a tenant, key %.40q", key), v, &r); err != nil {
 				return err
 			}
 			k.Records = append(k.Records, r)
 			return nil
 		})
-		if b := tx.Bucket(proxies).Get(theKnown); err == nil && b != nil {
-			err = s.unseal("the proxies", b, &k.KnownProxies)
+		if b := tx.Bucket(proxiesBucket).Get(knownKey); err == nil && b != nil {
+			err = s.decode("the proxies", b, &k.KnownProxies)
 		}
-		if b := tx.Bucket(proxies).Get(theLimits); err == nil && b != nil {
-			err = s.unseal("the limits", b, &k.Limits)
+		if b := tx.Bucket(proxiesBucket).Get(limitsKey); err == nil && b != nil {
+			err = s.decode("the limits", b, &k.Limits)
 		}
 		return err
 	})
@@ -252,5 +254,5 @@
 	return k, nil
 }
 
-// Close closes the file.
+// Close closes the file. The Store must not be used afterwards.
 func (s *Store) Close() error { return s.db.Close() }
--- a/tenancy/store/store_test.go
+++ b/tenancy/store/store_test.go
@@ -23,28 +23,32 @@
 	return s
 }
 
-// What was kept is there after a close, hostile names too; the newest record of a tenant counts.
-func TestKeep(t *testing.T) {
+// TestSave checks that what was saved is there after reopening, with unusual names too, and that the newest record of a
+// tenant counts.
+func TestSave(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "tenants.db")
 	s := open(t, path)
 	names := []string{"a", "", strings.Repeat("long ", 1000), "\x00\n;<<", "🗳"}
 	want := map[string]tenancy.Record{}
 	for i, n := range names {
 		for v := range uint64(3) {
-			r := tenancy.Record{Tenant: n, Placement: tenancy.Placement{Draw: uint32(i), Pods: []tenancy.PodID{7}}, Number: v, Phase: tenancy.Draining,
+			r := tenancy.Record{Tenant: n, Placement: tenancy.Placement{Draw: uint32(i), Pods: []tenancy.PodID{7}}, Number: v,
+				Phase:  tenancy.Draining,
 				Queued: &tenancy.MoveRequest{Tenant: n, ManualOpen: true}}
-			if err := s.Save(tenancy.StepResult{Records: []tenancy.Record{r}, KnownProxies: []tenancy.ProxyID{1, 2, 3}}, []tenancy.LimitRecord{{Limit: tenancy.Limit{Tenant: n, Rate: 2, Fenced: true}, Fences: 3}}); err != nil {
+			if err := s.Save(tenancy.StepResult{Records: []tenancy.Record{r}, KnownProxies: []tenancy.ProxyID{1, 2, 3}},
+				[]tenancy.LimitRecord{{Limit: tenancy.Limit{Tenant: n, Rate: 2, Fenced: true}, Fences: 3}}); err != nil {
 				t.Fatal(err)
 			}
 			want[n] = r
 		}
 	}
 	if _, err := Open(path); err == nil || !strings.Contains(err.Error(), "another process") {
-		t.Errorf("opened twice: %v", err)
+		t.Errorf("second Open: %v", err)
 	}
 	s.Close()
 	kept, err := open(t, path).Load()
-	if err != nil || len(kept.Records) != len(names) || !reflect.DeepEqual(kept.KnownProxies, []tenancy.ProxyID{1, 2, 3}) || kept.CreatedAt == 0 || len(kept.Limits) != 1 || kept.Limits[0].Fences != 3 {
+	if err != nil || len(kept.Records) != len(names) || !reflect.DeepEqual(kept.KnownProxies, []tenancy.ProxyID{1, 2, 3}) ||
+		kept.CreatedAt == 0 || len(kept.Limits) != 1 || kept.Limits[0].Fences != 3 {
 		t.Fatal(kept, err)
 	}
 	for _, r := range kept.Records {
@@ -54,13 +58,15 @@
 	}
 }
 
-// A store that is torn, older, newer, empty or something else is refused in one line and left as it is.
-func TestRefused(t *testing.T) {
+// TestOpenRefused checks that a file that is corrupt, of an older or newer version, empty or of another kind is refused
+// with a one-line error and left unchanged.
+func TestOpenRefused(t *testing.T) {
 	dir := t.TempDir()
-	made := func(name string, change func(tx *bbolt.Tx) error) string {
+	storeWith := func(name string, change func(tx *bbolt.Tx) error) string {
 		path := filepath.Join(dir, name)
 		s := open(t, path)
-		if err := s.Save(tenancy.StepResult{Records: []tenancy.Record{{Tenant: "a"}}, KnownProxies: []tenancy.ProxyID{1}}, nil); err != nil {
+		if err := s.Save(tenancy.StepResult{Records: []tenancy.Record{{Tenant: "a"}}, KnownProxies: []tenancy.ProxyID{1}},
+			nil); err != nil {
 			t.Fatal(err)
 		}
 		if err := s.db.Update(change); err != nil {
@@ -69,35 +75,47 @@
 		s.Close()
 		return path
 	}
-	file := func(name string, data []byte) string {
+	fileWith := func(name string, data []byte) string {
 		path := filepath.Join(dir, name)
 		if err := os.WriteFile(path, data, 0o600); err != nil {
 			t.Fatal(err)
 		}
 		return path
 	}
-	good, err := os.ReadFile(made("good", func(tx *bbolt.Tx) error { return nil }))
+	good, err := os.ReadFile(storeWith("good", func(tx *bbolt.Tx) error { return nil }))
 	if err != nil {
 		t.Fatal(err)
 	}
 	for path, want := range map[string]string{
-		made("newer", func(tx *bbolt.Tx) error { return tx.Bucket(about).Put(theForm, []byte{0, 0, 0, 9}) }): "version 9",
-		made("older", func(tx *bbolt.Tx) error { return tx.Bucket(about).Put(theForm, []byte{0, 0, 0, 0}) }): "version 0",
-		made("no form", func(tx *bbolt.Tx) error { return tx.Bucket(about).Delete(theForm) }):                "torn",
-		made("other", func(tx *bbolt.Tx) error {
-			for _, b := range [][]byte{about, tenants, proxies} {
+		storeWith("newer", func(tx *bbolt.Tx) error {
+			return tx.Bucket(aboutBucket).Put(versionKey,
+				[]byte{0, 0, 0, 9})
+		}): "version 9",
+		storeWith("older", func(tx *bbolt.Tx) error {
+			return tx.Bucket(aboutBucket).Put(versionKey,
+				[]byte{0, 0, 0, 0})
+		}): "version 0",
+		storeWith("no form", func(tx *bbolt.Tx) error { return tx.Bucket(aboutBucket).Delete(versionKey) }): "torn",
+		storeWith("other", func(tx *bbolt.Tx) error {
+			for _, b := range [][]byte{aboutBucket, tenantsBucket, proxiesBucket} {
 				if err := tx.DeleteBucket(b); err != nil {
 					return err
 				}
 			}
 			_, err := tx.CreateBucket([]byte("x"))
 			return err
-		}): "no store of tenants",
-		made("torn record", func(tx *bbolt.Tx) error { return tx.Bucket(tenants).Put(key("a"), []byte("12345678{}")) }):     "torn",
-		made("torn proxies", func(tx *bbolt.Tx) error { return tx.Bucket(proxies).Put(theKnown, []byte("1234567890[1]")) }): "torn",
-		file("empty", nil): "empty file",
-		file("text", []byte(strings.Repeat("x", 9000))): "not a store",
-		file("half", good[:len(good)/3]):                "",
+		}): "but not a store of tenants",
+		storeWith("torn record", func(tx *bbolt.Tx) error {
+			return tx.Bucket(tenantsBucket).Put(key("a"),
+				[]byte("12345678{}"))
+		}): "torn",
+		storeWith("torn proxies", func(tx *bbolt.Tx) error {
+			return tx.Bucket(proxiesBucket).Put(knownKey,
+				[]byte("1234567890[1]"))
+		}): "torn",
+		fileWith("empty", nil):                              "empty file",
+		fileWith("text", []byte(strings.Repeat("x", 9000))): "not a store",
+		fileWith("half", good[:len(good)/3]):                "",
 	} {
 		before, err := os.ReadFile(path)
 		if err != nil {
@@ -108,16 +126,17 @@
 			_, err = s.Load()
 			s.Close()
 		}
-		if err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") || !strings.HasPrefix(err.Error(), path) {
+		if err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") ||
+			!strings.HasPrefix(err.Error(), path) {
 			t.Errorf("%s: %v", filepath.Base(path), err)
 		}
 		if after, err := os.ReadFile(path); err != nil || len(after) != len(before) {
-			t.Errorf("%s was changed: %d bytes, then %d", filepath.Base(path), len(before), len(after))
+			t.Errorf("%s has changed from %d to %d bytes", filepath.Base(path), len(before), len(after))
 		}
 	}
 }
 
-// A Mover that goes on from its store is where it was, step for step.
+// TestMoverFromStore checks that a Mover created from its store continues where the old one was.
 func TestMoverFromStore(t *testing.T) {
 	s := open(t, filepath.Join(t.TempDir(), "tenants.db"))
 	waits := tenancy.MoveLimits{WriteLifetime: 1, DedupWindow: 1, MaxHold: 1 << 40}
