--- a/tenancy/bench_test.go
+++ b/tenancy/bench_test.go
@@ -6,13 +6,14 @@
 	"time"
 )
 
-// A period of ten thousand tenants, each at three pods.
-func BenchmarkWarden(b *testing.B) {
+// BenchmarkQuarantineStep processes one period of 10,000 tenants, each on three pods.
+func BenchmarkQuarantineStep(b *testing.B) {
 	w := NewQuarantine(time.Second)
 	var uses []Usage
 	for i := range 10_000 {
 		for p := range 3 {
-			uses = append(uses, Usage{Tenant: fmt.Sprint("newsroom-", i), Pod: PodID((i*7 + p*31) % 150), Ops: 3, Busy: time.Duration(i) * time.Millisecond})
+			uses = append(uses, Usage{Tenant: fmt.Sprint("newsroom-", i), Pod: PodID((i*7 + p*31) % 150), Ops: 3,
+				Busy: time.Duration(i) * time.Millisecond})
 		}
 	}
 	var health []Health
@@ -25,17 +26,17 @@
 	}
 }
 
-// A proxy joins a pilot that has moved ten thousand tenants.
+// BenchmarkJoin has a proxy join a pilot that has moved 10,000 tenants.
 func BenchmarkJoin(b *testing.B) {
-	for _, has := range []bool{false, true} {
-		b.Run(fmt.Sprintf("knows %t", has), func(b *testing.B) {
+	for _, upToDate := range []bool{false, true} {
+		b.Run(fmt.Sprintf("up to date %t", upToDate), func(b *testing.B) {
 			m := NewMover(MoveLimits{MaxHold: time.Hour}, 1, nil, nil)
 			for i := range 10_000 {
 				m.Step(0, Event{MoveRequest: &MoveRequest{Tenant: fmt.Sprint("newsroom-", i), To: Placement{Draw: 1}}})
 			}
 			m.Step(time.Second)
 			number := uint64(0)
-			if has {
+			if upToDate {
 				number = m.number
 			}
 			b.ReportAllocs()
@@ -46,16 +47,17 @@
 	}
 }
 
-// A tenant's subset among a table's 36 pods.
-func BenchmarkPlace(b *testing.B) {
-	pods := somePods(36)
+// BenchmarkSelectPods selects a tenant's subset of a table's 36 pods.
+func BenchmarkSelectPods(b *testing.B) {
+	pods := testPods(36)
 	b.ReportAllocs()
 	for b.Loop() {
 		SelectPods("newsroom-4711", pods, 3)
 	}
 }
 
-// A write's group is drawn for each op: among all packs of a large fleet where it is nobody's.
+// BenchmarkDraw selects the group of a write that belongs to no tenant, among all groups of a large fleet, as proxies do
+// for each op.
 func BenchmarkDraw(b *testing.B) {
 	var ids []PodID
 	for i := range 170 {
--- a/tenancy/groups.go
+++ b/tenancy/groups.go
@@ -6,21 +6,24 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Groups are the groups of servers that deduplicated writes are drawn among: servers of one group drop each other's repeats,
-// servers of two do not. They come from the settings, which are the same at all proxies, and from nothing that a proxy is told or
-// sees, which may differ: all tries of a write go to one group, whatever proxies they come through. The zero value has no group.
+// Groups are the groups of servers among which the group of a deduplicated write is selected. Servers of one group drop
+// each other's duplicates; servers of different groups do not. The groups come from the settings alone, which are the
+// same at all proxies. Tables and messages from pilots may differ between proxies and have no influence. So all tries of
+// a write go to the same group, through whichever proxies they come. The zero value has no groups.
 //
-// Groups change in two steps, as members of a quorum do by a joint configuration. First every proxy is given both the old and
-// the new ones; it lets a write go only where both draw the same group. Once all have both, and the longest write and window have
-// passed, every proxy is given the new ones alone. So no write is let go by the old ones alone while another proxy lets it go by
-// the new ones alone, nor within its window before that.
+// The groups change in two steps, like the joint configuration of a consensus protocol. First every proxy gets both the
+// old and the new groups; it sends a write only if both select the same group. Once all proxies have both, and the
+// longest write lifetime and deduplication window have passed, every proxy gets the new groups alone. So no write is sent
+// by the old groups alone while another proxy sends it by the new groups alone, nor within its deduplication window
+// before that.
 type Groups struct {
-	now   groupSet
-	next  groupSet
-	joint bool // next is to be asked too
+	current groupSet
+	next    groupSet
+	joint   bool // whether a change is under way, so that next must select the same group
 }
 
-// groupSet are groups by id, each with the same part of the writes: what one can do changes, and must not move a write.
+// groupSet is a set of groups, sorted by ID. All have the same capacity in the selection, so that a change of a group's
+// real capacity moves no write.
 type groupSet struct {
 	ids  []PodID
 	pods []Pod
@@ -36,42 +39,42 @@
 	return s
 }
 
-// NewGroups makes groups that do not change.
-func NewGroups(ids []PodID) Groups { return Groups{now: newGroupSet(ids)} }
+// NewGroups returns groups that are not being changed.
+func NewGroups(ids []PodID) Groups { return Groups{current: newGroupSet(ids)} }
 
-// NewJointGroups makes groups that are being changed.
-func NewJointGroups(now, next []PodID) Groups {
-	return Groups{now: newGroupSet(now), next: newGroupSet(next), joint: true}
+// NewJointGroups returns groups during a change from current to next.
+func NewJointGroups(current, next []PodID) Groups {
+	return Groups{current: newGroupSet(current), next: newGroupSet(next), joint: true}
 }
 
-// InZone returns the groups of one zone.
+// InZone returns the groups of one zone; zone is a value of ZoneGroup.
 func (g Groups) InZone(zone PodID) Groups {
-	elsewhere := func(id PodID) bool { return ZoneGroup(id) != zone }
-	g.now = newGroupSet(slices.DeleteFunc(slices.Clone(g.now.ids), elsewhere))
-	g.next = newGroupSet(slices.DeleteFunc(slices.Clone(g.next.ids), elsewhere))
+	inOtherZone := func(id PodID) bool { return ZoneGroup(id) != zone }
+	g.current = newGroupSet(slices.DeleteFunc(slices.Clone(g.current.ids), inOtherZone))
+	g.next = newGroupSet(slices.DeleteFunc(slices.Clone(g.next.ids), inOtherZone))
 	return g
 }
 
-// ZoneGroup is the group that stands for all servers of a pod's zone.
+// ZoneGroup returns the ID of the group that stands for all servers of a pod's zone.
 func ZoneGroup(p PodID) PodID { return p &^ 0xffff }
 
-// Write is what a deduplicated write's group is drawn by.
+// Write holds what the group of a deduplicated write is selected by.
 type Write struct {
-	Tenant    string // empty: nobody's
+	Tenant    string // empty: the write belongs to no tenant
 	Placement Placement
-	Count     int    // groups of a tenant's subset; 0: all
-	Key       string // by which servers know a repeat; empty: they know none
+	Count     int    // number of groups in a tenant's subset; 0: all
+	Key       string // the key by which servers deduplicate the write; empty: they do not
 }
 
-// AllGroups tells whether a write's tenant, if any, may use all groups.
+// AllGroups reports whether writes of the tenant may use all groups: no subset size and no placement restricts it.
 func (w Write) AllGroups() bool {
 	return w.Count == 0 && w.Placement.Size == 0 && len(w.Placement.Pods) == 0
 }
 
-// Subset returns the groups that writes of a tenant may go to, by id. It must not be changed.
-func (g Groups) Subset(w Write) []PodID { return g.now.subset(w) }
+// Subset returns the groups that writes of the tenant may go to, sorted by ID. The caller must not change the result.
+func (g Groups) Subset(w Write) []PodID { return g.current.subset(w) }
 
-// subset returns the groups that a write may go to.
+// subset returns the groups that writes of the tenant may go to.
 func (s groupSet) subset(w Write) []PodID {
 	if subset := w.Placement.SelectFrom(w.Tenant, s.pods, w.Count); subset != nil {
 		return subset
@@ -79,10 +82,12 @@
 	return s.ids
 }
 
-// Joint tells whether the groups are being changed, so that a write's groups to come are asked too.
+// Joint reports whether the groups are being changed, so that the new groups must select the same group for a write as
+// the old ones.
 func (g Groups) Joint() bool { return g.joint }
 
-// NextSubset returns the groups to come that writes of a tenant may go to, by id; nil where none are to come. It must not be changed.
+// NextSubset returns the subset of the tenant among the new groups, sorted by ID; nil if the groups are not being
+// changed. The caller must not change the result.
 func (g Groups) NextSubset(w Write) []PodID {
 	if !g.joint {
 		return nil
@@ -90,12 +95,13 @@
 	return g.next.subset(w)
 }
 
-// Draw returns the group of a write among its subset; false where there is none, or where the groups to come would draw another.
+// Draw returns the group of a write among its subset. It returns false if the subset is empty, or if the groups are being
+// changed and the new groups select another group.
 func (g Groups) Draw(w Write, subset []PodID) (PodID, bool) {
 	return g.DrawFrom(w, subset, g.NextSubset(w))
 }
 
-// DrawFrom is Draw for a caller that has kept both subsets of a write's tenant, those of Subset and of NextSubset.
+// DrawFrom is like Draw, for a caller that has cached the results of Subset and NextSubset.
 func (g Groups) DrawFrom(w Write, subset, nextSubset []PodID) (PodID, bool) {
 	group, ok := w.draw(subset)
 	if !ok || !g.joint {
@@ -105,27 +111,28 @@
 	return group, ok && next == group
 }
 
-// draw draws a group by rendezvous of the key; a write without one has the first of its subset.
+// draw selects a group by rendezvous hashing of the key; a write without a key goes to the first group of its subset.
 func (w Write) draw(subset []PodID) (PodID, bool) {
 	if len(subset) == 0 {
 		return 0, false
 	}
-	drawn, most := subset[0], uint64(0)
+	selected, highest := subset[0], uint64(0)
 	if w.Key == "" || len(subset) == 1 {
-		return drawn, true
+		return selected, true
 	}
-	name := xxhash.Sum64String(w.Tenant + "\x00" + w.Key)
+	hash := xxhash.Sum64String(w.Tenant + "\x00" + w.Key)
 	for _, id := range subset {
-		if s := mixed(name, uint64(id)); s > most {
-			drawn, most = id, s
+		if score := rendezvousScore(hash, uint64(id)); score > highest {
+			selected, highest = id, score
 		}
 	}
-	return drawn, true
+	return selected, true
 }
 
-// mixed is the rendezvous score of an id for a name's hash, by the finalizer of SplitMix64 (Steele and others, 2014).
-func mixed(name, id uint64) uint64 {
-	x := name ^ (id+1)*0x9e3779b97f4a7c15
+// rendezvousScore returns the score of an ID for the hash of a name. It mixes the bits by the finalizer of SplitMix64
+// (Steele et al., 2014).
+func rendezvousScore(hash, id uint64) uint64 {
+	x := hash ^ (id+1)*0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
 	return x ^ x>>31
--- a/tenancy/move.go
+++ b/tenancy/move.go
@@ -1,7 +1,7 @@
-// Package tenancy decides which tenant may use which part of the fleet, and moves a tenant from one part to another. It
-// is free of I/O. A Seat says which pods of a table are a tenant's; a Mover takes what happened, by Step, and returns what
-// is to be done; a Binding is what a proxy makes of it. What must outlive a pilot the Mover hands out as a Record, which
-// must be on disk before the orders that come with it go out.
+// Package tenancy decides which tenant may use which servers, and moves tenants from one set of servers to another. It
+// does no I/O. A Placement says which pods of a table a tenant uses. A Mover takes events by Step and returns the records
+// to save and the binding updates to send. A Binding is the state of a tenant at one proxy. The Mover's durable state is
+// a set of Records; they must be on disk before the binding updates of the same step are sent.
 package tenancy
 
 import (
@@ -12,72 +12,72 @@
 	"time"
 )
 
-// ProxyID numbers a proxy.
+// ProxyID identifies a proxy.
 type ProxyID uint16
 
-// MoveLimits are what a move must wait out, from the facts of the service, and how many go on at a time.
+// MoveLimits are the waits of a move, derived from the settings of the service, and the number of concurrent moves.
 type MoveLimits struct {
-	WriteLifetime time.Duration // longest that a write stays in hand at a proxy or server
-	DedupWindow   time.Duration // longest that servers of one group drop a repeat, which those of another would not
-	MaxHold       time.Duration // longest that a tenant is held; a move that needs more is cancelled
-	MaxConcurrent int           // moves at a time; those beyond wait their turn. 0: any number
+	WriteLifetime time.Duration // longest time that a write may be in progress at a proxy or server
+	DedupWindow   time.Duration // longest time for which servers of one group drop a duplicate that those of another would not
+	MaxHold       time.Duration // longest time that a tenant's writes are held; a move that needs more is cancelled
+	MaxConcurrent int           // concurrent moves; further ones are queued. 0: any number
 }
 
-// Phase is how far a move is.
+// Phase is the progress of a move.
 type Phase byte
 
 const (
-	Settled  Phase = iota // the tenant is where its record says; whoever has its newest order lets its writes go there
+	Settled  Phase = iota // no move: the tenant is where its record says; a proxy with the newest update admits its writes there
 	Holding               // proxies are told to hold the tenant's writes; not all have confirmed
-	Draining              // all hold; what may have run is waited out
-	Ready                 // all hold and nothing is in hand; it opens when told to
+	Draining              // all proxies hold; writes that may still be in progress are waited out
+	Ready                 // all proxies hold and no write is in progress; the move ends on Event.Open
 )
 
 var phases = [...]string{"settled", "holding", "draining", "ready"}
 
 func (p Phase) String() string { return phases[p] }
 
-// Record is the durable part of one tenant's place.
+// Record is the durable state of one tenant.
 type Record struct {
 	Tenant     string       `json:"tenant"`
 	Placement  Placement    `json:"seat"`
-	To         Placement    `json:"to,omitzero"` // where it goes, while it moves
+	To         Placement    `json:"to,omitzero"` // the target, during a move
 	Phase      Phase        `json:"phase"`
-	Number     uint64       `json:"number"`          // of its newest order
-	ManualOpen bool         `json:"waits,omitempty"` // it opens when told to
-	Queued     *MoveRequest `json:"asked,omitempty"` // a move that waits for its turn
+	Number     uint64       `json:"number"`          // number of the newest binding update
+	ManualOpen bool         `json:"waits,omitempty"` // the move ends only on Event.Open
+	Queued     *MoveRequest `json:"asked,omitempty"` // a move that is queued
 }
 
-// BindingUpdate is a binding for one proxy: how the tenant's ops go from now on. It may be sent any number of times; a proxy
-// keeps the one with the highest number.
+// BindingUpdate is the state of one tenant's binding, sent to one proxy. It is idempotent: a proxy keeps the update with
+// the highest number.
 type BindingUpdate struct {
 	Proxy     ProxyID
 	Tenant    string
 	Number    uint64
 	Placement Placement
-	Held      bool // its writes are refused with a time to come back; reads go on
-	Clear     bool // no tenant's: bindings of other pilots, and those below Number, are no more
+	Held      bool // writes are refused with a retry-after time; reads are admitted
+	Clear     bool // names no tenant; clears the bindings of other pilots, and those of this one up to Number
 }
 
-// Event is what happened. Exactly one of its parts is set.
+// Event is an input of Mover.Step. Exactly one field is set.
 type Event struct {
 	Joined      *Joined
-	Forgotten   *ProxyID // a proxy is known to be dead and to come back without bindings, if at all
+	Forgotten   *ProxyID // a proxy that is dead for good, or comes back without bindings
 	Confirmed   *Confirmation
 	MoveRequest *MoveRequest
-	Cancel      *string // a tenant: its move ends where it began
-	Open        *string // a tenant: a move that waits to be told is told
+	Cancel      *string // a tenant: cancels its move, which returns to the old placement
+	Open        *string // a tenant: ends a move in phase Ready
 }
 
-// Joined says that a proxy's stream is up. It has all of this pilot's orders up to Has; 0: none. It may hold any older
-// binding beside.
+// Joined reports that a proxy's stream is up. The proxy has all of this pilot's binding updates with numbers up to
+// AppliedUpTo; 0 means none. It may also hold older bindings.
 type Joined struct {
 	Proxy       ProxyID
 	AppliedUpTo uint64
 }
 
-// Confirmation is a proxy's word that an order is in force, and that no write that it let go under an older one is yet to be
-// sent.
+// Confirmation reports that a binding update is in force at a proxy, and that the proxy has sent all writes that it
+// admitted under older updates.
 type Confirmation struct {
 	Proxy  ProxyID
 	Tenant string
@@ -88,70 +88,73 @@
 type MoveRequest struct {
 	Tenant     string    `json:"tenant"`
 	To         Placement `json:"to"`
-	ManualOpen bool      `json:"waits,omitempty"` // once all hold and nothing is in hand, open only when told to
+	ManualOpen bool      `json:"waits,omitempty"` // keep the move in phase Ready until Event.Open
 }
 
-// StepResult is what one step asks for: records to be kept first, then orders to be sent, and when to step again at the latest
-// (below 0: only when something happens).
+// StepResult is the outcome of one step. The records must be saved before the updates are sent. Wake is the longest time
+// until the next step; if it is negative, the next step is due only on an event.
 type StepResult struct {
 	Records      []Record
-	KnownProxies []ProxyID // not nil: keep this in place of the proxies kept before, with the records
+	KnownProxies []ProxyID // if not nil, replaces the saved set of proxies, in the same transaction as the records
 	Updates      []BindingUpdate
 	Refused      []error
 	Ended        []MoveResult
 	Wake         time.Duration
 }
 
-// MoveResult says how a move ended and how long writes were held for it.
+// MoveResult reports how a move ended and how long writes were held for it.
 type MoveResult struct {
 	Tenant string
-	Moved  bool // else it was cancelled
+	Moved  bool // false: the move was cancelled
 	Held   time.Duration
 }
 
-// tenant is all that is known of one.
+// tenant is the state of one tenant.
 type tenant struct {
 	Record
-	awaited map[ProxyID]bool // proxies that have not confirmed that they hold
-	held    time.Duration    // since when its writes are held
-	since   time.Duration    // since when all hold
+	unconfirmed   map[ProxyID]bool // proxies that have not confirmed that they hold
+	heldSince     time.Duration    // when its writes were first held, for the current move
+	drainingSince time.Duration    // when the last proxy confirmed
 }
 
-// Mover is the tenants of one pilot.
+// Mover holds the state of all moved tenants of one pilot.
 type Mover struct {
-	waits   MoveLimits
-	born    uint64 // every order of this store has a higher number
-	number  uint64 // of the newest order
-	now     time.Duration
-	tenants map[string]*tenant
-	moving  map[string]*tenant
-	queue   []*tenant        // those asked for, in turn
-	proxies map[ProxyID]bool // known; true: joined
-	done    StepResult
-	touched map[string]bool
-}
-
-// mostBound bounds the tenants that were ever moved; mostName the bytes of a name.
+	limits     MoveLimits
+	baseNumber uint64 // every update from this store has a higher number
+	number     uint64 // number of the newest update
+	now        time.Duration
+	tenants    map[string]*tenant
+	moving     map[string]*tenant
+	queue      []*tenant        // tenants with a queued move, in order of request
+	proxies    map[ProxyID]bool // known proxies; true: connected
+	result     StepResult
+	changed    map[string]bool
+}
+
+// maxMovedTenants bounds the number of tenants that were ever moved; maxNameBytes bounds the length of a tenant's name.
 const (
-	mostBound = 1 << 16
-	mostName  = 256
+	maxMovedTenants = 1 << 16
+	maxNameBytes    = 256
 )
 
-// NewMover starts with the records and the proxies that were kept, and the number above which all orders of their store
-// are. Times and confirmations are not kept: what was awaited or waited out is so again. Every proxy counts as away until
-// it joins: one that has not come back to a pilot that died still sends where it was told to, and a move that did not wait
-// for it could double what it sends.
-func NewMover(w MoveLimits, born uint64, kept []Record, known []ProxyID) *Mover {
-	m := &Mover{waits: w, born: born, number: born, tenants: map[string]*tenant{}, moving: map[string]*tenant{}, proxies: map[ProxyID]bool{}}
-	for _, p := range known {
+// NewMover returns a Mover that continues from the saved records and known proxies. All updates from their store have
+// numbers above baseNumber. Times and confirmations are not saved, so moves under way wait for all confirmations and
+// waits again. Every proxy counts as disconnected until it joins: a proxy that has not reconnected to a restarted pilot
+// still sends writes to the placement that it was last told. A move that did not wait for this proxy could duplicate
+// these writes.
+func NewMover(moveLimits MoveLimits, baseNumber uint64, records []Record, knownProxies []ProxyID) *Mover {
+	m := &Mover{limits: moveLimits, baseNumber: baseNumber, number: baseNumber, tenants: map[string]*tenant{},
+		moving: map[string]*tenant{}, proxies: map[ProxyID]bool{}}
+	for _, p := range knownProxies {
 		m.proxies[p] = false
 	}
-	for _, r := range slices.SortedFunc(slices.Values(kept), func(a, b Record) int { return cmp.Compare(a.Number, b.Number) }) {
+	for _, r := range slices.SortedFunc(slices.Values(records),
+		func(a, b Record) int { return cmp.Compare(a.Number, b.Number) }) {
 		t := &tenant{Record: clone(r)}
 		m.tenants[r.Tenant] = t
 		m.number = max(m.number, r.Number)
 		if t.Phase != Settled {
-			m.await(t)
+			m.startHold(t)
 		}
 		if t.Queued != nil {
 			m.queue = append(m.queue, t)
@@ -170,7 +173,7 @@
 	return r
 }
 
-// RecordOf returns a tenant's record; false for one that was never moved.
+// RecordOf returns the record of a tenant; false if it was never moved.
 func (m *Mover) RecordOf(name string) (Record, bool) {
 	t := m.tenants[name]
 	if t == nil {
@@ -179,19 +182,20 @@
 	return clone(t.Record), true
 }
 
-// MoveStatus is a tenant's record with what is awaited of its move.
+// MoveStatus is a tenant's record with the progress of its move.
 type MoveStatus struct {
 	Record
-	Held, Remaining time.Duration // how long it has been held, and how long at the most until the move ends or is cancelled
-	Unconfirmed     []ProxyID     // that have not confirmed that they hold
-	Disconnected    []ProxyID     // of those, the ones whose streams are down
+	Held, Remaining time.Duration // time since the hold began, and longest time until the move ends or is cancelled
+	Unconfirmed     []ProxyID     // proxies that have not confirmed that they hold
+	Disconnected    []ProxyID     // unconfirmed proxies whose streams are down
 }
 
-// ActiveMoves returns the moves under way, by tenant, and how many wait for their turn.
-func (m *Mover) ActiveMoves(now time.Duration) (out []MoveStatus, waiting int) {
+// ActiveMoves returns the moves in progress, sorted by tenant, and the number of queued moves.
+func (m *Mover) ActiveMoves(now time.Duration) (out []MoveStatus, queued int) {
 	for _, name := range slices.Sorted(maps.Keys(m.moving)) {
 		t := m.moving[name]
-		s := MoveStatus{Record: clone(t.Record), Held: now - t.held, Remaining: t.held + m.waits.MaxHold - now, Unconfirmed: slices.Sorted(maps.Keys(t.awaited))}
+		s := MoveStatus{Record: clone(t.Record), Held: now - t.heldSince, Remaining: t.heldSince + m.limits.MaxHold - now,
+			Unconfirmed: slices.Sorted(maps.Keys(t.unconfirmed))}
 		for _, p := range s.Unconfirmed {
 			if !m.proxies[p] {
 				s.Disconnected = append(s.Disconnected, p)
@@ -202,7 +206,7 @@
 	return out, len(m.queue)
 }
 
-// Records returns the records of all tenants that were ever moved, by name.
+// Records returns the records of all tenants that were ever moved, sorted by name.
 func (m *Mover) Records() (out []Record) {
 	for _, name := range slices.Sorted(maps.Keys(m.tenants)) {
 		out = append(out, clone(m.tenants[name].Record))
@@ -210,114 +214,114 @@
 	return out
 }
 
-// Proxies returns the proxies that a move waits for, joined or away.
-func (m *Mover) Proxies() (joined, away []ProxyID) {
+// Proxies returns the known proxies, which every move waits for, by whether their streams are up.
+func (m *Mover) Proxies() (connected, disconnected []ProxyID) {
 	for _, p := range slices.Sorted(maps.Keys(m.proxies)) {
 		if m.proxies[p] {
-			joined = append(joined, p)
+			connected = append(connected, p)
 		} else {
-			away = append(away, p)
+			disconnected = append(disconnected, p)
 		}
 	}
-	return joined, away
+	return connected, disconnected
 }
 
-// ProxyLeft says that a proxy's stream is down; what it was told it keeps.
+// ProxyLeft reports that a proxy's stream is down. The proxy keeps its bindings and remains known.
 func (m *Mover) ProxyLeft(p ProxyID) {
 	if m.proxies[p] {
 		m.proxies[p] = false
 	}
 }
 
-// Step takes what happened at a moment, in order, and returns what is to be done.
+// Step applies events in order, at the time now, and returns what is to be done.
 func (m *Mover) Step(now time.Duration, events ...Event) StepResult {
-	m.now, m.done, m.touched = now, StepResult{Wake: -1}, map[string]bool{}
+	m.now, m.result, m.changed = now, StepResult{Wake: -1}, map[string]bool{}
 	for _, e := range events {
 		switch {
 		case e.Joined != nil:
-			m.joined(*e.Joined)
+			m.handleJoined(*e.Joined)
 		case e.Forgotten != nil:
-			m.forgotten(*e.Forgotten)
+			m.handleForgotten(*e.Forgotten)
 		case e.Confirmed != nil:
-			m.confirmed(*e.Confirmed)
+			m.handleConfirmed(*e.Confirmed)
 		case e.MoveRequest != nil:
-			m.ask(*e.MoveRequest)
+			m.handleMove(*e.MoveRequest)
 		case e.Cancel != nil:
-			m.cancel(*e.Cancel)
+			m.handleCancel(*e.Cancel)
 		case e.Open != nil:
-			m.open(*e.Open)
+			m.handleOpen(*e.Open)
 		}
 	}
 	m.advance()
-	for _, name := range slices.Sorted(maps.Keys(m.touched)) {
-		m.done.Records = append(m.done.Records, clone(m.tenants[name].Record))
+	for _, name := range slices.Sorted(maps.Keys(m.changed)) {
+		m.result.Records = append(m.result.Records, clone(m.tenants[name].Record))
 	}
-	return m.done
+	return m.result
 }
 
-// joined has a proxy that comes, or comes back, told of every tenant that is not where its name draws it, as far as it
-// has not been told. It counts from then on as one that may hold a binding.
-func (m *Mover) joined(j Joined) {
+// handleJoined sends a proxy the updates that it does not have. From then on the proxy is known: it may hold bindings,
+// and moves wait for it.
+func (m *Mover) handleJoined(j Joined) {
 	if _, known := m.proxies[j.Proxy]; !known {
 		m.proxies[j.Proxy] = true
-		m.know()
+		m.saveProxies()
 	}
 	m.proxies[j.Proxy] = true
-	if j.AppliedUpTo <= m.born || j.AppliedUpTo > m.number {
+	if j.AppliedUpTo <= m.baseNumber || j.AppliedUpTo > m.number {
 		j.AppliedUpTo = 0
 	}
-	all := slices.SortedFunc(maps.Values(m.tenants), func(a, b *tenant) int { return cmp.Compare(a.Number, b.Number) })
-	for _, t := range all {
-		if t.Phase != Settled { // what it let go before it is told must be waited out as well
-			t.Phase, t.awaited[j.Proxy] = Holding, true
-			m.order(t, j.Proxy)
+	byNumber := slices.SortedFunc(maps.Values(m.tenants), func(a, b *tenant) int { return cmp.Compare(a.Number, b.Number) })
+	for _, t := range byNumber {
+		if t.Phase != Settled { // writes that the proxy admitted before this update must be waited out, too
+			t.Phase, t.unconfirmed[j.Proxy] = Holding, true
+			m.sendUpdate(t, j.Proxy)
 		} else if t.Number > j.AppliedUpTo {
-			m.order(t, j.Proxy)
+			m.sendUpdate(t, j.Proxy)
 		}
 	}
-	if j.AppliedUpTo == 0 { // what others told it, or this pilot before it lost its store, is over
-		m.done.Updates = append(m.done.Updates, BindingUpdate{Proxy: j.Proxy, Number: m.born, Clear: true})
+	if j.AppliedUpTo == 0 { // bindings from other pilots, or from this one before it lost its store, are obsolete
+		m.result.Updates = append(m.result.Updates, BindingUpdate{Proxy: j.Proxy, Number: m.baseNumber, Clear: true})
 	}
 }
 
-// know has the known proxies kept.
-func (m *Mover) know() {
-	m.done.KnownProxies = slices.Sorted(maps.Keys(m.proxies))
-	if m.done.KnownProxies == nil {
-		m.done.KnownProxies = []ProxyID{}
+// saveProxies adds the known proxies to the step's result.
+func (m *Mover) saveProxies() {
+	m.result.KnownProxies = slices.Sorted(maps.Keys(m.proxies))
+	if m.result.KnownProxies == nil {
+		m.result.KnownProxies = []ProxyID{}
 	}
 }
 
-func (m *Mover) forgotten(p ProxyID) {
+func (m *Mover) handleForgotten(p ProxyID) {
 	if _, known := m.proxies[p]; !known {
 		m.refuse("proxy %d is not known", p)
 		return
 	}
 	delete(m.proxies, p)
-	m.know()
+	m.saveProxies()
 	for _, t := range m.moving {
-		delete(t.awaited, p)
+		delete(t.unconfirmed, p)
 	}
 }
 
-func (m *Mover) confirmed(c Confirmation) {
+func (m *Mover) handleConfirmed(c Confirmation) {
 	if t := m.moving[c.Tenant]; t != nil && c.Number == t.Number {
-		delete(t.awaited, c.Proxy)
+		delete(t.unconfirmed, c.Proxy)
 	}
 }
 
 func (m *Mover) refuse(format string, args ...any) {
-	m.done.Refused = append(m.done.Refused, fmt.Errorf(format, args...))
+	m.result.Refused = append(m.result.Refused, fmt.Errorf(format, args...))
 }
 
-func (m *Mover) ask(a MoveRequest) {
+func (m *Mover) handleMove(a MoveRequest) {
 	t := m.tenants[a.Tenant]
 	switch {
-	case a.Tenant == AggregatedTenant || len(a.Tenant) > mostName:
+	case a.Tenant == AggregatedTenant || len(a.Tenant) > maxNameBytes:
 		m.refuse("tenant %.40q cannot be moved: no tenant's name", a.Tenant)
 		return
-	case t == nil && len(m.tenants) >= mostBound:
-		m.refuse("tenant %.40q cannot be moved: %d tenants were, which is the most", a.Tenant, mostBound)
+	case t == nil && len(m.tenants) >= maxMovedTenants:
+		m.refuse("tenant %.40q cannot be moved: %d tenants were moved already, which is the limit", a.Tenant, maxMovedTenants)
 		return
 	case t != nil && t.Phase == Settled && t.Queued == nil && t.Placement.Equal(a.To) || t == nil && a.To.Equal(Placement{}):
 		m.refuse("tenant %.40q is there already", a.Tenant)
@@ -331,127 +335,130 @@
 	}
 	a.To = a.To.clone()
 	t.Queued = &a
-	m.touched[a.Tenant] = true
+	m.changed[a.Tenant] = true
 }
 
-// begin starts the move that a tenant's record asks for.
-func (m *Mover) begin(t *tenant) {
+// startMove starts a tenant's queued move.
+func (m *Mover) startMove(t *tenant) {
 	a := t.Queued
 	t.Queued = nil
-	m.touched[t.Tenant] = true
+	m.changed[t.Tenant] = true
 	if t.Placement.Equal(a.To) {
 		return
 	}
 	t.To, t.ManualOpen = a.To, a.ManualOpen
-	m.await(t)
-	m.tell(t)
+	m.startHold(t)
+	m.broadcast(t)
 }
 
-// await counts a tenant as held from now on, and every proxy as one that has not confirmed it.
-func (m *Mover) await(t *tenant) {
-	t.Phase, t.held, t.awaited = Holding, m.now, map[ProxyID]bool{}
+// startHold marks a tenant as held from now on, and every proxy as unconfirmed.
+func (m *Mover) startHold(t *tenant) {
+	t.Phase, t.heldSince, t.unconfirmed = Holding, m.now, map[ProxyID]bool{}
 	for p := range m.proxies {
-		t.awaited[p] = true
+		t.unconfirmed[p] = true
 	}
 	m.moving[t.Tenant] = t
 }
 
-// cancel ends a move, or takes back one that waits for its turn: nothing has been handed over while there is one.
-func (m *Mover) cancel(name string) {
+// handleCancel cancels a move in progress or removes a queued one. Cancelling is safe: no proxy admits writes at the new
+// placement before the move ends.
+func (m *Mover) handleCancel(name string) {
 	switch t := m.tenants[name]; {
 	case t != nil && t.Phase != Settled:
-		m.settle(t, t.Placement)
+		m.endMove(t, t.Placement)
 	case t != nil && t.Queued != nil:
 		t.Queued = nil
 		m.queue = slices.DeleteFunc(m.queue, func(x *tenant) bool { return x == t })
-		m.touched[name] = true
+		m.changed[name] = true
 	default:
 		m.refuse("tenant %.40q does not move", name)
 	}
 }
 
-// open lets a move that waits to be told end.
-func (m *Mover) open(name string) {
+// handleOpen ends a move that is in phase Ready.
+func (m *Mover) handleOpen(name string) {
 	t := m.moving[name]
 	if t == nil || t.Phase != Ready {
 		m.refuse("tenant %.40q has no move that is ready", name)
 		return
 	}
-	m.settle(t, t.To)
+	m.endMove(t, t.To)
 }
 
-// settle ends a move, at the new seat or the old one. All hold by then or still let go at the old one alone, so each
-// proxy may open as it hears of it; one that does not hear goes on as it was.
-func (m *Mover) settle(t *tenant, at Placement) {
-	m.done.Ended = append(m.done.Ended, MoveResult{t.Tenant, !at.Equal(t.Placement), m.now - t.held})
-	t.Phase, t.Placement, t.To, t.ManualOpen, t.awaited = Settled, at, Placement{}, false, nil
+// endMove ends a move, at the new placement or the old one. By then either all proxies hold the writes, or those that do
+// not still send them to the old placement. So each proxy may admit writes as soon as it gets the update; one that does
+// not get it keeps its state.
+func (m *Mover) endMove(t *tenant, placement Placement) {
+	m.result.Ended = append(m.result.Ended, MoveResult{t.Tenant, !placement.Equal(t.Placement), m.now - t.heldSince})
+	t.Phase, t.Placement, t.To, t.ManualOpen, t.unconfirmed = Settled, placement, Placement{}, false, nil
 	delete(m.moving, t.Tenant)
-	m.tell(t)
+	m.broadcast(t)
 }
 
-// tell gives a new order to all that may hold a binding.
-func (m *Mover) tell(t *tenant) {
+// broadcast sends a new update to every connected proxy.
+func (m *Mover) broadcast(t *tenant) {
 	m.number++
 	t.Number = m.number
-	m.touched[t.Tenant] = true
+	m.changed[t.Tenant] = true
 	for _, p := range slices.Sorted(maps.Keys(m.proxies)) {
-		m.order(t, p)
+		m.sendUpdate(t, p)
 	}
 }
 
-// order tells one proxy how the tenant stands, if it can be told.
-func (m *Mover) order(t *tenant, p ProxyID) {
+// sendUpdate sends the tenant's current binding to one proxy, if it is connected.
+func (m *Mover) sendUpdate(t *tenant, p ProxyID) {
 	if m.proxies[p] && t.Number > 0 {
-		m.done.Updates = append(m.done.Updates, BindingUpdate{Proxy: p, Tenant: t.Tenant, Number: t.Number, Placement: t.Placement.clone(), Held: t.Phase != Settled})
+		m.result.Updates = append(m.result.Updates, BindingUpdate{Proxy: p, Tenant: t.Tenant, Number: t.Number,
+			Placement: t.Placement.clone(), Held: t.Phase != Settled})
 	}
 }
 
-// advance takes the moves on as far as they can go now, and begins those whose turn it is.
+// advance advances the moves in progress and starts queued ones.
 func (m *Mover) advance() {
 	for _, name := range slices.Sorted(maps.Keys(m.moving)) {
-		m.further(m.moving[name])
+		m.advanceMove(m.moving[name])
 	}
 	for i := 0; i < len(m.queue); {
 		t := m.queue[i]
-		if m.waits.MaxConcurrent > 0 && len(m.moving) >= m.waits.MaxConcurrent {
+		if m.limits.MaxConcurrent > 0 && len(m.moving) >= m.limits.MaxConcurrent {
 			break
 		}
-		if t.Phase != Settled { // its turn is after the one that it is in
+		if t.Phase != Settled { // the queued move starts after the current one
 			i++
 			continue
 		}
 		m.queue = slices.Delete(m.queue, i, i+1)
-		if m.begin(t); t.Phase != Settled {
-			m.further(t)
+		if m.startMove(t); t.Phase != Settled {
+			m.advanceMove(t)
 		}
 	}
 }
 
-// further takes one move on.
-func (m *Mover) further(t *tenant) {
-	if t.Phase == Holding && len(t.awaited) == 0 { // all hold already: no order goes out
-		t.Phase, t.since = Draining, m.now
-		m.touched[t.Tenant] = true
+// advanceMove advances one move as far as possible and sets the wake-up time.
+func (m *Mover) advanceMove(t *tenant) {
+	if t.Phase == Holding && len(t.unconfirmed) == 0 { // all proxies hold already, so no update is needed
+		t.Phase, t.drainingSince = Draining, m.now
+		m.changed[t.Tenant] = true
 	}
-	wait := t.held + m.waits.MaxHold - m.now
+	wake := t.heldSince + m.limits.MaxHold - m.now
 	if t.Phase == Draining {
-		left := t.since + m.waits.WriteLifetime + m.waits.DedupWindow - m.now
+		left := t.drainingSince + m.limits.WriteLifetime + m.limits.DedupWindow - m.now
 		if left <= 0 && !t.ManualOpen {
-			m.settle(t, t.To)
+			m.endMove(t, t.To)
 			return
 		}
 		if left <= 0 {
 			t.Phase = Ready
-			m.touched[t.Tenant] = true
+			m.changed[t.Tenant] = true
 		} else {
-			wait = min(wait, left)
+			wake = min(wake, left)
 		}
 	}
-	if wait <= 0 { // held for as long as it may be
-		m.settle(t, t.Placement)
+	if wake <= 0 { // held for the longest allowed time
+		m.endMove(t, t.Placement)
 		return
 	}
-	if m.done.Wake < 0 || wait < m.done.Wake {
-		m.done.Wake = wait
+	if m.result.Wake < 0 || wake < m.result.Wake {
+		m.result.Wake = wake
 	}
 }
--- a/tenancy/move_test.go
+++ b/tenancy/move_test.go
@@ -9,31 +9,31 @@
 	"time"
 )
 
-// world is a small one round a Mover: proxies that keep bindings, clients that try an op again anywhere within its window,
-// servers that drop repeats inside a seat's group for as long. Whatever may happen happens in any order.
-type world struct {
-	rng     *rand.Rand
-	now     time.Duration
-	born    time.Duration // of this run of the pilot
-	waits   MoveLimits
-	alone   time.Duration // what a proxy waits by itself
-	m       *Mover
-	kept    map[string]Record
-	known   []ProxyID
-	proxies map[ProxyID]*held
-	flights []flight
-	ops     []*op
-	effects map[string]map[int]time.Duration // by seat: when an op's key first came
-	moved   int
+// simulation runs a Mover with random events around it: proxies with bindings, clients that retry an op anywhere within
+// its window, and servers that drop duplicates inside a placement's group for as long.
+type simulation struct {
+	rng            *rand.Rand
+	now            time.Duration
+	started        time.Duration // start of this run of the pilot
+	limits         MoveLimits
+	proxyWait      time.Duration // how long a proxy waits by its Binding alone
+	m              *Mover
+	records        map[string]Record
+	knownProxies   []ProxyID
+	proxies        map[ProxyID]*simProxy
+	flights        []flight
+	ops            []*op
+	effects        map[string]map[int]time.Duration // by placement and op: when the op's key was first seen there
+	completedMoves int
 }
 
-// held is a proxy with its binding of the one tenant.
-type held struct {
+// simProxy is a proxy with its binding of the one tenant.
+type simProxy struct {
 	Binding
-	joined  bool
-	has     uint64          // orders of the pilot that it has all of
-	orders  []BindingUpdate // on their way to it
-	answers []Confirmation  // on their way back
+	joined        bool
+	appliedUpTo   uint64          // the proxy has all of the pilot's updates up to this number
+	updates       []BindingUpdate // updates in flight to the proxy
+	confirmations []Confirmation  // confirmations in flight to the pilot
 }
 
 type op struct {
@@ -42,7 +42,7 @@
 	tried   bool
 }
 
-// flight is a try between a proxy and the servers.
+// flight is a try in flight from a proxy to the servers.
 type flight struct {
 	op   int
 	seat string
@@ -51,95 +51,96 @@
 
 const tick = time.Second
 
-func (w *world) step(events ...Event) {
-	d := w.m.Step(w.now-w.born, events...)
+func (w *simulation) step(events ...Event) {
+	d := w.m.Step(w.now-w.started, events...)
 	for _, r := range d.Records {
-		w.kept[r.Tenant] = r
+		w.records[r.Tenant] = r
 	}
 	if d.KnownProxies != nil {
-		w.known = d.KnownProxies
+		w.knownProxies = d.KnownProxies
 	}
 	for _, e := range d.Ended {
 		if e.Moved {
-			w.moved++
+			w.completedMoves++
 		}
 	}
 	for _, o := range d.Updates {
 		if p := w.proxies[o.Proxy]; p.joined {
-			p.orders = append(p.orders, o)
+			p.updates = append(p.updates, o)
 		}
 	}
 }
 
-func newWorld(seed uint64, waits MoveLimits, alone time.Duration, proxies int) *world {
-	w := &world{rng: rand.New(rand.NewPCG(seed, 7)), waits: waits, alone: alone, kept: map[string]Record{}, proxies: map[ProxyID]*held{},
+func newSimulation(seed uint64, limits MoveLimits, proxyWait time.Duration, proxies int) *simulation {
+	w := &simulation{rng: rand.New(rand.NewPCG(seed, 7)), limits: limits, proxyWait: proxyWait, records: map[string]Record{},
+		proxies: map[ProxyID]*simProxy{},
 		effects: map[string]map[int]time.Duration{}}
-	w.m = NewMover(waits, 100, nil, nil)
+	w.m = NewMover(limits, 100, nil, nil)
 	for i := range proxies {
-		w.proxies[ProxyID(i)] = &held{Binding: NewBinding(), joined: true}
+		w.proxies[ProxyID(i)] = &simProxy{Binding: NewBinding(), joined: true}
 		w.step(Event{Joined: &Joined{Proxy: ProxyID(i)}})
 	}
 	return w
 }
 
-func (w *world) any() (ProxyID, *held) {
+func (w *simulation) randomProxy() (ProxyID, *simProxy) {
 	id := ProxyID(w.rng.IntN(len(w.proxies)))
 	return id, w.proxies[id]
 }
 
-const window, write = 3 * tick, 2 * tick // what the world really does
+const dedupWindow, writeLifetime = 3 * tick, 2 * tick // real deduplication window and write lifetime in the simulation
 
-// take has a proxy take its next order in.
-func (w *world) take(id ProxyID, p *held) {
-	o := p.orders[0]
-	p.orders = p.orders[1:]
-	p.has = max(p.has, o.Number)
+// take applies the next update at a proxy.
+func (w *simulation) applyNext(id ProxyID, p *simProxy) {
+	o := p.updates[0]
+	p.updates = p.updates[1:]
+	p.appliedUpTo = max(p.appliedUpTo, o.Number)
 	if o.Clear {
 		if p.Pilot != "p" || p.Number < o.Number {
-			p.Binding = p.Apply(w.now, w.alone, "p", o.Number, Placement{}, false)
+			p.Binding = p.Apply(w.now, w.proxyWait, "p", o.Number, Placement{}, false)
 		}
 		return
 	}
-	p.Binding = p.Apply(w.now, w.alone, "p", o.Number, o.Placement, o.Held)
-	p.answers = append(p.answers, Confirmation{id, o.Tenant, o.Number})
+	p.Binding = p.Apply(w.now, w.proxyWait, "p", o.Number, o.Placement, o.Held)
+	p.confirmations = append(p.confirmations, Confirmation{id, o.Tenant, o.Number})
 }
 
-// happen plays one thing that may happen.
-func (w *world) happen() {
-	id, p := w.any()
+// happen simulates one random event.
+func (w *simulation) randomEvent() {
+	id, p := w.randomProxy()
 	name := "a"
 	switch w.rng.IntN(15) {
 	case 0:
 		w.ops = append(w.ops, &op{})
-	case 1, 2, 3: // a client tries an op, again if it is within its window
-		if len(w.ops) > 0 && p.AllowsWrites(w.now, w.alone) {
+	case 1, 2, 3: // a client sends an op, or retries it within its window
+		if len(w.ops) > 0 && p.AllowsWrites(w.now, w.proxyWait) {
 			i := len(w.ops) - 1 - w.rng.IntN(min(3, len(w.ops)))
 			o := w.ops[i]
 			if !o.tried {
 				o.first, o.tried = w.now, true
 			}
-			if w.now-o.first < window {
+			if w.now-o.first < dedupWindow {
 				w.flights = append(w.flights, flight{i, p.Placement.String(), w.now})
 			}
 		}
 	case 4, 5: // a try arrives
 		if len(w.flights) > 0 {
-			w.land(w.rng.IntN(len(w.flights)))
+			w.deliver(w.rng.IntN(len(w.flights)))
 		}
-	case 6, 7: // an order arrives and is confirmed
-		if len(p.orders) > 0 {
-			w.take(id, p)
+	case 6, 7: // an update arrives and its confirmation is sent
+		if len(p.updates) > 0 {
+			w.applyNext(id, p)
 		}
 	case 8, 9:
-		if len(p.answers) > 0 {
-			c := p.answers[0]
-			p.answers = p.answers[1:]
+		if len(p.confirmations) > 0 {
+			c := p.confirmations[0]
+			p.confirmations = p.confirmations[1:]
 			w.step(Event{Confirmed: &c})
 		}
-	case 10: // a stream breaks, or comes back
-		p.orders, p.answers = nil, nil
+	case 10: // a stream breaks or is re-established
+		p.updates, p.confirmations = nil, nil
 		if p.joined = !p.joined; p.joined {
-			w.step(Event{Joined: &Joined{Proxy: id, AppliedUpTo: p.has}})
+			w.step(Event{Joined: &Joined{Proxy: id, AppliedUpTo: p.appliedUpTo}})
 		} else {
 			w.m.ProxyLeft(id)
 		}
@@ -147,30 +148,30 @@
 		switch w.rng.IntN(8) {
 		case 0:
 			w.step(Event{Cancel: &name})
-		case 1: // the pilot dies and comes back with what it kept; the streams break
-			var kept []Record
-			for _, r := range w.kept {
-				kept = append(kept, r)
+		case 1: // the pilot restarts with its saved records; all streams break
+			var records []Record
+			for _, r := range w.records {
+				records = append(records, r)
 			}
-			w.m, w.born = NewMover(w.waits, 100, kept, w.known), w.now
+			w.m, w.started = NewMover(w.limits, 100, records, w.knownProxies), w.now
 			for _, p := range w.proxies {
-				p.joined, p.orders, p.answers = false, nil, nil
+				p.joined, p.updates, p.confirmations = false, nil, nil
 			}
 		case 2:
 			w.step(Event{Open: &name})
 		default:
 			w.step(Event{MoveRequest: &MoveRequest{"a", Placement{Draw: w.rng.Uint32N(3)}, w.rng.IntN(3) == 0}})
 		}
-	case 12: // a proxy starts anew with what it kept on disk
+	case 12: // a proxy restarts with its saved binding
 		if w.rng.IntN(4) == 0 {
-			p.Binding, p.joined, p.orders, p.answers = p.AfterRestart(w.now), false, nil, nil
+			p.Binding, p.joined, p.updates, p.confirmations = p.AfterRestart(w.now), false, nil, nil
 			w.m.ProxyLeft(id)
 		}
-	case 13, 14: // time passes; no try stays in hand longer than a write does
+	case 13, 14: // time passes; no try is in flight for longer than the lifetime of a write
 		w.now += tick / 2
 		for i := 0; i < len(w.flights); i++ {
-			if w.now-w.flights[i].sent >= write {
-				w.land(i)
+			if w.now-w.flights[i].sent >= writeLifetime {
+				w.deliver(i)
 				i--
 			}
 		}
@@ -178,21 +179,21 @@
 	}
 }
 
-func (w *world) land(i int) {
+func (w *simulation) deliver(i int) {
 	f := w.flights[i]
 	w.flights = slices.Delete(w.flights, i, i+1)
 	if w.effects[f.seat] == nil {
 		w.effects[f.seat] = map[int]time.Duration{}
 	}
-	first, met := w.effects[f.seat][f.op]
-	if met && w.now-first < window+write {
+	first, seen := w.effects[f.seat][f.op]
+	if seen && w.now-first < dedupWindow+writeLifetime {
 		return
 	}
 	w.effects[f.seat][f.op] = w.now
 	w.ops[f.op].effects++
 }
 
-func (w *world) doubled() (n int) {
+func (w *simulation) duplicated() (n int) {
 	for _, o := range w.ops {
 		if o.effects > 1 {
 			n++
@@ -201,106 +202,110 @@
 	return n
 }
 
-// No op takes effect twice, whatever the order of tries, repeats, orders, confirmations, breaks, deaths of either side,
-// cancels, moves on moves; and once the streams stay up, every move ends and every proxy opens at the same seat. The pilot
-// keeps that alone, the proxies' own waits aside. The same worlds find the bugs that are planted by waiting out less.
+// TestMoves checks that no op takes effect twice, for random orders of tries, retries, updates, confirmations, broken
+// streams, restarts of both sides, cancelled moves and queued moves. Once the streams stay up, every move ends and every
+// proxy admits writes at the same placement. Half of the runs have no waits at the proxies, so the pilot alone must
+// ensure this. The same simulation must detect a pilot that waits for less than it should.
 func TestMoves(t *testing.T) {
-	good := MoveLimits{WriteLifetime: write, DedupWindow: window, MaxHold: 12 * tick}
+	correct := MoveLimits{WriteLifetime: writeLifetime, DedupWindow: dedupWindow, MaxHold: 12 * tick}
 	moves := 0
 	for seed := range uint64(4000) {
-		w := newWorld(seed, good, time.Duration(seed%2)*(write+window), 3)
+		w := newSimulation(seed, correct, time.Duration(seed%2)*(writeLifetime+dedupWindow), 3)
 		for range 150 {
-			w.happen()
+			w.randomEvent()
 		}
 		for id, p := range w.proxies {
 			if !p.joined {
 				p.joined = true
-				w.step(Event{Joined: &Joined{Proxy: id, AppliedUpTo: p.has}})
+				w.step(Event{Joined: &Joined{Proxy: id, AppliedUpTo: p.appliedUpTo}})
 			}
 		}
 		for range 200 {
 			w.now += tick / 2
 			for id, p := range w.proxies {
-				for len(p.orders) > 0 {
-					w.take(id, p)
+				for len(p.updates) > 0 {
+					w.applyNext(id, p)
 				}
-				for _, c := range p.answers {
+				for _, c := range p.confirmations {
 					w.step(Event{Confirmed: &c})
 				}
-				p.answers = nil
+				p.confirmations = nil
 			}
 			for len(w.flights) > 0 {
-				w.land(0)
+				w.deliver(0)
 			}
 			w.step()
 		}
-		if n := w.doubled(); n > 0 {
+		if n := w.duplicated(); n > 0 {
 			t.Fatalf("seed %d: %d ops took effect twice", seed, n)
 		}
 		r, _ := w.m.RecordOf("a")
 		if r.Phase != Settled || r.Queued != nil {
-			t.Fatalf("seed %d: no way out of %+v", seed, r)
+			t.Fatalf("seed %d: the move did not end: %+v", seed, r)
 		}
 		for id, p := range w.proxies {
-			if !p.AllowsWrites(w.now, w.alone) || !p.Placement.Equal(r.Placement) {
-				t.Fatalf("seed %d: proxy %d has %+v, the tenant is at %v", seed, id, p, r.Placement)
+			if !p.AllowsWrites(w.now, w.proxyWait) || !p.Placement.Equal(r.Placement) {
+				t.Fatalf("seed %d: proxy %d has the binding %+v, want an open one with placement %v", seed, id, p, r.Placement)
 			}
 		}
-		moves += w.moved
+		moves += w.completedMoves
 	}
 	if moves < 1000 {
-		t.Errorf("only %d moves came to their end", moves)
+		t.Errorf("only %d moves completed", moves)
 	}
-	for name, bad := range map[string]MoveLimits{"no window": {WriteLifetime: write, MaxHold: 12 * tick}, "no write": {MaxHold: 12 * tick}} {
-		checkFound(t, name, 4000, func(seed uint64) int {
-			w := newWorld(seed, bad, 0, 2)
+	for name, tooShort := range map[string]MoveLimits{"no deduplication window": {WriteLifetime: writeLifetime,
+		MaxHold: 12 * tick}, "no write lifetime": {MaxHold: 12 * tick}} {
+		checkDetected(t, name, 4000, func(seed uint64) int {
+			w := newSimulation(seed, tooShort, 0, 2)
 			for range 300 {
-				w.happen()
+				w.randomEvent()
 			}
-			return w.doubled()
+			return w.duplicated()
 		})
 	}
 }
 
-// checkFound plays worlds of seeds from 0 in which a mistake is planted, and wants a write of any of them to take effect twice.
-func checkFound(t *testing.T, mistake string, seeds uint64, play func(seed uint64) (doubled int)) {
+// checkDetected runs simulations with a deliberate mistake, for seeds from 0, and fails the test if no op takes effect
+// twice in any of them.
+func checkDetected(t *testing.T, mistake string, seeds uint64, run func(seed uint64) (duplicated int)) {
 	t.Helper()
 	found := 0
 	for seed := range seeds {
-		found += play(seed)
+		found += run(seed)
 	}
 	if found == 0 {
-		t.Errorf("the planted mistake was not found: %s", mistake)
+		t.Errorf("the simulation did not detect the mistake: %s", mistake)
 	}
 }
 
-// A proxy that goes from one pilot to another, which hold different views of a tenant's seat, never lets a repeat go to
-// servers that do not know the first try, though the pilots share nothing. Without its own wait it does.
+// TestTwoViews checks a proxy that changes between two pilots with different placements for a tenant. The pilots do not
+// communicate, but the proxy's own wait ensures that no retry goes to servers that have not seen the first try. The same
+// simulation without the wait must show duplicates.
 func TestTwoViews(t *testing.T) {
-	run := func(seed uint64, alone time.Duration) (doubled, opened int) {
+	run := func(seed uint64, proxyWait time.Duration) (duplicated, admitted int) {
 		rng := rand.New(rand.NewPCG(seed, 3))
-		w := &world{effects: map[string]map[int]time.Duration{}}
+		w := &simulation{effects: map[string]map[int]time.Duration{}}
 		b := NewBinding()
 		numbers := map[string]uint64{"a": 100, "b": 7}
 		for range 200 {
 			switch rng.IntN(6) {
-			case 0: // one pilot or the other orders, by its own numbers; some orders come late
+			case 0: // either pilot sends an update, with numbers of its own; some updates are out of order
 				pilot := []string{"a", "b"}[rng.IntN(2)]
 				numbers[pilot]++
-				b = b.Apply(w.now, alone, pilot, numbers[pilot]-rng.Uint64N(2)*2, Placement{Draw: rng.Uint32N(2)}, rng.IntN(4) == 0)
+				b = b.Apply(w.now, proxyWait, pilot, numbers[pilot]-rng.Uint64N(2)*2, Placement{Draw: rng.Uint32N(2)}, rng.IntN(4) == 0)
 			case 1, 2:
-				if b.AllowsWrites(w.now, alone) {
-					opened++
+				if b.AllowsWrites(w.now, proxyWait) {
+					admitted++
 					if rng.IntN(2) == 0 || len(w.ops) == 0 {
 						w.ops = append(w.ops, &op{first: w.now})
 					}
-					if i := len(w.ops) - 1; w.now-w.ops[i].first < window {
+					if i := len(w.ops) - 1; w.now-w.ops[i].first < dedupWindow {
 						w.flights = append(w.flights, flight{i, b.Placement.String(), w.now})
 					}
 				}
 			case 3:
 				if len(w.flights) > 0 {
-					w.land(rng.IntN(len(w.flights)))
+					w.deliver(rng.IntN(len(w.flights)))
 				}
 			case 4:
 				if rng.IntN(10) == 0 {
@@ -308,36 +313,36 @@
 				}
 			case 5:
 				w.now += tick / 2
-				for len(w.flights) > 0 && w.now-w.flights[0].sent >= write {
-					w.land(0)
+				for len(w.flights) > 0 && w.now-w.flights[0].sent >= writeLifetime {
+					w.deliver(0)
 				}
 			}
 		}
-		return w.doubled(), opened
+		return w.duplicated(), admitted
 	}
 	total := 0
 	for seed := range uint64(2000) {
-		n, opened := run(seed, write+window)
-		if total += opened; n > 0 {
-			t.Fatalf("seed %d: %d doubled", seed, n)
+		n, admitted := run(seed, writeLifetime+dedupWindow)
+		if total += admitted; n > 0 {
+			t.Fatalf("seed %d: %d ops took effect twice", seed, n)
 		}
 	}
 	if total < 2000 {
-		t.Errorf("%d writes let go", total)
+		t.Errorf("only %d writes were admitted", total)
 	}
-	checkFound(t, "no wait of its own", 2000, func(seed uint64) int {
-		doubled, _ := run(seed, 0)
-		return doubled
+	checkDetected(t, "no wait at the proxy", 2000, func(seed uint64) int {
+		duplicated, _ := run(seed, 0)
+		return duplicated
 	})
 }
 
-// confirmAll has all proxies but some confirm what they are told, at once.
-func confirmAll(m *Mover, now time.Duration, d StepResult, but ...ProxyID) (out StepResult) {
+// confirmAll confirms all updates at once, except those to the proxies in except, until no more are sent.
+func confirmAll(m *Mover, now time.Duration, d StepResult, except ...ProxyID) (out StepResult) {
 	out = d
 	for len(d.Updates) > 0 {
 		var events []Event
 		for _, o := range d.Updates {
-			if !o.Clear && !slices.Contains(but, o.Proxy) {
+			if !o.Clear && !slices.Contains(except, o.Proxy) {
 				events = append(events, Event{Confirmed: &Confirmation{o.Proxy, o.Tenant, o.Number}})
 			}
 		}
@@ -347,29 +352,32 @@
 	return out
 }
 
-// What is asked wrongly is refused; moves beyond the number that may go on at a time wait their turn, in order; one that a
-// proxy never confirms is cancelled and the tenant opens where it was; one that waits opens when told.
-func TestAsking(t *testing.T) {
+// TestMoveRequests checks that invalid requests are refused; that moves beyond the concurrent ones are queued, in order;
+// that a move which a proxy never confirms is cancelled and the tenant returns to its old placement; and that a move with
+// ManualOpen ends on Event.Open.
+func TestMoveRequests(t *testing.T) {
 	m := NewMover(MoveLimits{WriteLifetime: tick, DedupWindow: tick, MaxHold: 10 * tick, MaxConcurrent: 2}, 1000, nil, nil)
 	now := time.Duration(0)
 	d := m.Step(now, Event{Joined: &Joined{Proxy: 1}}, Event{Joined: &Joined{Proxy: 2}})
 	if len(d.Updates) != 2 || !d.Updates[0].Clear || !slices.Equal(d.KnownProxies, []ProxyID{1, 2}) {
 		t.Fatalf("%+v", d)
 	}
-	ask := func(name string, draw uint32) Event {
+	request := func(name string, draw uint32) Event {
 		return Event{MoveRequest: &MoveRequest{Tenant: name, To: Placement{Draw: draw}}}
 	}
 	for _, c := range []struct {
 		event Event
 		want  string
-	}{{ask("x", 0), "there already"}, {ask(AggregatedTenant, 1), "no tenant's name"}, {ask(strings.Repeat("x", 257), 1), "no tenant's name"},
+	}{{request("x", 0), "there already"}, {request(AggregatedTenant, 1),
+		"no tenant's name"}, {request(strings.Repeat("x", 257), 1), "no tenant's name"},
 		{Event{Cancel: &[]string{"x"}[0]}, "does not move"}, {Event{Open: &[]string{"x"}[0]}, "no move that is ready"},
 		{Event{Forgotten: &[]ProxyID{9}[0]}, "not known"}} {
-		if d := m.Step(now, c.event); len(d.Refused) != 1 || !strings.Contains(d.Refused[0].Error(), c.want) || len(d.Records) != 0 {
+		if d := m.Step(now, c.event); len(d.Refused) != 1 || !strings.Contains(d.Refused[0].Error(), c.want) ||
+			len(d.Records) != 0 {
 			t.Errorf("%+v: %+v", c, d)
 		}
 	}
-	d = m.Step(now, ask("a", 1), ask("", 1), ask("\x00\xff \n", 1))
+	d = m.Step(now, request("a", 1), request("", 1), request("\x00\xff \n", 1))
 	if moving, waiting := m.ActiveMoves(now); len(moving) != 2 || waiting != 1 || len(d.Updates) != 4 || len(d.Records) != 3 {
 		t.Fatalf("%v %d, %+v", moving, waiting, d)
 	}
@@ -378,11 +386,12 @@
 	if d = m.Step(now); len(d.Ended) != 0 || d.Wake != tick {
 		t.Errorf("%+v", d)
 	}
-	if moving, _ := m.ActiveMoves(now); !slices.Equal(moving[0].Unconfirmed, []ProxyID{2}) || moving[0].Remaining != tick || moving[0].Phase != Holding {
+	if moving, _ := m.ActiveMoves(now); !slices.Equal(moving[0].Unconfirmed, []ProxyID{2}) || moving[0].Remaining != tick ||
+		moving[0].Phase != Holding {
 		t.Errorf("%+v", moving)
 	}
 	now = 10 * tick
-	d = m.Step(now) // two are cancelled, the third begins
+	d = m.Step(now) // two moves are cancelled and the third begins
 	if len(d.Ended) != 2 || d.Ended[0].Moved || d.Ended[0].Held != 10*tick {
 		t.Errorf("%+v", d)
 	}
@@ -399,11 +408,13 @@
 		t.Errorf("%+v", moving)
 	}
 	name := "a"
-	if d = m.Step(now, Event{Open: &name}); len(d.Ended) != 1 || !d.Ended[0].Moved || !slices.Equal(d.Updates[0].Placement.Pods, []PodID{3}) || d.Updates[0].Held {
+	if d = m.Step(now, Event{Open: &name}); len(d.Ended) != 1 || !d.Ended[0].Moved ||
+		!slices.Equal(d.Updates[0].Placement.Pods, []PodID{3}) || d.Updates[0].Held {
 		t.Errorf("%+v", d)
 	}
-	// A proxy that comes back is told what it has not been told, and no more.
-	if d = m.Step(now, Event{Joined: &Joined{Proxy: 2, AppliedUpTo: d.Updates[0].Number - 1}}); len(d.Updates) != 1 || d.Updates[0].Tenant != "a" {
+	// A proxy that reconnects gets only the updates that it does not have.
+	if d = m.Step(now, Event{Joined: &Joined{Proxy: 2, AppliedUpTo: d.Updates[0].Number - 1}}); len(d.Updates) != 1 ||
+		d.Updates[0].Tenant != "a" {
 		t.Errorf("%+v", d.Updates)
 	}
 	if d = m.Step(now, Event{Joined: &Joined{Proxy: 2, AppliedUpTo: 1 << 60}}); len(d.Updates) != 4 || !d.Updates[3].Clear {
@@ -411,22 +422,23 @@
 	}
 }
 
-// Ten thousand moves at a time that begin as others end all come to their end, and a step stays short.
+// TestManyMoves checks that 10,000 moves, of which new ones start as others end, all complete; it logs the time that they
+// take.
 func TestManyMoves(t *testing.T) {
 	m := NewMover(MoveLimits{WriteLifetime: tick, DedupWindow: tick, MaxHold: 10 * tick, MaxConcurrent: 500}, 1, nil, nil)
 	for p := range ProxyID(20) {
 		m.Step(0, Event{Joined: &Joined{Proxy: p}})
 	}
-	var asks []Event
+	var requests []Event
 	for i := range 10000 {
-		asks = append(asks, Event{MoveRequest: &MoveRequest{Tenant: fmt.Sprint("newsroom ", i), To: Placement{Draw: 1}}})
+		requests = append(requests, Event{MoveRequest: &MoveRequest{Tenant: fmt.Sprint("newsroom ", i), To: Placement{Draw: 1}}})
 	}
 	begin := time.Now()
 	now, ended := time.Duration(0), 0
-	d := m.Step(now, asks...)
+	d := m.Step(now, requests...)
 	for round := 0; ended < 10000; round++ {
 		if round > 100 {
-			t.Fatalf("%d ended", ended)
+			t.Fatalf("only %d moves ended after 100 rounds", ended)
 		}
 		for _, e := range confirmAll(m, now, d).Ended {
 			if !e.Moved {
--- a/tenancy/placement.go
+++ b/tenancy/placement.go
@@ -8,47 +8,51 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// PodID numbers a pod: a few servers of one zone that tenants share or do not share as a whole. The design's cells group
-// servers that share a table; a pod is smaller and never called a cell.
+// PodID identifies a pod: a few servers of one zone. Tenants share all servers of a pod or none. A pod is smaller than a
+// cell, which is a group of servers that share a table.
 type PodID uint32
 
-// PodOf is the pod of a pack of servers of a zone.
+// PodOf returns the ID of the pod for a zone and one of its packs of servers.
 func PodOf(zone, pack int) PodID { return PodID(zone)<<16 | PodID(pack) }
 
-// Pod is a pod as it stands.
+// Pod is a pod with its current capacity.
 type Pod struct {
 	ID       PodID
 	Zone     int
-	Capacity float64 // work a second that its listed servers can do
+	Capacity float64 // work per second that the pod's listed servers can do
 }
 
-// SelectPods gives a tenant its subset: count pods, drawn by rendezvous weighted by power, no zone giving a second pod before
-// each with one left has given its first. A pod that comes or goes changes the subsets only of tenants that it is drawn
-// for; every proxy and pilot that knows the same pods finds the same subset, without a line sent.
+// SelectPods returns the subset of a tenant: count pods, sorted by ID, selected by rendezvous hashing weighted by
+// capacity. A zone gives its second pod only after each zone with pods left has given its first, and so on. Adding or
+// removing a pod changes only the subsets that include it. All proxies and pilots with the same pods compute the same
+// subset, without communication.
 func SelectPods(tenant string, pods []Pod, count int) []PodID {
-	type drawn struct {
+	type candidate struct {
 		Pod
 		score float64
 	}
-	all := make([]drawn, 0, len(pods))
+	candidates := make([]candidate, 0, len(pods))
 	for _, p := range pods {
 		if p.Capacity > 0 {
-			all = append(all, drawn{p, score(tenant, p)})
+			candidates = append(candidates, candidate{p, score(tenant, p)})
 		}
 	}
-	slices.SortFunc(all, func(a, b drawn) int { return cmp.Or(cmp.Compare(b.score, a.score), cmp.Compare(a.ID, b.ID)) })
-	given := map[int]int{}
+	slices.SortFunc(candidates, func(a, b candidate) int {
+		return cmp.Or(cmp.Compare(b.score, a.score),
+			cmp.Compare(a.ID, b.ID))
+	})
+	podsInZone := map[int]int{}
 	var out []PodID
-	for round := 0; len(out) < count && round < len(all); round++ {
-		for _, d := range all {
-			if len(out) < count && given[d.Zone] == round && !slices.Contains(out, d.ID) {
-				out = append(out, d.ID)
-				given[d.Zone]++
+	for round := 0; len(out) < count && round < len(candidates); round++ {
+		for _, c := range candidates {
+			if len(out) < count && podsInZone[c.Zone] == round && !slices.Contains(out, c.ID) {
+				out = append(out, c.ID)
+				podsInZone[c.Zone]++
 			}
 		}
-		for _, d := range all { // a zone that has none left does not hold up the others
-			if given[d.Zone] == round {
-				given[d.Zone]++
+		for _, c := range candidates { // a zone with no pods left does not hold up the others
+			if podsInZone[c.Zone] == round {
+				podsInZone[c.Zone]++
 			}
 		}
 	}
@@ -56,7 +60,7 @@
 	return out
 }
 
-// score is the weighted rendezvous score of a pod for a tenant.
+// score returns the weighted rendezvous score of a pod for a tenant.
 func score(tenant string, p Pod) float64 {
 	h := xxhash.New()
 	_, _ = h.WriteString(tenant)
@@ -65,16 +69,16 @@
 	return -p.Capacity / math.Log(u)
 }
 
-// BlastRadius is what a tenant that ruins every pod that it reaches does to the others, by the sizes alone: the share of
-// tenants that lose their whole subset with it, and the share that lose any of theirs.
+// BlastRadius returns the effect of a tenant that disables every pod in its subset, computed from the sizes alone: the
+// share of tenants that lose their whole subset, and the share that lose at least one pod.
 func BlastRadius(pods, count int) (whole, any float64) {
 	if count <= 0 || count > pods {
 		return 1, 1
 	}
-	same, apart := 1.0, 1.0
+	wholeShare, noneShare := 1.0, 1.0
 	for i := range count {
-		same *= float64(count-i) / float64(pods-i)
-		apart *= max(0, float64(pods-count-i)) / float64(pods-i)
+		wholeShare *= float64(count-i) / float64(pods-i)
+		noneShare *= max(0, float64(pods-count-i)) / float64(pods-i)
 	}
-	return same, 1 - apart
+	return wholeShare, 1 - noneShare
 }
--- a/tenancy/pods.go
+++ b/tenancy/pods.go
@@ -6,62 +6,64 @@
 	"time"
 )
 
-// Linger is how long a pod that lost its last line still counts where subsets are drawn. A tenant that makes its servers
-// leave would else be handed the next ones at once.
+// Linger is how long a pod that has no servers in the table any more still takes part in the selection of subsets.
+// Without it, a tenant whose ops make its servers fail would get other pods at once, and its ops would make those fail as
+// well.
 const Linger = time.Minute
 
-// Pods are those of a table as a proxy draws among them: with a line, or without one since a short while. A change makes a
-// new value.
+// Pods are the pods of one table that a proxy selects subsets from: those with servers, and those that lost their last
+// server less than Linger ago. A Pods is immutable.
 type Pods struct {
-	live []Pod
-	gone []lostPod
+	live    []Pod
+	removed []removedPod
 }
 
-type lostPod struct {
+type removedPod struct {
 	Pod
 	since time.Duration
 }
 
-// Update returns the pods once the table's lines are on these. A table that was made anew, most of it with other pods, begins
-// without memory.
+// Update returns the pods after a change of the table; live are the pods that have servers now. If more pods are
+// lingering than live, the table was replaced, and none linger.
 func (p *Pods) Update(now time.Duration, live []Pod) *Pods {
-	n := &Pods{live: live}
+	next := &Pods{live: live}
 	if p == nil {
-		return n
+		return next
 	}
-	has := func(id PodID) bool { return slices.ContainsFunc(live, func(x Pod) bool { return x.ID == id }) }
-	for _, g := range p.gone {
-		if !has(g.ID) && now-g.since < Linger {
-			n.gone = append(n.gone, g)
+	isLive := func(id PodID) bool { return slices.ContainsFunc(live, func(x Pod) bool { return x.ID == id }) }
+	for _, g := range p.removed {
+		if !isLive(g.ID) && now-g.since < Linger {
+			next.removed = append(next.removed, g)
 		}
 	}
 	for _, x := range p.live {
-		if !has(x.ID) {
-			n.gone = append(n.gone, lostPod{x, now})
+		if !isLive(x.ID) {
+			next.removed = append(next.removed, removedPod{x, now})
 		}
 	}
-	if len(n.gone) > len(live) {
-		n.gone = nil
+	if len(next.removed) > len(live) {
+		next.removed = nil
 	}
-	return n
+	return next
 }
 
-// Candidates returns the pods that subsets are drawn among now, and for how long that holds if no line changes.
-func (p *Pods) Candidates(now time.Duration) (pods []Pod, holds time.Duration) {
-	pods, holds = slices.Clone(p.live), math.MaxInt64
-	for _, g := range p.gone {
+// Candidates returns the pods that subsets are selected from, and for how long the result is valid if the table does not
+// change.
+func (p *Pods) Candidates(now time.Duration) (pods []Pod, validFor time.Duration) {
+	pods, validFor = slices.Clone(p.live), math.MaxInt64
+	for _, g := range p.removed {
 		if left := Linger - (now - g.since); left > 0 {
-			pods, holds = append(pods, g.Pod), min(holds, left)
+			pods, validFor = append(pods, g.Pod), min(validFor, left)
 		}
 	}
-	return pods, holds
+	return pods, validFor
 }
 
-// Live returns those with a line. It must not be changed.
+// Live returns the pods that have servers. The caller must not change the result.
 func (p *Pods) Live() []Pod { return p.live }
 
-// Spare returns the pod that a tenant may borrow while none of its subset's can be used: the next that its name draws among
-// those with a line.
+// Spare returns the pod that a tenant may borrow while no pod of its subset is usable: the first of the other live pods
+// in the tenant's rendezvous order. It returns false if there is no other pod.
 func (p *Pods) Spare(tenant string, subset []PodID) (PodID, bool) {
 	var others []Pod
 	for _, x := range p.live {
@@ -75,54 +77,63 @@
 	return 0, false
 }
 
-// BorrowState is where a proxy let a tenant's writes go last: its subset, or a pod that it borrowed. A write goes to the other only
-// when no repeat of the last one can follow it there; wait is the span that Needs says.
+// BorrowState is where a proxy last sent writes of a tenant: its subset or a borrowed pod. Writes change from one to the
+// other only when no duplicate of the last write can follow. The wait parameter of the methods is the sum of the
+// durations from MoveDurations.
 type BorrowState struct {
-	pod   PodID
-	away  bool
-	wrote bool
-	since time.Duration // away
-	last  time.Duration
+	pod           PodID
+	borrowed      bool
+	written       bool
+	borrowedSince time.Duration // when writes last changed from the subset to a borrowed pod
+	lastWrite     time.Duration
 }
 
-// BorrowedPod returns the borrowed pod that writes must stay with; false: they are the subset's.
+// BorrowedPod returns the borrowed pod that writes must continue to use; false if they go to the subset.
 func (l BorrowState) BorrowedPod(now, wait time.Duration) (PodID, bool) {
-	return l.pod, l.away && now-l.last < wait
+	return l.pod, l.borrowed && now-l.lastWrite < wait
 }
 
-// MayBorrow tells whether writes that are the subset's may go to a borrowed pod now.
-func (l BorrowState) MayBorrow(now, wait time.Duration) bool { return !l.wrote || now-l.last >= wait }
+// MayBorrow reports whether writes that went to the subset may go to a borrowed pod now.
+func (l BorrowState) MayBorrow(now, wait time.Duration) bool {
+	return !l.written || now-l.lastWrite >= wait
+}
 
-// RecordWrite books a write.
-func (l *BorrowState) RecordWrite(now time.Duration, pod PodID, away bool) {
-	if !l.away {
-		l.since = now
+// RecordWrite records a write that was sent at the time now; borrowed says that it went to the given pod, outside the
+// subset.
+func (l *BorrowState) RecordWrite(now time.Duration, pod PodID, borrowed bool) {
+	if !l.borrowed {
+		l.borrowedSince = now
 	}
-	l.pod, l.away, l.wrote, l.last = pod, away, true, now
+	l.pod, l.borrowed, l.written, l.lastWrite = pod, borrowed, true, now
 }
 
-// MustReturn tells whether writes have been away for so long that those to come must wait rather than stay, once the subset can be
-// used again.
-func (l BorrowState) MustReturn(now time.Duration) bool { return l.away && now-l.since >= Linger }
+// MustReturn reports whether writes have used a borrowed pod for so long that, if the subset is usable again, new writes
+// must wait for the change back instead of using the borrowed pod.
+func (l BorrowState) MustReturn(now time.Duration) bool {
+	return l.borrowed && now-l.borrowedSince >= Linger
+}
 
-// BorrowCredit is how a proxy knows a tenant whose ops usually succeed: only such a one may borrow. It has none at first, and one
-// that spoils what it borrows has soon none left.
-type BorrowCredit struct{ tries, good float64 }
+// BorrowCredit tracks the success of a tenant's tries. Only a tenant whose tries usually succeed may borrow a pod. A new
+// tenant has no credit, and one whose tries fail on borrowed pods loses it within a few tries.
+type BorrowCredit struct{ tries, succeeded float64 }
 
-// Of the credit: how fast it forgets, how many tries it takes and what part of them must be good.
+// Constants of BorrowCredit: the factor by which older tries are discounted with each try, the least discounted number of
+// tries, and the least share of them that must succeed.
 const (
-	remembered = 0.95
-	leastKnown = 5.0
-	trusted    = 0.8
+	discount        = 0.95
+	minTries        = 5.0
+	minSuccessShare = 0.8
 )
 
-// AddTry books a try.
-func (c *BorrowCredit) AddTry(good bool) {
-	c.tries, c.good = c.tries*remembered+1, c.good*remembered
-	if good {
-		c.good++
+// AddTry records the outcome of one try.
+func (c *BorrowCredit) AddTry(succeeded bool) {
+	c.tries, c.succeeded = c.tries*discount+1, c.succeeded*discount
+	if succeeded {
+		c.succeeded++
 	}
 }
 
-// Sufficient tells whether it may borrow.
-func (c *BorrowCredit) Sufficient() bool { return c.tries >= leastKnown && c.good >= trusted*c.tries }
+// Sufficient reports whether the tenant may borrow a pod.
+func (c *BorrowCredit) Sufficient() bool {
+	return c.tries >= minTries && c.succeeded >= minSuccessShare*c.tries
+}
--- a/tenancy/pods_test.go
+++ b/tenancy/pods_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func ids(pods []Pod) (out []PodID) {
+func sortedIDs(pods []Pod) (out []PodID) {
 	for _, p := range pods {
 		out = append(out, p.ID)
 	}
@@ -14,71 +14,73 @@
 	return out
 }
 
-// A pod that loses its lines stays in the draw for a while, so that no tenant is handed others for it; then it is replaced.
-// A table made anew begins without memory.
+// TestPods checks that a pod which loses its servers remains a candidate for Linger, so that no tenant gets another pod
+// at once, and that a replaced table has no lingering pods.
 func TestPods(t *testing.T) {
-	all := somePods(9)
+	all := testPods(9)
 	p := (*Pods)(nil).Update(0, all)
 	p = p.Update(time.Second, all[1:])
 	p = p.Update(31*time.Second, all[2:])
-	pods, holds := p.Candidates(32 * time.Second)
-	if !slices.Equal(ids(pods), ids(all)) || holds != 29*time.Second {
-		t.Errorf("%v, %v", pods, holds)
+	pods, validFor := p.Candidates(32 * time.Second)
+	if !slices.Equal(sortedIDs(pods), sortedIDs(all)) || validFor != 29*time.Second {
+		t.Errorf("%v, %v", pods, validFor)
 	}
-	if pods, holds = p.Candidates(62 * time.Second); len(pods) != 8 || holds != 29*time.Second {
-		t.Errorf("%v, %v", pods, holds)
+	if pods, validFor = p.Candidates(62 * time.Second); len(pods) != 8 || validFor != 29*time.Second {
+		t.Errorf("%v, %v", pods, validFor)
 	}
 	if pods, _ = p.Candidates(92 * time.Second); len(pods) != 7 {
 		t.Errorf("%v", pods)
 	}
 	if pods, _ = p.Update(40*time.Second, all).Candidates(40 * time.Second); len(pods) != 9 {
-		t.Errorf("back: %v", pods)
+		t.Errorf("after the pods came back: %v", pods)
 	}
 	if pods, _ = p.Update(40*time.Second, []Pod{{ID: 50, Capacity: 1}}).Candidates(40 * time.Second); len(pods) != 1 {
-		t.Errorf("made anew: %v", pods)
+		t.Errorf("after the table was replaced: %v", pods)
 	}
 	subset := SelectPods("delo", all, 3)
 	id, ok := p.Spare("delo", subset)
 	if !ok || slices.Contains(subset, id) || id < 2 {
-		t.Errorf("borrows %d beside %v", id, subset)
+		t.Errorf("borrowed pod %d, subset %v", id, subset)
 	}
 	if _, ok := (&Pods{live: all[:1]}).Spare("delo", []PodID{0}); ok {
-		t.Error("borrowed what is not there")
+		t.Error("borrowed a pod although there is no other")
 	}
 }
 
-// Writes go from the subset to a borrowed pod and back only once no repeat of the last one can follow.
-func TestLent(t *testing.T) {
+// TestBorrowState checks that writes change from the subset to a borrowed pod and back only once no duplicate of the last
+// write can follow.
+func TestBorrowState(t *testing.T) {
 	const wait = 3 * time.Second
 	var l BorrowState
 	if _, away := l.BorrowedPod(0, wait); away || !l.MayBorrow(0, wait) {
-		t.Error("never wrote")
+		t.Error("a new state has a borrowed pod or may not borrow")
 	}
 	l.RecordWrite(10*time.Second, 0, false)
 	if l.MayBorrow(12*time.Second, wait) || !l.MayBorrow(13*time.Second, wait) {
-		t.Error("borrows too early or never")
+		t.Error("want borrowing to be allowed exactly after the wait")
 	}
 	l.RecordWrite(13*time.Second, 7, true)
 	if pod, away := l.BorrowedPod(15*time.Second, wait); !away || pod != 7 {
-		t.Error("home too early")
+		t.Error("writes return to the subset before the wait is over")
 	}
 	if _, away := l.BorrowedPod(16*time.Second, wait); away {
-		t.Error("never home")
+		t.Error("writes do not return to the subset after the wait")
 	}
 	for at := 15 * time.Second; at <= 73*time.Second; at += 2 * time.Second {
 		if l.MustReturn(at) != (at >= 73*time.Second) {
-			t.Errorf("away since 13s, at %v: %t", at, l.MustReturn(at))
+			t.Errorf("borrowed since 13s, at %v: MustReturn is %t", at, l.MustReturn(at))
 		}
 		l.RecordWrite(at, 7, true)
 	}
 }
 
-// A tenant is lent to once its tries are known to be good; one that spoils what it borrows loses that within a few.
-func TestCredit(t *testing.T) {
+// TestBorrowCredit checks that a tenant may borrow after a few successful tries, and loses the credit within a few failed
+// ones.
+func TestBorrowCredit(t *testing.T) {
 	var c BorrowCredit
 	for i := range 10 {
 		if c.Sufficient() != (i > 5) {
-			t.Errorf("after %d good tries: %t", i, c.Sufficient())
+			t.Errorf("after %d successful tries: Sufficient is %t", i, c.Sufficient())
 		}
 		c.AddTry(true)
 	}
@@ -90,6 +92,6 @@
 		c.AddTry(false)
 	}
 	if n > 5 {
-		t.Errorf("spoilt %d", n)
+		t.Errorf("borrowing ended only after %d failed tries", n)
 	}
 }
--- a/tenancy/quarantine.go
+++ b/tenancy/quarantine.go
@@ -7,37 +7,38 @@
 	"time"
 )
 
-// The quarantine's numbers. Shares are from 0 to 1, spans in periods of the sums.
+// Parameters of the quarantine. Shares are from 0 to 1; times are numbers of reporting periods.
 const (
-	suffers   = 0.12 // of a pod's tries failing: it suffers
-	hotLoad   = 0.88 // or so busy
-	dominant  = 0.5  // of a suffering pod's time or failures: a tenant may be the cause
-	unfair    = 3.0  // and this many times its fair share of the time
-	ruinous   = 0.9  // of a tenant's tries failing, unfair times as many as those of others at its pods: it ruins what serves it
-	leastRuin = 1.0  // ops a period for that
-	patience  = 2    // periods of that before it is limited, and after that again before it is fenced
-	leave     = 2.0  // times its fair share: what a limited tenant may still use
-	crowds    = 0.3  // of its pods' capacity taken by one tenant: it needs more of them; a third of that: fewer would do
-	asking    = 10   // periods of that before it gets some
-	roomStep  = 1.5  // times as many
-	mostRoom  = 4.0  // at most
-	forgiving = 5    // periods of good behaviour until a limit goes, or a fence; doubled with each fence
-	doublings = 6    // at most
-	smoothing = 0.5  // the newest sums' part in a running mean
-	leastTry  = 3    // tries a period that are always allowed
-	settling  = 4    // periods after a limit or a fence in which nobody else is judged: what it stopped is still in the queues
-	forgotten = 60   // periods without an op after which a tenant is no longer kept
-	mostKept  = 4096 // tenants kept one by one; the lightest beyond are folded into one
+	unhealthyShare  = 0.12 // a pod or tenant with a larger share of its tries failing is unhealthy
+	unhealthyLoad   = 0.88 // a pod with this load is unhealthy
+	dominantShare   = 0.5  // a tenant that takes more of an unhealthy pod's busy time or failures may be the cause
+	unfairFactor    = 3.0  // a cause also uses more than this many times the mean busy time per tenant of the pod
+	ruinousShare    = 0.9  // a tenant is ruinous if this share of its tries fail, and unfairFactor times the others' share
+	ruinousMinOps   = 1.0  // ops per period below which a tenant is not considered ruinous
+	limitAfter      = 2    // bad periods in a row before a tenant is limited, and again before it is fenced
+	allowedFactor   = 2.0  // multiple of its fair usage that a limited tenant may still use
+	crowdedShare    = 0.3  // a tenant that uses this share of its pods' capacity needs more pods, at a third of it fewer
+	resizeAfter     = 10   // crowded periods in a row before a tenant gets more pods
+	roomStep        = 1.5  // factor by which Limit.Room changes in one step
+	maxRoom         = 4.0  // largest Limit.Room
+	releaseAfter    = 5    // good periods in a row that lift a limit or a fence; doubled for each earlier fence
+	maxDoublings    = 6    // most doublings of releaseAfter; also multiple of resizeAfter before room is reduced
+	smoothing       = 0.5  // weight of the newest period in the running means
+	minSavedRetries = 3    // lower bound of the retries that a RetryBudget may hold
+	settlePeriods   = 4    // periods after a limit or fence in which no other is limited: queued ops still cause failures
+	forgetAfter     = 60   // periods without ops after which an unlimited tenant is forgotten
+	maxTenants      = 4096 // tenants tracked one by one; of new ones beyond that, the least busy are aggregated
 )
 
-// RetriesPerOp is how many tries beyond the first, for each op, a proxy may spend on a tenant that is not limited.
+// RetriesPerOp is how many tries beyond the first, per op, a proxy may make for a tenant that is not limited.
 const RetriesPerOp = 0.2
 
-// opsAt is its part of a running mean's ops at a pod: by the time that they took there and, as what fails at once takes none,
-// at least those that failed.
-func (t *watched) opsAt(p *[2]float64) float64 { return max(p[1], t.ops*p[0]/max(t.busy, 1e-9)) }
+// opsAt estimates the tenant's ops at one pod, as a running mean per period. It divides the ops by the busy time that
+// they took there. As ops that fail at once take no time, the estimate is at least the number of failures.
+func (t *tenantStats) opsAt(p *[2]float64) float64 { return max(p[1], t.ops*p[0]/max(t.busy, 1e-9)) }
 
-// Usage is what proxies met of a tenant at a pod over a period. Busy is the time that servers held its ops.
+// Usage is a tenant's usage of one pod in one period, as reported by the proxies. Busy is the time that servers spent on
+// its ops.
 type Usage struct {
 	Tenant      string
 	Pod         PodID
@@ -45,112 +46,114 @@
 	Busy        time.Duration
 }
 
-// Health is a pod over a period: how busy it says it is (below 0: unknown).
+// Health is the load that a pod reported in one period, as a share of its capacity; negative if unknown.
 type Health struct {
 	Pod  PodID
 	Load float64
 }
 
-// Limit is what a tenant may use, for all proxies. Rates are ops a second over all of them.
+// Limit is what a tenant may use, at all proxies together. Rates are in ops per second over all proxies.
 type Limit struct {
 	Tenant string
-	Rate   float64 // below 0: no limit
-	Tries  float64 // tries beyond the first, for each op
-	Hand   float64 // ops in hand at a time; below 0: no limit
-	Fenced bool    // it is in quarantine: one pod of its subset alone
-	Room   float64 // times the pods that its subset has by itself, as it needs more than those can well do; 1: none beyond
+	Rate   float64 // negative: no limit
+	Tries  float64 // tries beyond the first, per op
+	Hand   float64 // concurrent ops; negative: no limit
+	Fenced bool    // quarantined: restricted to one pod of its subset
+	Room   float64 // size of the subset as a multiple of its usual size, for a tenant that needs more pods; 1: the usual size
 }
 
-// Unlimited is the limit of a tenant that is not limited.
+// Unlimited returns the limit of a tenant that is not limited.
 func Unlimited(name string) Limit {
 	return Limit{Tenant: name, Rate: -1, Tries: RetriesPerOp, Hand: -1, Room: 1}
 }
 
-// IsDefault tells whether it says nothing: no limit, no room beyond the usual.
+// IsDefault reports whether the limit restricts nothing and grants no additional pods.
 func (l Limit) IsDefault() bool { return !l.Limited() && l.Room <= 1 }
 
-// Limited tells whether the tenant may use less than others.
+// Limited reports whether the tenant may use less than others.
 func (l Limit) Limited() bool { return l.Rate >= 0 || l.Hand >= 0 || l.Fenced }
 
-// LimitRecord is a limit with what makes the next one longer; it outlives the pilot.
+// LimitRecord is the durable form of a limit, with the number of fences so far, which determines how long the next fence
+// lasts.
 type LimitRecord struct {
 	Limit
 	Fences int
 }
 
-// watched is a tenant as the quarantine knows it.
-type watched struct {
-	name   string
-	ops    float64 // running means a period
-	failed float64
-	busy   float64               // seconds
-	pods   map[PodID]*[2]float64 // busy seconds and failures, by pod
-	bad    int                   // periods in a row in which it looked like the cause
-	good   int
-	fences int
-
-	crowded, roomy int // periods in a row in which its pods were too few for it, or too many
-	limit          Limit
-	idle           int
+// tenantStats is the state of one tenant.
+type tenantStats struct {
+	name        string
+	ops         float64 // running mean per period, like failed and busy
+	failed      float64
+	busy        float64               // in seconds
+	pods        map[PodID]*[2]float64 // running means of busy seconds and failures, by pod
+	badPeriods  int                   // periods in a row in which the tenant was a cause
+	goodPeriods int
+	fences      int
+
+	crowdedPeriods, roomyPeriods int // periods in a row in which the tenant's pods were too few, or more than needed
+	limit                        Limit
+	idlePeriods                  int
 }
 
-// Quarantine finds the tenants that harm others and says what they may still use.
+// Quarantine detects tenants whose ops harm others and limits what they may use.
 type Quarantine struct {
-	period  time.Duration
-	tenants map[string]*watched
-	load    map[PodID]float64
-	settled int // periods since somebody was limited or fenced
+	period      time.Duration
+	tenants     map[string]*tenantStats
+	load        map[PodID]float64
+	sinceAction int // periods since a tenant was last limited or fenced
 }
 
-// NewQuarantine starts one; sums come once a period.
+// NewQuarantine returns a Quarantine whose Step is called once per period.
 func NewQuarantine(period time.Duration) *Quarantine {
-	return &Quarantine{period: period, tenants: map[string]*watched{}, load: map[PodID]float64{}, settled: settling}
+	return &Quarantine{period: period, tenants: map[string]*tenantStats{}, load: map[PodID]float64{}, sinceAction: settlePeriods}
 }
 
-// AggregatedTenant is the name under which the lightest tenants are kept together where there are too many; it is never limited.
+// AggregatedTenant is the name under which the least busy tenants are aggregated if there are too many. It is never
+// limited.
 const AggregatedTenant = "\x00folded"
 
-// Step takes a period's sums and returns the limits that changed, by tenant.
+// Step processes one period's usage and pod loads, and returns the limits that changed, sorted by tenant.
 func (w *Quarantine) Step(uses []Usage, health []Health) []Limit {
 	for _, h := range health {
 		w.load[h.Pod] = h.Load
 	}
 	for _, t := range w.tenants {
-		t.fade()
+		t.decay()
 	}
-	for _, u := range w.fold(uses) {
+	for _, u := range w.aggregate(uses) {
 		t := w.tenants[u.Tenant]
 		if t == nil {
-			t = &watched{name: u.Tenant, pods: map[PodID]*[2]float64{}, limit: Unlimited(u.Tenant)}
+			t = &tenantStats{name: u.Tenant, pods: map[PodID]*[2]float64{}, limit: Unlimited(u.Tenant)}
 			w.tenants[u.Tenant] = t
 		}
 		t.add(u)
 	}
 	var out []Limit
-	causes, own := w.causes()
-	w.settled++
+	causes, capacityShares := w.causes()
+	w.sinceAction++
 	for _, name := range slices.Sorted(maps.Keys(w.tenants)) {
 		t := w.tenants[name]
 		if before := t.limit; name != AggregatedTenant {
 			cause := causes[name]
-			if w.settled < settling && !before.Limited() && !cause.ruins {
-				cause.part = 0
+			if w.sinceAction < settlePeriods && !before.Limited() && !cause.ruinous {
+				cause.share = 0
 			}
-			if t.judge(cause, w.period); t.limit.Limited() && t.limit != before && (t.limit.Fenced || !before.Limited()) {
-				w.settled = 0
+			if t.adjustLimit(cause, w.period); t.limit.Limited() && t.limit != before && (t.limit.Fenced || !before.Limited()) {
+				w.sinceAction = 0
 			}
-			if t.house(own[name], cause); t.limit != before {
+			if t.adjustRoom(capacityShares[name], cause); t.limit != before {
 				out = append(out, t.limit)
 			}
 		}
-		if t.idle > forgotten && t.limit.IsDefault() {
+		if t.idlePeriods > forgetAfter && t.limit.IsDefault() {
 			delete(w.tenants, name)
 		}
 	}
 	return out
 }
 
-// UsageOf returns the running mean of what was met of a tenant over a period.
+// UsageOf returns the running mean per period of a tenant's usage, over all pods.
 func (w *Quarantine) UsageOf(name string) Usage {
 	t := w.tenants[name]
 	if t == nil {
@@ -159,16 +162,16 @@
 	return Usage{Tenant: name, Ops: t.ops, Failed: t.failed, Busy: time.Duration(t.busy * float64(time.Second))}
 }
 
-// Restore takes back what a pilot that ended had said. Its periods of good behaviour begin anew.
-func (w *Quarantine) Restore(kept []LimitRecord) {
-	for _, s := range kept {
-		if len(w.tenants) < mostKept {
-			w.tenants[s.Tenant] = &watched{name: s.Tenant, pods: map[PodID]*[2]float64{}, limit: s.Limit, fences: s.Fences}
+// Restore loads the limits saved by an earlier run of the pilot. The counts of good periods start from zero.
+func (w *Quarantine) Restore(records []LimitRecord) {
+	for _, s := range records {
+		if len(w.tenants) < maxTenants {
+			w.tenants[s.Tenant] = &tenantStats{name: s.Tenant, pods: map[PodID]*[2]float64{}, limit: s.Limit, fences: s.Fences}
 		}
 	}
 }
 
-// LimitRecords returns all limits that stand, by tenant.
+// LimitRecords returns all limits in force, sorted by tenant.
 func (w *Quarantine) LimitRecords() (out []LimitRecord) {
 	for _, name := range slices.Sorted(maps.Keys(w.tenants)) {
 		if t := w.tenants[name]; !t.limit.IsDefault() {
@@ -178,43 +181,44 @@
 	return out
 }
 
-// fold keeps the number of tenants within its bound: those that are kept already and the busiest of the new ones.
-func (w *Quarantine) fold(uses []Usage) []Usage {
-	fresh := map[string]time.Duration{}
+// aggregate bounds the number of tracked tenants. It renames the usage of new tenants, other than the busiest, to
+// AggregatedTenant.
+func (w *Quarantine) aggregate(uses []Usage) []Usage {
+	newTenants := map[string]time.Duration{}
 	for _, u := range uses {
 		if w.tenants[u.Tenant] == nil {
-			fresh[u.Tenant] += u.Busy
+			newTenants[u.Tenant] += u.Busy
 		}
 	}
-	room := mostKept - len(w.tenants)
-	if len(fresh) <= room {
+	free := maxTenants - len(w.tenants)
+	if len(newTenants) <= free {
 		return uses
 	}
-	names := slices.SortedFunc(maps.Keys(fresh), func(a, b string) int {
-		return cmp.Or(cmp.Compare(fresh[b], fresh[a]), cmp.Compare(a, b))
+	names := slices.SortedFunc(maps.Keys(newTenants), func(a, b string) int {
+		return cmp.Or(cmp.Compare(newTenants[b], newTenants[a]), cmp.Compare(a, b))
 	})
-	for _, name := range names[:max(0, room)] {
-		delete(fresh, name)
+	for _, name := range names[:max(0, free)] {
+		delete(newTenants, name)
 	}
 	out := slices.Clone(uses)
 	for i := range out {
-		if _, folded := fresh[out[i].Tenant]; folded {
+		if _, folded := newTenants[out[i].Tenant]; folded {
 			out[i].Tenant = AggregatedTenant
 		}
 	}
 	return out
 }
 
-func (t *watched) fade() {
-	t.idle++
+func (t *tenantStats) decay() {
+	t.idlePeriods++
 	t.ops, t.failed, t.busy = t.ops*(1-smoothing), t.failed*(1-smoothing), t.busy*(1-smoothing)
 	for _, p := range t.pods {
 		p[0], p[1] = p[0]*(1-smoothing), p[1]*(1-smoothing)
 	}
 }
 
-func (t *watched) add(u Usage) {
-	t.idle = 0
+func (t *tenantStats) add(u Usage) {
+	t.idlePeriods = 0
 	t.ops += smoothing * u.Ops
 	t.failed += smoothing * min(u.Failed, u.Ops)
 	t.busy += smoothing * u.Busy.Seconds()
@@ -227,178 +231,184 @@
 	p[1] += smoothing * min(u.Failed, u.Ops)
 }
 
-// cause is why a tenant is limited: the part of what it uses now that would be fair (0: it is no cause), and whether its ops
-// ruin what serves them, so that none of them is of use to it.
+// cause is the reason to limit a tenant: the part of its current usage that would be fair (0: the tenant is not a cause),
+// and whether its ops disable the servers that run them, so that none of the ops can succeed.
 type cause struct {
-	part  float64
-	ruins bool
+	share   float64
+	ruinous bool
 }
 
-// causes finds, for each pod that suffers, the tenant that takes most of its time or of its failures, far beyond a fair
-// share; it returns the part of what it uses now that would be fair.
-// One whose every op fails, where others fare far better and pods suffer, is a cause whatever time it takes.
-// It returns too what part of its pods' capacity each tenant takes.
+// causes returns, for each pod that is unhealthy, the tenant that takes most of its busy time or of its failures and far
+// more than a fair share, with the part of its usage that would be fair. A tenant of which almost every op fails, while
+// others' ops fail far less often and some of its pods are unhealthy, is a cause regardless of its busy time. The second
+// result is the share of its pods' capacity that each tenant takes.
 func (w *Quarantine) causes() (map[string]cause, map[string]float64) {
-	type pod struct{ busy, failed, ops, users float64 }
-	pods := map[PodID]*pod{}
+	type podTotals struct{ busy, failed, ops, users float64 }
+	pods := map[PodID]*podTotals{}
 	for _, t := range w.tenants {
 		for id, p := range t.pods {
 			if p[0] < 1e-6 && p[1] < 1e-6 {
 				delete(t.pods, id)
 				continue
 			}
-			x := pods[id]
-			if x == nil {
-				x = &pod{}
-				pods[id] = x
+			total := pods[id]
+			if total == nil {
+				total = &podTotals{}
+				pods[id] = total
 			}
-			x.busy, x.failed, x.users = x.busy+p[0], x.failed+p[1], x.users+1
-			x.ops += t.opsAt(p)
+			total.busy, total.failed, total.users = total.busy+p[0], total.failed+p[1], total.users+1
+			total.ops += t.opsAt(p)
 		}
 	}
-	out, own := map[string]cause{}, map[string]float64{}
+	out, capacityShare := map[string]cause{}, map[string]float64{}
 	for name, t := range w.tenants {
 		for id, p := range t.pods {
 			if load, known := w.load[id]; known && t.busy > 0 {
-				own[name] += p[0] / t.busy * load * p[0] / max(pods[id].busy, 1e-9)
+				capacityShare[name] += p[0] / t.busy * load * p[0] / max(pods[id].busy, 1e-9)
 			}
 		}
-		var others, failing float64 // ops of others at its pods, and those that failed
-		sick := false
+		var others, failing float64 // ops of other tenants at the same pods, and how many of them failed
+		unhealthy := false
 		for id, p := range t.pods {
-			x := pods[id]
-			others, failing = others+x.ops-t.opsAt(p), failing+x.failed-p[1]
-			sick = sick || x.failed > suffers*x.ops
+			total := pods[id]
+			others, failing = others+total.ops-t.opsAt(p), failing+total.failed-p[1]
+			unhealthy = unhealthy || total.failed > unhealthyShare*total.ops
 		}
-		if sick && t.ops >= leastRuin && t.failed >= ruinous*t.ops && others > 0 && failing*unfair < ruinous*others {
-			out[name] = cause{part: 1 / leave / max(t.ops, 1), ruins: true}
+		if unhealthy && t.ops >= ruinousMinOps && t.failed >= ruinousShare*t.ops && others > 0 &&
+			failing*unfairFactor < ruinousShare*others {
+			out[name] = cause{share: 1 / allowedFactor / max(t.ops, 1), ruinous: true}
 			continue
 		}
 		for id, p := range t.pods {
-			x := pods[id]
+			total := pods[id]
 			load, known := w.load[id]
-			sick := x.failed > suffers*x.ops || known && load >= hotLoad
-			fair := x.busy / x.users
-			most := p[0] > dominant*x.busy || p[1] > dominant*x.failed
-			if sick && x.users > 1 && most && p[0] > unfair*fair {
-				part := fair / p[0]
-				if old, ok := out[name]; !ok || part < old.part {
-					out[name] = cause{part: part}
+			unhealthy := total.failed > unhealthyShare*total.ops || known && load >= unhealthyLoad
+			fair := total.busy / total.users
+			dominates := p[0] > dominantShare*total.busy || p[1] > dominantShare*total.failed
+			if unhealthy && total.users > 1 && dominates && p[0] > unfairFactor*fair {
+				share := fair / p[0]
+				if old, ok := out[name]; !ok || share < old.share {
+					out[name] = cause{share: share}
 				}
 			}
 		}
 	}
-	return out, own
+	return out, capacityShare
 }
 
-// house gives a tenant that needs more than its pods can well do more of them, slowly, and takes them back more slowly. One
-// that is limited, is a cause or whose ops fail has none beyond its own: what it ruins is not to be more.
-func (t *watched) house(own float64, c cause) {
+// adjustRoom gives more pods to a tenant that needs more than its subset, and takes them back more slowly. A tenant that
+// is limited loses its additional pods, and one that is a cause or whose ops fail gets no more: it must not harm further
+// pods.
+func (t *tenantStats) adjustRoom(capacityShare float64, c cause) {
 	switch {
 	case t.limit.Limited():
-		t.limit.Room, t.crowded, t.roomy = 1, 0, 0
+		t.limit.Room, t.crowdedPeriods, t.roomyPeriods = 1, 0, 0
 		return
-	case c.part > 0 || t.failed > suffers*t.ops:
-		t.crowded = 0
+	case c.share > 0 || t.failed > unhealthyShare*t.ops:
+		t.crowdedPeriods = 0
 		return
-	case own >= crowds:
-		t.crowded, t.roomy = t.crowded+1, 0
-	case own <= crowds/3:
-		t.crowded, t.roomy = 0, t.roomy+1
+	case capacityShare >= crowdedShare:
+		t.crowdedPeriods, t.roomyPeriods = t.crowdedPeriods+1, 0
+	case capacityShare <= crowdedShare/3:
+		t.crowdedPeriods, t.roomyPeriods = 0, t.roomyPeriods+1
 	default:
-		t.crowded, t.roomy = 0, 0
+		t.crowdedPeriods, t.roomyPeriods = 0, 0
 	}
-	if t.crowded >= asking && t.limit.Room < mostRoom {
-		t.limit.Room, t.crowded = min(mostRoom, t.limit.Room*roomStep), 0
+	if t.crowdedPeriods >= resizeAfter && t.limit.Room < maxRoom {
+		t.limit.Room, t.crowdedPeriods = min(maxRoom, t.limit.Room*roomStep), 0
 	}
-	if t.roomy >= asking*doublings && t.limit.Room > 1 {
-		t.limit.Room, t.roomy = max(1, t.limit.Room/roomStep), 0
+	if t.roomyPeriods >= resizeAfter*maxDoublings && t.limit.Room > 1 {
+		t.limit.Room, t.roomyPeriods = max(1, t.limit.Room/roomStep), 0
 	}
 }
 
-// judge limits a tenant that goes on being the cause, fences it if the limit did not help, and forgives one that behaves,
-// later each time.
-func (t *watched) judge(c cause, period time.Duration) {
-	if c.part > 0 {
-		t.bad, t.good = t.bad+1, 0
+// adjustLimit limits a tenant that is repeatedly a cause, fences it if the limit does not help, and lifts the limit after
+// enough good periods, more of them after each fence.
+func (t *tenantStats) adjustLimit(c cause, period time.Duration) {
+	if c.share > 0 {
+		t.badPeriods, t.goodPeriods = t.badPeriods+1, 0
 	} else {
-		t.bad, t.good = 0, t.good+1
+		t.badPeriods, t.goodPeriods = 0, t.goodPeriods+1
 	}
 	switch {
 	case t.limit.Fenced:
-		// Behind its fence it harms nobody; what counts is whether its own ops fare well.
-		if t.failed > suffers*t.ops {
-			t.good = 0
+		// A fenced tenant cannot harm others, so what counts is whether its own ops succeed.
+		if t.failed > unhealthyShare*t.ops {
+			t.goodPeriods = 0
 		}
-		if t.good >= forgiving<<min(t.fences-1, doublings) {
-			t.limit.Fenced, t.limit.Rate, t.limit.Hand, t.good = false, max(t.ops, 1)/period.Seconds(), -1, 0
+		if t.goodPeriods >= releaseAfter<<min(t.fences-1, maxDoublings) {
+			t.limit.Fenced, t.limit.Rate, t.limit.Hand, t.goodPeriods = false, max(t.ops, 1)/period.Seconds(), -1, 0
 		}
-	case t.limit.Limited() && t.bad >= patience:
-		t.limit.Fenced, t.bad = true, 0
+	case t.limit.Limited() && t.badPeriods >= limitAfter:
+		t.limit.Fenced, t.badPeriods = true, 0
 		t.fences++
-	case t.bad >= patience:
-		part := leave * c.part
-		t.limit.Rate, t.limit.Tries, t.limit.Hand = max(1, part*t.ops)/period.Seconds(), 0, max(1, part*t.busy/period.Seconds())
-		if t.bad = 0; c.ruins { // nothing is gained by waiting
+	case t.badPeriods >= limitAfter:
+		share := allowedFactor * c.share
+		t.limit.Rate, t.limit.Tries, t.limit.Hand = max(1, share*t.ops)/period.Seconds(), 0, max(1, share*t.busy/period.Seconds())
+		if t.badPeriods = 0; c.ruinous { // limiting a ruinous tenant first would not help
 			t.limit.Fenced = true
 			t.fences++
 		}
-	case t.limit.Limited() && t.good >= forgiving:
-		t.limit, t.good = Unlimited(t.name), 0
+	case t.limit.Limited() && t.goodPeriods >= releaseAfter:
+		t.limit, t.goodPeriods = Unlimited(t.name), 0
 	}
 }
 
-// RetryBudget is a proxy's account of the tries that it may spend on one tenant beyond the first: a share of its ops, not a
-// count for each, so that a tenant whose every op fails is not tried again forever.
-type RetryBudget struct{ left float64 }
+// RetryBudget is a proxy's account of the tries beyond the first for one tenant. It limits them to a share of the
+// tenant's ops instead of a count per op, so that a tenant whose ops all fail causes few retries.
+type RetryBudget struct{ balance float64 }
 
-// Earn earns for an op; share is the limit's.
-func (b *RetryBudget) Earn(share float64) { b.left = min(b.left+share, max(leastTry, 20*share)) }
+// Earn adds the retries earned by one op; share is Limit.Tries.
+func (b *RetryBudget) Earn(share float64) {
+	b.balance = min(b.balance+share, max(minSavedRetries, 20*share))
+}
 
-// Spend spends a try; false says that there is none left.
+// Spend takes one retry from the account; it returns false if there is none.
 func (b *RetryBudget) Spend() bool {
-	if b.left < 1 {
+	if b.balance < 1 {
 		return false
 	}
-	b.left--
+	b.balance--
 	return true
 }
 
-// Allowance is a proxy's account of what a limited tenant may still use: ops by their rate and those in hand. Where not all
-// can go, those that earn most go first: the others leave a part of it to them.
+// Allowance is a proxy's account of what one limited tenant may still use: ops by rate, and concurrent ops. If not all
+// ops can be admitted, those of the types with the highest revenue go first: the other types leave a part of the
+// allowance unused.
 type Allowance struct {
-	tokens float64
-	last   time.Duration
-	hand   int
+	tokens     float64
+	last       time.Duration
+	concurrent int
 }
 
-// kept is the part of an allowance that ops of the least revenue leave to those of the most; mostSaved how many ops' worth a
-// slow tenant may save up.
+// reservedShare is the part of an allowance that the op type of least revenue leaves to the one of most revenue.
+// maxSavedOps is how many ops a tenant with a low rate may save up.
 const (
-	kept      = 0.5
-	mostSaved = 2.0
+	reservedShare = 0.5
+	maxSavedOps   = 2.0
 )
 
-// Admit tells whether an op may go and takes it in hand; rank is from 0 for the op type that earns least to 1 for the one
-// that earns most. Below 0 a limit is none.
-func (a *Allowance) Admit(now time.Duration, rate, hand, rank float64) bool {
-	if hand >= 0 && float64(a.hand) >= max(1, hand*(1-kept*(1-rank))) {
+// Admit reports whether an op is admitted, and counts it as in progress if so. The limits are rate, in ops per second,
+// and concurrent; a negative one is no limit. rank is from 0, for the op type of least revenue, to 1, for the one of
+// most.
+func (a *Allowance) Admit(now time.Duration, rate, concurrent, rank float64) bool {
+	if concurrent >= 0 && float64(a.concurrent) >= max(1, concurrent*(1-reservedShare*(1-rank))) {
 		return false
 	}
 	if rate >= 0 {
-		most := max(mostSaved, rate)
-		a.tokens = min(most, a.tokens+rate*(now-a.last).Seconds())
+		maxTokens := max(maxSavedOps, rate)
+		a.tokens = min(maxTokens, a.tokens+rate*(now-a.last).Seconds())
 		a.last = now
-		if a.tokens < 1+(1-rank)*kept*most {
+		if a.tokens < 1+(1-rank)*reservedShare*maxTokens {
 			return false
 		}
 		a.tokens--
 	} else {
 		a.tokens, a.last = 1, now
 	}
-	a.hand++
+	a.concurrent++
 	return true
 }
 
-// Done takes an op out of hand.
-func (a *Allowance) Done() { a.hand-- }
+// Done counts an admitted op as finished.
+func (a *Allowance) Done() { a.concurrent-- }
--- a/tenancy/quarantine_test.go
+++ b/tenancy/quarantine_test.go
@@ -6,14 +6,15 @@
 	"time"
 )
 
-// evening plays periods of twenty tenants on three pods, of which one may do as the case says, and keeps the last limits.
-func evening(w *Quarantine, periods int, limits map[string]Limit, play func(i int, u *Usage), load float64) (changes int) {
+// runPeriods simulates periods of 20 tenants on three pods with the given load. adjust may change the usage of tenant i.
+// It stores the last limit of each tenant in limits, and returns the number of changes.
+func runPeriods(w *Quarantine, periods int, limits map[string]Limit, adjust func(i int, u *Usage), load float64) (changes int) {
 	for range periods {
 		var uses []Usage
 		for i := range 20 {
 			for p := range PodID(3) {
 				u := Usage{Tenant: fmt.Sprintf("t%d", i), Pod: p, Ops: 10, Busy: time.Second}
-				play(i, &u)
+				adjust(i, &u)
 				uses = append(uses, u)
 			}
 		}
@@ -25,51 +26,52 @@
 	return changes
 }
 
-// The tenant that harms is limited, then fenced, and nobody else is; it is let back once it behaves, later each time.
-func TestWarden(t *testing.T) {
-	fine := func(int, *Usage) {}
+// TestQuarantine checks that the tenant which harms others is limited and then fenced, that no other tenant is, and that
+// the fence is lifted after good periods, of which the second fence needs more.
+func TestQuarantine(t *testing.T) {
+	normal := func(int, *Usage) {}
 	flood := func(i int, u *Usage) {
-		if i == 7 { // a tool that tries again at once for ever
+		if i == 7 { // a client that retries at once, without end
 			u.Ops, u.Failed, u.Busy = 2000, 1500, 60*time.Second
 		} else {
 			u.Failed = 3
 		}
 	}
 	for _, c := range []struct {
-		name  string
-		play  func(int, *Usage)
-		load  float64
-		fence bool
+		name   string
+		adjust func(int, *Usage)
+		load   float64
+		fence  bool
 	}{
-		{"all fine", fine, 0.5, false},
-		{"busy, nobody unfair", fine, 0.99, false},
+		{"no failures", normal, 0.5, false},
+		{"busy, all alike", normal, 0.99, false},
 		{"all fail alike", func(i int, u *Usage) { u.Failed = 6 }, 0.5, false},
-		{"a big one that harms nobody", func(i int, u *Usage) {
+		{"a large tenant that harms nobody", func(i int, u *Usage) {
 			if i == 7 {
 				u.Ops, u.Busy = 2000, 60*time.Second
 			}
 		}, 0.6, false},
-		{"a flood of repeats", flood, 0.6, true},
-		{"ops that cost thirty times", func(i int, u *Usage) {
+		{"a flood of retries", flood, 0.6, true},
+		{"ops that cost 60 times as much", func(i int, u *Usage) {
 			if i == 7 {
 				u.Busy = 60 * time.Second
 			}
 		}, 0.95, true},
 	} {
 		w, limits := NewQuarantine(time.Second), map[string]Limit{}
-		evening(w, 3, limits, c.play, c.load)
+		runPeriods(w, 3, limits, c.adjust, c.load)
 		if l, ok := limits["t7"]; ok != c.fence || c.fence && (l.Fenced || l.Rate <= 0 || l.Tries != 0) {
-			t.Errorf("%s: after three periods %+v", c.name, limits)
+			t.Errorf("%s: limits after three periods: %+v", c.name, limits)
 		}
-		evening(w, 3, limits, c.play, c.load)
+		runPeriods(w, 3, limits, c.adjust, c.load)
 		if l := limits["t7"]; l.Fenced != c.fence || len(limits) > 1 {
-			t.Errorf("%s: after six periods %+v", c.name, limits)
+			t.Errorf("%s: limits after six periods: %+v", c.name, limits)
 		}
 	}
-	// While the queues that a flood left still make pods suffer, the biggest of the others is no cause.
+	// While the queues that a flood left still make ops fail, the busiest of the other tenants is not limited.
 	w, limits := NewQuarantine(time.Second), map[string]Limit{}
-	evening(w, 4, limits, flood, 0.6)
-	evening(w, 3, limits, func(i int, u *Usage) {
+	runPeriods(w, 4, limits, flood, 0.6)
+	runPeriods(w, 3, limits, func(i int, u *Usage) {
 		if u.Failed = 3; i == 2 {
 			u.Busy = 30 * time.Second
 		} else if i == 7 {
@@ -80,34 +82,35 @@
 		t.Errorf("%+v", limits)
 	}
 	w, limits = NewQuarantine(time.Second), map[string]Limit{}
-	back := func() (periods int) {
-		evening(w, 8, limits, flood, 0.6)
+	periodsFenced := func() (periods int) {
+		runPeriods(w, 8, limits, flood, 0.6)
 		if !limits["t7"].Fenced {
 			t.Fatalf("%+v", limits)
 		}
 		for ; limits["t7"].Fenced && periods < 1000; periods++ {
-			evening(w, 1, limits, fine, 0.5)
+			runPeriods(w, 1, limits, normal, 0.5)
 		}
 		return periods
 	}
-	first := back()
-	second := back()
-	if first < forgiving || second < 2*forgiving || second >= 1000 {
-		t.Errorf("let back after %d periods, then %d", first, second)
+	first := periodsFenced()
+	second := periodsFenced()
+	if first < releaseAfter || second < 2*releaseAfter || second >= 1000 {
+		t.Errorf("fenced for %d periods, then for %d", first, second)
 	}
-	evening(w, 20, limits, fine, 0.5)
+	runPeriods(w, 20, limits, normal, 0.5)
 	if l := limits["t7"]; l.Rate >= 0 || l.Tries != RetriesPerOp {
-		t.Errorf("never forgiven: %+v", l)
+		t.Errorf("still limited: %+v", l)
 	}
-	if n := evening(w, 50, limits, fine, 0.5); n != 0 {
-		t.Errorf("%d changes on a calm evening", n)
+	if n := runPeriods(w, 50, limits, normal, 0.5); n != 0 {
+		t.Errorf("%d changes of limits without failures", n)
 	}
 }
 
-// A tenant whose ops ruin what serves them takes hardly any time; it is fenced at once when it is known. One whose own ops
-// are at fault and harm nobody is not, nor one that fails as all do where it is.
-func TestRuins(t *testing.T) {
-	poison := func(others float64) func(int, *Usage) {
+// TestRuinousTenant checks that a tenant whose ops disable their servers, and so take hardly any time, is fenced as soon
+// as it is detected. A tenant whose ops fail without harm to others is not fenced, nor is one whose ops fail like those
+// of all others.
+func TestRuinousTenant(t *testing.T) {
+	ruinous := func(others float64) func(int, *Usage) {
 		return func(i int, u *Usage) {
 			if u.Failed = others; i == 7 {
 				u.Ops, u.Failed, u.Busy = 3, 3, time.Millisecond
@@ -116,19 +119,19 @@
 	}
 	for _, c := range []struct {
 		name   string
-		play   func(int, *Usage)
+		adjust func(int, *Usage)
 		fenced bool
-	}{{"ruins", poison(2), true}, {"fails alone", poison(0), false}, {"all fail", poison(9), false}} {
+	}{{"ruins", ruinous(2), true}, {"fails without harm", ruinous(0), false}, {"all fail", ruinous(9), false}} {
 		w, limits := NewQuarantine(time.Second), map[string]Limit{}
-		evening(w, 4, limits, c.play, 0.5)
+		runPeriods(w, 4, limits, c.adjust, 0.5)
 		if l := limits["t7"]; l.Fenced != c.fenced || c.fenced && (l.Rate > 1 || l.Hand > 1 || l.Tries != 0) || len(limits) > 1 {
 			t.Errorf("%s: %+v", c.name, limits)
 		}
 	}
 }
 
-// A big tenant that fares well gets more pods, slowly and up to a bound, and gives them back when it is small again; one
-// that harms has none beyond its own.
+// TestRoom checks that a large tenant whose ops succeed gets more pods, slowly and up to a bound, and loses them when its
+// usage falls; and that a tenant that harms others has no more than its usual subset.
 func TestRoom(t *testing.T) {
 	big := func(i int, u *Usage) {
 		if i == 7 {
@@ -136,19 +139,19 @@
 		}
 	}
 	w, limits := NewQuarantine(time.Second), map[string]Limit{}
-	evening(w, asking-1, limits, big, 0.7)
+	runPeriods(w, resizeAfter-1, limits, big, 0.7)
 	if len(limits) != 0 {
 		t.Errorf("%+v", limits)
 	}
-	evening(w, 1, limits, big, 0.7)
+	runPeriods(w, 1, limits, big, 0.7)
 	if l := limits["t7"]; l.Room != roomStep || l.Limited() || len(limits) != 1 {
 		t.Errorf("%+v", limits)
 	}
-	evening(w, 20*asking, limits, big, 0.7)
-	if l := limits["t7"]; l.Room != mostRoom {
+	runPeriods(w, 20*resizeAfter, limits, big, 0.7)
+	if l := limits["t7"]; l.Room != maxRoom {
 		t.Errorf("%+v", l)
 	}
-	evening(w, 2, limits, func(i int, u *Usage) {
+	runPeriods(w, 2, limits, func(i int, u *Usage) {
 		if big(i, u); i == 7 {
 			u.Failed = 500
 		}
@@ -157,15 +160,15 @@
 		t.Errorf("%+v", l)
 	}
 	w, limits = NewQuarantine(time.Second), map[string]Limit{}
-	evening(w, 2*asking, limits, big, 0.7)
-	evening(w, 3*asking*doublings, limits, func(int, *Usage) {}, 0.5)
+	runPeriods(w, 2*resizeAfter, limits, big, 0.7)
+	runPeriods(w, 3*resizeAfter*maxDoublings, limits, func(int, *Usage) {}, 0.5)
 	if l := limits["t7"]; !l.IsDefault() {
 		t.Errorf("%+v", l)
 	}
 }
 
-// What a pilot had said stands when the next run takes it back, and a fence that comes again is as long as if there had been
-// no end.
+// TestRestore checks that saved limits are in force in the next run of the pilot, and that the next fence is as long as
+// without the restart.
 func TestRestore(t *testing.T) {
 	w, limits := NewQuarantine(time.Second), map[string]Limit{}
 	bad := func(i int, u *Usage) {
@@ -173,102 +176,106 @@
 			u.Ops, u.Failed, u.Busy = 2000, 1500, 60*time.Second
 		}
 	}
-	evening(w, 8, limits, bad, 0.6)
-	kept := w.LimitRecords()
-	if len(kept) != 1 || !kept[0].Fenced || kept[0].Fences != 1 {
-		t.Fatalf("%+v", kept)
+	runPeriods(w, 8, limits, bad, 0.6)
+	saved := w.LimitRecords()
+	if len(saved) != 1 || !saved[0].Fenced || saved[0].Fences != 1 {
+		t.Fatalf("%+v", saved)
 	}
 	w = NewQuarantine(time.Second)
-	w.Restore(kept)
-	if got := w.LimitRecords(); len(got) != 1 || got[0] != kept[0] {
+	w.Restore(saved)
+	if got := w.LimitRecords(); len(got) != 1 || got[0] != saved[0] {
 		t.Errorf("%+v", got)
 	}
-	if n := evening(w, forgiving-1, limits, func(int, *Usage) {}, 0.5); n != 0 {
+	if n := runPeriods(w, releaseAfter-1, limits, func(int, *Usage) {}, 0.5); n != 0 {
 		t.Errorf("%d changes", n)
 	}
-	evening(w, forgiving, limits, func(int, *Usage) {}, 0.5)
+	runPeriods(w, releaseAfter, limits, func(int, *Usage) {}, 0.5)
 	if l := limits["t7"]; l.Fenced || l.IsDefault() {
 		t.Errorf("%+v", l)
 	}
 }
 
-// Tenants by the ten thousand, hostile names among them, are kept within bounds; those that stay away are forgotten.
+// TestManyTenants checks that the number of tracked tenants is bounded, with over 10,000 tenants and unusual names, and
+// that idle tenants are forgotten.
 func TestManyTenants(t *testing.T) {
 	w := NewQuarantine(time.Second)
 	var uses []Usage
 	for i := range 10_000 {
-		uses = append(uses, Usage{Tenant: fmt.Sprintf("tenant %d\n;<<", i), Pod: PodID(i % 30), Ops: 1, Busy: time.Duration(i) * time.Millisecond})
+		uses = append(uses, Usage{Tenant: fmt.Sprintf("tenant %d\n;<<", i), Pod: PodID(i % 30), Ops: 1,
+			Busy: time.Duration(i) * time.Millisecond})
 	}
 	uses = append(uses, Usage{Tenant: "", Pod: 1, Ops: 1}, Usage{Tenant: string(make([]byte, 1<<16)), Pod: 1, Ops: 1, Failed: 50})
 	for range 5 {
 		w.Step(uses, nil)
 	}
-	if len(w.tenants) > mostKept+1 || w.tenants["tenant 9999\n;<<"] == nil || w.tenants[AggregatedTenant] == nil {
-		t.Errorf("%d tenants are kept", len(w.tenants))
+	if len(w.tenants) > maxTenants+1 || w.tenants["tenant 9999\n;<<"] == nil || w.tenants[AggregatedTenant] == nil {
+		t.Errorf("%d tenants are tracked", len(w.tenants))
 	}
-	for range forgotten + 2 {
+	for range forgetAfter + 2 {
 		w.Step(nil, nil)
 	}
 	if len(w.tenants) != 0 {
-		t.Errorf("%d tenants are never forgotten", len(w.tenants))
+		t.Errorf("%d idle tenants are still tracked", len(w.tenants))
 	}
 }
 
-// Of a limited tenant's ops those that earn most go first, and none of them is starved by the others; what is in hand is
-// counted whatever the limit was when it came.
+// TestAllowance checks that of a limited tenant's ops those with the highest revenue go first without starving the
+// others, and that ops in progress are counted regardless of the limit at their admission.
 func TestAllowance(t *testing.T) {
 	for _, rate := range []float64{0.5, 2, 50} {
 		var a Allowance
-		got := [2]int{}
-		for i := range 20000 { // ten times the rate, both types alike
+		admittedByRank := [2]int{}
+		for i := range 20000 { // ten times the rate, ops of both ranks alternating
 			rank := i % 2
 			if a.Admit(time.Duration(float64(i)/rate/10*float64(time.Second)), rate, -1, float64(rank)) {
-				got[rank]++
+				admittedByRank[rank]++
 				a.Done()
 			}
 		}
-		if got[1] < 9*got[0] || got[0]+got[1] < 1900 || got[0]+got[1] > 2100 {
-			t.Errorf("rate %v: %v let in", rate, got)
+		if admittedByRank[1] < 9*admittedByRank[0] || admittedByRank[0]+admittedByRank[1] < 1900 ||
+			admittedByRank[0]+admittedByRank[1] > 2100 {
+			t.Errorf("rate %v: %v ops admitted by rank", rate, admittedByRank)
 		}
-		got = [2]int{}
-		for i := range 1000 { // half the rate: all go
+		admittedByRank = [2]int{}
+		for i := range 1000 { // half the rate, so that all ops are admitted
 			if a.Admit(time.Duration(1e6+float64(i)/rate*2)*time.Second, rate, -1, 0) {
-				got[0]++
+				admittedByRank[0]++
 				a.Done()
 			}
 		}
-		if got[0] < 990 {
-			t.Errorf("rate %v: %v of 1000 of the least", rate, got[0])
+		if admittedByRank[0] < 990 {
+			t.Errorf("rate %v: admitted %v of 1000 ops of the lowest rank", rate, admittedByRank[0])
 		}
 	}
 	var a Allowance
-	in := 0
+	admitted := 0
 	for range 10 {
 		if a.Admit(0, -1, 4, 0) {
-			in++
+			admitted++
 		}
 	}
 	for range 10 {
 		if a.Admit(0, -1, 4, 1) {
-			in += 10
+			admitted += 10
 		}
 	}
-	if in != 22 {
-		t.Errorf("%d", in)
+	if admitted != 22 {
+		t.Errorf("%d", admitted)
 	}
-	if !a.Admit(0, -1, -1, 0) || a.hand != 5 {
+	if !a.Admit(0, -1, -1, 0) || a.concurrent != 5 {
 		t.Errorf("%+v", a)
 	}
 	for range 5 {
 		a.Done()
 	}
 	if !a.Admit(0, -1, 0, 0) || a.Admit(0, -1, 0, 1) {
-		t.Error("one is always let in, and no second")
+		t.Error("with a limit of 0, want exactly one op in progress")
 	}
 }
 
-// Tries are a share of a tenant's ops: many ops earn a burst, a tenant whose every op fails has few.
-func TestBudget(t *testing.T) {
+// TestRetryBudget checks that retries are limited to a share of a tenant's ops, and that many ops save up only a small
+// burst.
+func TestRetryBudget(t *testing.T) {
 	var b RetryBudget
 	spent := 0
 	for range 1000 {
@@ -277,7 +284,7 @@
 		}
 	}
 	if spent < 190 || spent > 201 {
-		t.Errorf("%d tries for 1000 ops", spent)
+		t.Errorf("%d retries for 1000 ops", spent)
 	}
 	for range 1000 {
 		b.Earn(RetriesPerOp)
@@ -287,10 +294,10 @@
 		burst++
 	}
 	if burst > 5 {
-		t.Errorf("a burst of %d", burst)
+		t.Errorf("a burst of %d retries", burst)
 	}
 	var none RetryBudget
 	if none.Earn(0); none.Spend() {
-		t.Error("a try without a budget")
+		t.Error("a retry without a budget")
 	}
 }
--- a/tenancy/seat.go
+++ b/tenancy/seat.go
@@ -8,16 +8,17 @@
 	"vetchdoor/control"
 )
 
-// Placement is where a tenant is among the pods of whatever table an op goes by. The zero one is where its name draws it.
+// Placement says which pods of a table a tenant uses, for any table. The zero value is the default: the pods that
+// SelectPods returns for its name.
 type Placement struct {
-	Draw uint32  `json:"draw,omitempty"` // a number drawn with the name; another one draws another subset
-	Size int     `json:"size,omitempty"` // pods; 0: as many as the proxies give each
-	Pods []PodID `json:"pods,omitempty"` // used in place of a draw where the table has any of them
+	Draw uint32  `json:"draw,omitempty"` // hashed together with the name if not 0, to select another subset
+	Size int     `json:"size,omitempty"` // number of pods; 0: the default of the proxies
+	Pods []PodID `json:"pods,omitempty"` // used in place of the selected pods if the table has any of them
 }
 
-// Equal tells whether two seats are one.
-func (s Placement) Equal(o Placement) bool {
-	return s.Draw == o.Draw && s.Size == o.Size && slices.Equal(s.Pods, o.Pods)
+// Equal reports whether two placements are the same.
+func (s Placement) Equal(other Placement) bool {
+	return s.Draw == other.Draw && s.Size == other.Size && slices.Equal(s.Pods, other.Pods)
 }
 
 func (s Placement) clone() Placement {
@@ -25,7 +26,7 @@
 	return s
 }
 
-// InZones is the seat among zones in place of pods.
+// InZones returns the placement with each of its pods replaced by the ZoneGroup of its zone.
 func (s Placement) InZones() Placement {
 	for i, p := range s.clone().Pods {
 		if i == 0 {
@@ -36,7 +37,7 @@
 	return s
 }
 
-// String writes it as the runtime API does.
+// String returns the placement in the syntax of the runtime API.
 func (s Placement) String() string {
 	b := []byte("draw ")
 	b = strconv.AppendUint(b, uint64(s.Draw), 10)
@@ -44,7 +45,7 @@
 	return string(AppendPods(append(b, " pods "...), s.Pods))
 }
 
-// AppendPods appends pods as ZONE.PACK, with commas between; * for none.
+// AppendPods appends the pods as ZONE.PACK, separated by commas; * if there are none.
 func AppendPods(b []byte, pods []PodID) []byte {
 	if len(pods) == 0 {
 		return append(b, '*')
@@ -59,8 +60,9 @@
 	return b
 }
 
-// SelectFrom returns a tenant's pods among those of a table, usual of them where its seat has no size of its own; nil for all.
-func (s Placement) SelectFrom(tenant string, pods []Pod, usual int) []PodID {
+// SelectFrom returns the pods of a table that a tenant uses, sorted by ID, or nil for all. defaultCount is the number of
+// pods if the placement has no size; 0 means all.
+func (s Placement) SelectFrom(tenant string, pods []Pod, defaultCount int) []PodID {
 	var named []PodID
 	for _, p := range pods {
 		if slices.Contains(s.Pods, p.ID) {
@@ -73,7 +75,7 @@
 	}
 	count := s.Size
 	if count == 0 {
-		count = usual
+		count = defaultCount
 	}
 	if count == 0 {
 		return nil
@@ -84,10 +86,10 @@
 	return SelectPods(tenant, pods, count)
 }
 
-// MoveDurations returns what a move of a tenant must wait out: the longest that a write, which a proxy has taken in, may take until
-// it is finished for good or ill (life, or where that is 0 twice its op timeout), and the longest window in which a repeat
-// of a deduplicated op is dropped by some servers and not by others.
-func MoveDurations(types []control.OpType, life time.Duration) (write, window time.Duration) {
+// MoveDurations returns what a move of a tenant must wait out. write is the longest time from the admission of a write by
+// a proxy until it can have no effect any more: lifetime or, if that is 0, twice the longest op timeout. window is the
+// longest deduplication window of the op types that only a part of the servers deduplicate together.
+func MoveDurations(types []control.OpType, lifetime time.Duration) (write, window time.Duration) {
 	for _, t := range types {
 		if t.Repeat == control.Retryable {
 			continue
@@ -96,56 +98,58 @@
 			window = max(window, t.DedupWindow)
 		}
 	}
-	if life > 0 {
-		write = life
+	if lifetime > 0 {
+		write = lifetime
 	}
 	return write, window
 }
 
-// Binding is a tenant's seat as one proxy keeps it. It sees to what a proxy can see to alone: its own writes never go to
-// two seats within the span that a repeat of one could meet servers which do not know it, whoever orders what.
+// Binding is a tenant's placement at one proxy. It ensures what a proxy can ensure alone, whatever the pilots send: the
+// proxy never sends writes to two placements within the time in which a retry could reach servers that would not
+// recognise it as a duplicate.
 type Binding struct {
 	Placement
-	Pilot         string        `json:"pilot"` // whose order it is
+	Pilot         string        `json:"pilot"` // the pilot whose update this is
 	Number        uint64        `json:"number"`
 	Held          bool          `json:"held,omitempty"`
-	LastPlacement Placement     `json:"wrote"` // where writes were last let go
-	shut          time.Duration // since when none are let go there, once the seat is another or it is held
-	open          bool          // they are let go there
-	either        bool          // they may have been let go at the seat as well as where Wrote says
+	LastPlacement Placement     `json:"wrote"` // where writes were last admitted
+	closedSince   time.Duration // since when no writes are admitted at LastPlacement
+	open          bool          // writes are admitted at LastPlacement
+	ambiguous     bool          // writes may have been admitted at Placement as well as at LastPlacement
 }
 
-// NewBinding is a binding that was never ordered: the tenant is where its name draws it.
+// NewBinding returns the binding of a tenant that was never moved: it has the default placement.
 func NewBinding() Binding { return Binding{open: true} }
 
-// AfterRestart is a binding that was on disk when the proxy started: writes may have gone until then.
+// AfterRestart returns a binding loaded from disk when the proxy starts. Writes may have been admitted until now.
 func (b Binding) AfterRestart(now time.Duration) Binding {
-	b.either = !b.Held && !b.Placement.Equal(b.LastPlacement) // the wait may have been over
-	b.open, b.shut = !b.Held && !b.either, now
+	b.ambiguous = !b.Held && !b.Placement.Equal(b.LastPlacement) // writes may have gone to Placement if the wait had ended
+	b.open, b.closedSince = !b.Held && !b.ambiguous, now
 	return b
 }
 
-// Apply returns the binding after an order of a pilot; wait is the span that a write, and the window in which a repeat of
-// it may come, take. An order that is older than the binding, of the same pilot, changes nothing.
-func (b Binding) Apply(now, wait time.Duration, pilot string, number uint64, seat Placement, held bool) Binding {
+// Apply returns the binding after a pilot's update. wait is how long a write and the deduplication window of its retries
+// take together. An update from the same pilot with a lower number than the binding's changes nothing.
+func (b Binding) Apply(now, wait time.Duration, pilot string, number uint64, placement Placement, held bool) Binding {
 	if pilot == b.Pilot && number < b.Number {
 		return b
 	}
-	b = b.settle(now, wait)
-	b.Pilot, b.Number, b.Held, b.Placement = pilot, number, held, seat
-	if b.open && (held || !seat.Equal(b.LastPlacement)) {
-		b.open, b.shut = false, now
+	b = b.openIfDue(now, wait)
+	b.Pilot, b.Number, b.Held, b.Placement = pilot, number, held, placement
+	if b.open && (held || !placement.Equal(b.LastPlacement)) {
+		b.open, b.closedSince = false, now
 	}
-	return b.settle(now, wait)
+	return b.openIfDue(now, wait)
 }
 
-// settle opens it once it may: at the seat where writes went before at once, at another when those are surely over.
-func (b Binding) settle(now, wait time.Duration) Binding {
-	if !b.open && !b.Held && (b.Placement.Equal(b.LastPlacement) && !b.either || now-b.shut >= wait) {
-		b.open, b.either, b.LastPlacement = true, false, b.Placement
+// openIfDue admits writes again if the binding is not held: at once if it may only have admitted them at the same
+// placement before, otherwise after the wait.
+func (b Binding) openIfDue(now, wait time.Duration) Binding {
+	if !b.open && !b.Held && (b.Placement.Equal(b.LastPlacement) && !b.ambiguous || now-b.closedSince >= wait) {
+		b.open, b.ambiguous, b.LastPlacement = true, false, b.Placement
 	}
 	return b
 }
 
-// AllowsWrites tells whether writes may go, at a time no earlier than the last order.
-func (b Binding) AllowsWrites(now, wait time.Duration) bool { return b.settle(now, wait).open }
+// AllowsWrites reports whether writes are admitted at the time now, which must not be before the last update.
+func (b Binding) AllowsWrites(now, wait time.Duration) bool { return b.openIfDue(now, wait).open }
