--- a/fleet/admission_test.go
+++ b/fleet/admission_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// A pilot that is full, ends or has no list redirects proxies, spread over its peers.
+// TestAdmission checks that a pilot that is full, shuts down or has no list redirects proxies, spread over its peers.
 func TestAdmission(t *testing.T) {
 	admission := &Admission{MaxProxies: 10, Peers: []string{"a", "b", "c", "d"}}
 	if a := admission.Admit("1", 0); a.Admitted || a.Reason != "no list yet" {
@@ -36,7 +36,7 @@
 	}
 }
 
-// All streams are redirected before the deadline, evenly.
+// TestLeaveBatch checks that all streams are redirected before the deadline, evenly.
 func TestLeaveBatch(t *testing.T) {
 	for _, n := range []int{0, 1, 7, 500} {
 		left, streams, most := 10*time.Second, n, 0
@@ -46,10 +46,10 @@
 			streams -= k
 		}
 		if streams > 0 || left < 2*time.Second || most > n/60+1 {
-			t.Errorf("%d streams: %d are left with %v to go, %d at once", n, streams, left, most)
+			t.Errorf("%d streams: %d are left with %v to go, at most %d were redirected at once", n, streams, left, most)
 		}
 	}
 	if LeaveBatch(9, 0, time.Second, time.Second) != 9 {
-		t.Error("no time left, and some stay")
+		t.Error("streams remain although no time is left")
 	}
 }
--- a/fleet/selector_test.go
+++ b/fleet/selector_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-func twenty() (out []Pilot) {
+func twentyPilots() (out []Pilot) {
 	for i := range 20 {
 		out = append(out, Pilot{fmt.Sprintf("10.0.0.%d:1", i), fmt.Sprint("z", i%4)})
 	}
@@ -17,11 +17,12 @@
 }
 
 func newSelector(proxy int) *Selector {
-	return NewSelector(fmt.Sprint(proxy), fmt.Sprint("z", proxy%4), twenty(), time.Second, rand.New(rand.NewPCG(uint64(proxy), 1)))
+	return NewSelector(fmt.Sprint(proxy), fmt.Sprint("z", proxy%4), twentyPilots(), time.Second,
+		rand.New(rand.NewPCG(uint64(proxy), 1)))
 }
 
-// Each proxy's own zone comes first; preferred pilots spread evenly; those of a pilot that goes spread over its zone's
-// others, and nobody else moves.
+// TestRank checks that pilots of a proxy's own zone come first, that proxies spread evenly over preferred pilots, and
+// that the proxies of one pilot have their second choices spread over the other pilots of its zone.
 func TestRank(t *testing.T) {
 	preferred, second := map[string]int{}, map[string]int{}
 	for p := range 4000 {
@@ -34,7 +35,7 @@
 			i := 0
 			fmt.Sscanf(a, "10.0.0.%d:1", &i)
 			if i%4 != p%4 {
-				t.Fatalf("%v for zone %d", r, p%4)
+				t.Fatalf("ranking %v for a proxy of zone %d", r, p%4)
 			}
 		}
 	}
@@ -48,8 +49,8 @@
 	}
 }
 
-// A round tries each pilot once; rounds wait longer and longer, up to a bound, with jitter; a redirect is followed once a round
-// and only to a known pilot.
+// TestNext checks that a round dials each pilot once; that the waits between rounds grow up to a bound, with jitter; and
+// that a redirect is followed once per round and only to a known pilot.
 func TestNext(t *testing.T) {
 	s := newSelector(3)
 	var waits []time.Duration
@@ -60,18 +61,18 @@
 			if seen[a] = true; i == 0 {
 				waits = append(waits, wait)
 			} else if wait != 0 {
-				t.Fatal("waits within a round")
+				t.Fatal("a wait within a round")
 			}
 			s.Failed("")
 		}
 		if len(seen) != 20 {
-			t.Fatalf("%d dialled", len(seen))
+			t.Fatalf("%d pilots dialled, want 20", len(seen))
 		}
 	}
 	for i, w := range waits[1:] {
 		want := time.Duration(min(4, math.Pow(2, float64(i)))) * time.Second
 		if w < want/2 || w > want*3/2 {
-			t.Errorf("round %d waits %v, %v is meant", i, w, want)
+			t.Errorf("round %d waits %v, want a mean of %v", i, w, want)
 		}
 	}
 	s = newSelector(3)
@@ -86,14 +87,15 @@
 	}
 	s.Failed(s.Ranked()[8])
 	if a, _ := s.Next(); a == s.Ranked()[8] {
-		t.Error("two redirects in a round: pilots that redirect to each other would keep it")
+		t.Error("followed two redirects in a round: pilots that redirect to each other could do so without end")
 	}
 	if a, wait := NewSelector("1", "z", nil, time.Second, rand.New(rand.NewPCG(1, 1))).Next(); a != "" || wait <= 0 {
-		t.Error("no pilots, no wait")
+		t.Error("without pilots, want no address and a wait")
 	}
 }
 
-// A pilot that admits every proxy and drops it is dialled ever more seldom; a stream that stood clears that.
+// TestDisconnected checks that a pilot which admits proxies and drops them is dialled at growing intervals, and that a
+// stable stream resets the wait.
 func TestDisconnected(t *testing.T) {
 	s, now := newSelector(1), time.Duration(0)
 	var last time.Duration
@@ -104,32 +106,33 @@
 		last = s.Disconnected(now, "")
 	}
 	if last < 2*time.Second {
-		t.Errorf("waits %v after eight drops", last)
+		t.Errorf("waits only %v after eight dropped streams", last)
 	}
 	a, _ := s.Next()
 	s.Connected(now, a)
 	now += 25 * time.Second
 	if w := s.Disconnected(now, ""); w > 1500*time.Millisecond {
-		t.Errorf("waits %v after a stream that stood", w)
+		t.Errorf("waits %v after a stable stream", w)
 	}
 	a, _ = s.Next()
 	s.Connected(now, a)
 	if w := s.Disconnected(now, s.Ranked()[5]); w > time.Second {
-		t.Errorf("redirected, it waits %v", w)
+		t.Errorf("waits %v after a redirect", w)
 	}
 	if a, _ := s.Next(); a != s.Ranked()[5] {
-		t.Error("does not follow the redirect")
+		t.Error("did not follow the redirect")
 	}
 }
 
-// A proxy that is not with its preferred pilot probes it later, at a time of its own; one that is does not.
+// TestProbeDue checks that a proxy that is not connected to its preferred pilot probes it after a random time, and that a
+// proxy that is connected to it does not.
 func TestProbeDue(t *testing.T) {
 	var times []time.Duration
 	for p := range 100 {
 		s := newSelector(p)
 		s.Connected(0, s.Ranked()[0])
 		if _, ok := s.ProbeDue(time.Hour); ok {
-			t.Fatal("probes the pilot it is with")
+			t.Fatal("probes the preferred pilot although connected to it")
 		}
 		s.Connected(0, s.Ranked()[1])
 		at := time.Duration(0)
@@ -150,12 +153,12 @@
 	}
 	slices.Sort(times)
 	if times[0] < time.Minute || times[99] > 121*time.Second || times[99]-times[0] < 45*time.Second {
-		t.Errorf("from %v to %v", times[0], times[99])
+		t.Errorf("probes from %v to %v", times[0], times[99])
 	}
 }
 
-// Proxies that lose a pilot at one moment come back at moments of their own: none of ten equal parts of the span in which
-// they dial sees more than a fifth of them.
+// TestDialsSpread checks that proxies which lose a pilot at the same moment dial again at different times: none of ten
+// equal parts of the span of the dials has more than a fifth of them.
 func TestDialsSpread(t *testing.T) {
 	var waits []time.Duration
 	for p := range 400 {
