--- a/members/members.go
+++ b/members/members.go
@@ -1,6 +1,6 @@
-// Package members tells people, and nobody else, which pilots there are: a gossip among them, encrypted, by a well-kept
-// library. Nothing that it says reaches a decision; a pilot steers the same whether the gossip is whole, split or forged.
-// Start is the way in.
+// Package members maintains a list of the running pilots for operators, by an encrypted gossip protocol between the
+// pilots (hashicorp/memberlist). The list is for display only. No decision depends on it, so a pilot works the same while
+// the gossip is complete, partitioned or forged.
 package members
 
 import (
@@ -22,59 +22,59 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// PilotStatus is what a pilot tells of itself; the whole must stay under 512 bytes as JSON.
+// PilotStatus is what a pilot publishes about itself. Its JSON must not be longer than 512 bytes.
 type PilotStatus struct {
 	Pilot         string `json:"pilot"`
 	Zone          string `json:"zone"`
 	Run           uint64 `json:"run"`
-	ListVersion   uint64 `json:"list"` // version of its list
-	ListSource    string `json:"from"` // where that is from
+	ListVersion   uint64 `json:"list"` // version of the pilot's list of servers
+	ListSource    string `json:"from"` // where the list came from
 	Servers       int    `json:"servers"`
 	Proxies       int    `json:"proxies"`
-	Wire          int    `json:"wire"` // version of what it speaks with proxies
-	ListenAddress string `json:"at"`   // where it listens
+	Wire          int    `json:"wire"` // version of its protocol with proxies
+	ListenAddress string `json:"at"`   // address at which it listens
 }
 
-// Member is a member as the gossip has it.
+// Member is a member of the gossip with the status that it last published.
 type Member struct {
 	PilotStatus
 	Address string
-	Invalid string // what it tells cannot be read, and why
+	Invalid string // why its status is invalid; empty if it is valid
 }
 
-// Config is what is needed to take part.
+// Config configures the gossip.
 type Config struct {
-	Name     string // a pilot's, one each
-	Bind     string // HOST:PORT, UDP and TCP
+	Name     string // unique name of the pilot
+	Bind     string // HOST:PORT, for both UDP and TCP
 	Peers    []string
-	Keys     []string // base64 of 16, 24 or 32 bytes, the first one writes
-	Allow    []string // networks whose addresses are heard; empty: none but loopback
+	Keys     []string // base64 of 16, 24 or 32 bytes each; the first one encrypts
+	Allow    []string // networks from which messages are accepted; empty: only loopback
 	Log      *slog.Logger
-	Status   func() PilotStatus // called now and then, by a goroutine of its own; must not wait
+	Status   func() PilotStatus // called once per Interval on a separate goroutine; must not block
 	Interval time.Duration
 }
 
 // Members is a running gossip.
 type Members struct {
-	g      Config
-	list   *memberlist.Memberlist
-	ring   *memberlist.Keyring
-	mu     sync.Mutex
-	meta   []byte
-	heard  map[string]Member
-	stop   context.CancelFunc
-	done   sync.WaitGroup
-	ending sync.Once
+	config    Config
+	list      *memberlist.Memberlist
+	keyring   *memberlist.Keyring
+	mu        sync.Mutex
+	encoded   []byte
+	members   map[string]Member
+	stop      context.CancelFunc
+	done      sync.WaitGroup
+	closeOnce sync.Once
 }
 
-// Start joins. Others that are not there are tried again for as long as it runs.
-func Start(g Config) (*Members, error) {
-	m := &Members{g: g, heard: map[string]Member{}}
-	if m.g.Interval <= 0 {
-		m.g.Interval = time.Second
+// Start joins the gossip. Peers that cannot be reached are retried for as long as it runs.
+func Start(config Config) (*Members, error) {
+	m := &Members{config: config, members: map[string]Member{}}
+	if m.config.Interval <= 0 {
+		m.config.Interval = time.Second
 	}
-	keys := make([][]byte, 0, len(g.Keys))
-	for i, k := range g.Keys {
+	keys := make([][]byte, 0, len(config.Keys))
+	for i, k := range config.Keys {
 		b, err := readKey(k)
 		if err != nil {
 			return nil, fmt.Errorf("members: key %d: %w", i, err)
@@ -82,37 +82,38 @@
 		keys = append(keys, b)
 	}
 	if len(keys) == 0 {
-		return nil, errors.New("members: no key: the gossip is not run in the clear")
+		return nil, errors.New("members: no key is configured; the gossip must be encrypted")
 	}
 	var err error
-	if m.ring, err = memberlist.NewKeyring(keys, keys[0]); err != nil {
+	if m.keyring, err = memberlist.NewKeyring(keys, keys[0]); err != nil {
 		return nil, fmt.Errorf("members: %w", err)
 	}
-	at, err := netip.ParseAddrPort(g.Bind)
+	bind, err := netip.ParseAddrPort(config.Bind)
 	if err != nil {
-		return nil, fmt.Errorf("members: %q is no IP address with a port", g.Bind)
+		return nil, fmt.Errorf("members: %q is not an IP address with a port", config.Bind)
 	}
-	c := memberlist.DefaultLANConfig()
-	c.Name, c.BindAddr, c.BindPort, c.AdvertisePort = g.Name, at.Addr().String(), int(at.Port()), int(at.Port())
-	c.Keyring, c.Delegate, c.Events = m.ring, (*delegate)(m), (*delegate)(m)
-	c.Logger = log.New(toSlog{g.Log}, "", 0)
-	allow := g.Allow
-	if len(allow) == 0 {
-		allow = []string{"127.0.0.0/8", "::1/128"}
+	listConfig := memberlist.DefaultLANConfig()
+	listConfig.Name, listConfig.BindAddr, listConfig.BindPort, listConfig.AdvertisePort =
+		config.Name, bind.Addr().String(), int(bind.Port()), int(bind.Port())
+	listConfig.Keyring, listConfig.Delegate, listConfig.Events = m.keyring, (*delegate)(m), (*delegate)(m)
+	listConfig.Logger = log.New(logWriter{config.Log}, "", 0)
+	allowed := config.Allow
+	if len(allowed) == 0 {
+		allowed = []string{"127.0.0.0/8", "::1/128"}
 	}
-	for _, a := range allow {
-		p, err := netip.ParsePrefix(a)
+	for _, text := range allowed {
+		prefix, err := netip.ParsePrefix(text)
 		if err != nil {
-			return nil, fmt.Errorf("members: %q is no network", a)
+			return nil, fmt.Errorf("members: %q is not a network prefix", text)
 		}
-		_, n, err := net.ParseCIDR(p.String())
+		_, network, err := net.ParseCIDR(prefix.String())
 		if err != nil {
 			return nil, fmt.Errorf("members: %w", err)
 		}
-		c.CIDRsAllowed = append(c.CIDRsAllowed, *n)
+		listConfig.CIDRsAllowed = append(listConfig.CIDRsAllowed, *network)
 	}
 	m.refresh()
-	if m.list, err = memberlist.Create(c); err != nil {
+	if m.list, err = memberlist.Create(listConfig); err != nil {
 		return nil, fmt.Errorf("members: %w", err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -127,19 +128,20 @@
 		err = memberlist.ValidateKey(b)
 	}
 	if err != nil {
-		return nil, errors.New("a key is the base64 of 16, 24 or 32 bytes")
+		return nil, errors.New("a key must be the base64 of 16, 24 or 32 bytes")
 	}
 	return b, nil
 }
 
-// run tells the others what is new here, and looks for those that are not there.
+// run publishes changes of this pilot's status, and, in every tenth interval, joins the peers if there are fewer other
+// members than configured peers.
 func (m *Members) run(ctx context.Context) {
-	t := time.NewTicker(m.g.Interval)
+	t := time.NewTicker(m.config.Interval)
 	defer t.Stop()
 	for i := 0; ; i++ {
-		if i%10 == 0 && m.list.NumMembers() <= len(m.g.Peers) && len(m.g.Peers) > 0 {
-			if _, err := m.list.Join(m.g.Peers); err != nil {
-				m.g.Log.Debug("other pilots not heard", "error", err)
+		if i%10 == 0 && m.list.NumMembers() <= len(m.config.Peers) && len(m.config.Peers) > 0 {
+			if _, err := m.list.Join(m.config.Peers); err != nil {
+				m.config.Log.Debug("cannot join any peer", "error", err)
 			}
 		}
 		select {
@@ -148,57 +150,57 @@
 		case <-t.C:
 		}
 		if m.refresh() {
-			_ = m.list.UpdateNode(m.g.Interval)
+			_ = m.list.UpdateNode(m.config.Interval)
 		}
 	}
 }
 
-// refresh writes what is told of this pilot and says whether it is new.
+// refresh updates the encoded status of this pilot and reports whether it changed.
 func (m *Members) refresh() bool {
-	b, err := json.Marshal(m.g.Status())
+	b, err := json.Marshal(m.config.Status())
 	if err != nil || len(b) > memberlist.MetaMaxSize {
 		return false
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if string(b) == string(m.meta) {
+	if string(b) == string(m.encoded) {
 		return false
 	}
-	m.meta = b
+	m.encoded = b
 	return true
 }
 
-// Address is where it listens.
+// Address returns the address at which the gossip listens.
 func (m *Members) Address() string { return m.list.LocalNode().FullAddress().Addr }
 
-// All returns the members by name, as far as they are heard.
+// All returns the known members, this pilot included, sorted by name.
 func (m *Members) All() (out []Member) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for _, name := range slices.Sorted(maps.Keys(m.heard)) {
-		out = append(out, m.heard[name])
+	for _, name := range slices.Sorted(maps.Keys(m.members)) {
+		out = append(out, m.members[name])
 	}
 	return out
 }
 
-// Keys returns the first characters of each key, the one that writes first.
+// Keys returns the first characters of each key, beginning with the one that encrypts.
 func (m *Members) Keys() (out []string) {
-	for _, k := range m.ring.GetKeys() {
+	for _, k := range m.keyring.GetKeys() {
 		out = append(out, base64.StdEncoding.EncodeToString(k)[:6]+"...")
 	}
 	return out
 }
 
-// AddKey takes a key that others may write with.
-func (m *Members) AddKey(key string) error { return m.with(key, m.ring.AddKey) }
+// AddKey accepts messages that are encrypted with a key.
+func (m *Members) AddKey(key string) error { return m.withKey(key, m.keyring.AddKey) }
 
-// UseKey writes with a key from now on; all must have it.
-func (m *Members) UseKey(key string) error { return m.with(key, m.ring.UseKey) }
+// UseKey encrypts with a key from now on. All members must have added it before.
+func (m *Members) UseKey(key string) error { return m.withKey(key, m.keyring.UseKey) }
 
-// DropKey takes a key out; none may write with it any more.
-func (m *Members) DropKey(key string) error { return m.with(key, m.ring.RemoveKey) }
+// DropKey removes a key. No member may encrypt with it any more.
+func (m *Members) DropKey(key string) error { return m.withKey(key, m.keyring.RemoveKey) }
 
-func (m *Members) with(key string, do func([]byte) error) error {
+func (m *Members) withKey(key string, do func([]byte) error) error {
 	b, err := readKey(key)
 	if err != nil {
 		return err
@@ -206,9 +208,9 @@
 	return do(b)
 }
 
-// Close leaves; the others hear of it.
+// Close leaves the gossip and notifies the other members.
 func (m *Members) Close() {
-	m.ending.Do(func() {
+	m.closeOnce.Do(func() {
 		m.stop()
 		m.done.Wait()
 		_ = m.list.Leave(200 * time.Millisecond)
@@ -216,29 +218,30 @@
 	})
 }
 
-// delegate is how the library asks what is told of this pilot. Nothing else is exchanged.
+// delegate implements memberlist's Delegate and EventDelegate. Only the pilots' statuses are exchanged.
 type delegate Members
 
 func (d *delegate) NodeMeta(limit int) []byte {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if len(d.meta) > limit {
+	if len(d.encoded) > limit {
 		return nil
 	}
-	return d.meta
+	return d.encoded
 }
 
-// NotifyJoin, NotifyUpdate and NotifyLeave keep a copy of what is heard: the library's own records change under a reader.
-func (d *delegate) NotifyJoin(n *memberlist.Node)   { d.hear(n) }
-func (d *delegate) NotifyUpdate(n *memberlist.Node) { d.hear(n) }
+// NotifyJoin, NotifyUpdate and NotifyLeave maintain a copy of the members, because memberlist changes its own records
+// concurrently.
+func (d *delegate) NotifyJoin(n *memberlist.Node)   { d.store(n) }
+func (d *delegate) NotifyUpdate(n *memberlist.Node) { d.store(n) }
 
 func (d *delegate) NotifyLeave(n *memberlist.Node) {
 	d.mu.Lock()
-	delete(d.heard, n.Name)
+	delete(d.members, n.Name)
 	d.mu.Unlock()
 }
 
-func (d *delegate) hear(n *memberlist.Node) {
+func (d *delegate) store(n *memberlist.Node) {
 	t := Member{Address: n.Address()}
 	if err := json.Unmarshal(n.Meta, &t.PilotStatus); err != nil {
 		t.PilotStatus, t.Invalid = PilotStatus{}, "what it tells cannot be read"
@@ -247,7 +250,7 @@
 	}
 	t.Pilot = n.Name
 	d.mu.Lock()
-	d.heard[n.Name] = t
+	d.members[n.Name] = t
 	d.mu.Unlock()
 }
 
@@ -256,10 +259,10 @@
 func (d *delegate) LocalState(join bool) []byte                { return nil }
 func (d *delegate) MergeRemoteState(buf []byte, join bool)     {}
 
-// toSlog takes the library's lines; their levels are in brackets.
-type toSlog struct{ to *slog.Logger }
+// logWriter forwards memberlist's log lines, which begin with their level in brackets, to an slog.Logger.
+type logWriter struct{ log *slog.Logger }
 
-func (t toSlog) Write(b []byte) (int, error) {
+func (t logWriter) Write(b []byte) (int, error) {
 	text := strings.TrimSpace(string(b))
 	level := slog.LevelDebug
 	switch {
@@ -271,6 +274,6 @@
 	if _, rest, ok := strings.Cut(text, "] "); ok {
 		text = rest
 	}
-	t.to.Log(context.Background(), level, "members: "+text)
+	t.log.Log(context.Background(), level, "members: "+text)
 	return len(b), nil
 }
--- a/members/members_test.go
+++ b/members/members_test.go
@@ -19,7 +19,7 @@
 
 func key(b byte) string { return base64.StdEncoding.EncodeToString(bytes.Repeat([]byte{b}, 32)) }
 
-var quiet = slog.New(slog.DiscardHandler)
+var discardLog = slog.New(slog.DiscardHandler)
 
 func freePort(t *testing.T) string {
 	t.Helper()
@@ -36,15 +36,16 @@
 			return at
 		}
 	}
-	t.Fatal("no port")
+	t.Fatal("no port is free for both TCP and UDP")
 	return ""
 }
 
 func start(t *testing.T, name string, keys []string, others ...string) (*Members, *atomic.Int64) {
 	t.Helper()
 	var proxies atomic.Int64
-	m, err := Start(Config{Name: name, Bind: freePort(t), Peers: others, Keys: keys, Log: quiet, Interval: 20 * time.Millisecond,
-		Status: func() PilotStatus { return PilotStatus{Pilot: name, Zone: "z", Proxies: int(proxies.Load())} }})
+	m, err := Start(Config{Name: name, Bind: freePort(t), Peers: others, Keys: keys, Log: discardLog,
+		Interval: 20 * time.Millisecond,
+		Status:   func() PilotStatus { return PilotStatus{Pilot: name, Zone: "z", Proxies: int(proxies.Load())} }})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -52,7 +53,7 @@
 	return m, &proxies
 }
 
-func until(t *testing.T, what string, ok func() bool) {
+func waitFor(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(30 * time.Second); !ok(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
@@ -69,23 +70,27 @@
 	return s
 }
 
-// Pilots hear of each other, of what changes, and of one that leaves.
+// TestGossip checks that pilots see each other, changes of each other's status, and that one leaves.
 func TestGossip(t *testing.T) {
 	a, proxies := start(t, "a", []string{key(1)})
 	b, _ := start(t, "b", []string{key(1)}, a.Address())
 	c, _ := start(t, "c", []string{key(1)}, a.Address())
-	until(t, "all hear all", func() bool { return names(a) == "a b c " && names(b) == "a b c " && names(c) == "a b c " })
+	waitFor(t, "not all pilots see all others", func() bool {
+		return names(a) == "a b c " && names(b) == "a b c " &&
+			names(c) == "a b c "
+	})
 	proxies.Store(7)
-	until(t, "what changed is heard", func() bool { return b.All()[0].Proxies == 7 })
+	waitFor(t, "the changed status did not arrive", func() bool { return b.All()[0].Proxies == 7 })
 	c.Close()
-	until(t, "who left is not there", func() bool { return names(b) == "a b " })
+	waitFor(t, "the pilot that left is still listed", func() bool { return names(b) == "a b " })
 }
 
-// A key is rotated while all run; one with another key, or none of ours, hears nothing and is not heard.
+// TestKeys checks that keys can be replaced while all members run, and that a pilot with another key neither sees the
+// members nor is seen by them.
 func TestKeys(t *testing.T) {
 	a, _ := start(t, "a", []string{key(1)})
 	b, _ := start(t, "b", []string{key(1)}, a.Address())
-	until(t, "both", func() bool { return names(a) == "a b " && names(b) == "a b " })
+	waitFor(t, "both", func() bool { return names(a) == "a b " && names(b) == "a b " })
 	stranger, _ := start(t, "x", []string{key(9)}, a.Address(), b.Address())
 	for _, step := range []func(*Members) error{
 		func(m *Members) error { return m.AddKey(key(2)) },
@@ -99,27 +104,29 @@
 		}
 	}
 	c, _ := start(t, "c", []string{key(2)}, a.Address())
-	until(t, "the new key is heard", func() bool { return names(b) == "a b c " && names(c) == "a b c " })
+	waitFor(t, "the pilot with the new key is not seen", func() bool { return names(b) == "a b c " && names(c) == "a b c " })
 	if names(stranger) != "x " || strings.Contains(names(a), "x") {
-		t.Errorf("%s heard %s", names(a), names(stranger))
+		t.Errorf("the members are %s, the pilot with another key sees %s", names(a), names(stranger))
 	}
 	if err := a.DropKey(key(2)); err == nil {
-		t.Error("dropped the key that it writes with")
+		t.Error("removed the key that encrypts")
 	}
 	if k := a.Keys(); len(k) != 1 || strings.Contains(fmt.Sprint(k), key(2)) {
 		t.Errorf("%v", k)
 	}
 	for _, bad := range []string{"", "x", base64.StdEncoding.EncodeToString([]byte("short"))} {
 		if a.AddKey(bad) == nil {
-			t.Errorf("%q is a key", bad)
+			t.Errorf("%q was accepted as a key", bad)
 		}
 	}
 }
 
-// What cannot be is refused at the start, in a line.
-func TestRefused(t *testing.T) {
-	good := Config{Name: "a", Bind: "127.0.0.1:0", Keys: []string{key(1)}, Log: quiet, Status: func() PilotStatus { return PilotStatus{} }}
-	for name, change := range map[string]func(*Config){"no key": func(g *Config) { g.Keys = nil }, "a bad key": func(g *Config) { g.Keys = []string{"x"} },
+// TestInvalidConfig checks that an invalid configuration is refused at the start with a one-line error.
+func TestInvalidConfig(t *testing.T) {
+	good := Config{Name: "a", Bind: "127.0.0.1:0", Keys: []string{key(1)}, Log: discardLog,
+		Status: func() PilotStatus { return PilotStatus{} }}
+	for name, change := range map[string]func(*Config){"no key": func(g *Config) { g.Keys = nil },
+		"a bad key":  func(g *Config) { g.Keys = []string{"x"} },
 		"no address": func(g *Config) { g.Bind = "here" }, "no network": func(g *Config) { g.Allow = []string{"10.0.0.0"} }} {
 		g := good
 		change(&g)
@@ -132,7 +139,7 @@
 	}
 }
 
-// One who has the key and tells nonsense, or of somebody else, is shown as that.
+// TestForged checks that a member with a valid key whose status is invalid, or names another pilot, is marked as invalid.
 func TestForged(t *testing.T) {
 	a, _ := start(t, "a", []string{key(1)})
 	ring, err := memberlist.NewKeyring(nil, bytes.Repeat([]byte{1}, 32))
@@ -141,7 +148,7 @@
 	}
 	c := memberlist.DefaultLocalConfig()
 	c.Name, c.BindAddr, c.BindPort, c.Keyring, c.LogOutput = "forged", "127.0.0.1", 0, ring, io.Discard
-	forger := &delegate{meta: []byte(`{"pilot":"a","proxies":1e9}`)}
+	forger := &delegate{encoded: []byte(`{"pilot":"a","proxies":1e9}`)}
 	c.Delegate = forger
 	l, err := memberlist.Create(c)
 	if err != nil {
@@ -151,7 +158,7 @@
 	if _, err := l.Join([]string{a.Address()}); err != nil {
 		t.Fatal(err)
 	}
-	until(t, "heard", func() bool { return len(a.All()) == 2 })
+	waitFor(t, "heard", func() bool { return len(a.All()) == 2 })
 	if x := a.All()[1]; x.Pilot != "forged" || x.Invalid == "" {
 		t.Errorf("%+v", x)
 	}
