--- a/roster/cache.go
+++ b/roster/cache.go
@@ -11,7 +11,7 @@
 	"vetchdoor/files"
 )
 
-// cached is the file: the list and a hash of it, so that a torn or altered copy is known for one.
+// cached is the content of the file: the list, and a hash of it by which a truncated or altered copy is detected.
 type cached struct {
 	Form  int             `json:"form"`
 	Pilot string          `json:"pilot"`
@@ -26,7 +26,7 @@
 	return xxhash.Sum64(append([]byte(pilot+"\x00"), list...))
 }
 
-// Save writes a pilot's list so that a reader finds the old copy or the new one, whenever the machine stops.
+// Save writes a pilot's list atomically: after a crash, the file holds either the old copy or the new one.
 func Save(path, pilot string, version uint64, entries []Entry) error {
 	list, err := json.Marshal(Update{Kind: "full", Version: version, Entries: entries})
 	if err != nil {
@@ -42,8 +42,8 @@
 	return err
 }
 
-// Load reads a pilot's copy. No copy is no error: the version is 0 and there are no entries. One of another layout or of
-// another pilot is an error, as one that is torn.
+// Load reads a pilot's saved list. If there is none, it returns version 0 and no entries, without an error. A copy of
+// another layout or another pilot is an error, as is a corrupt one.
 func Load(path, pilot string) (version uint64, entries []Entry, err error) {
 	data, err := os.ReadFile(path)
 	if errors.Is(err, os.ErrNotExist) {
@@ -60,7 +60,7 @@
 		return 0, nil, fmt.Errorf("load the list: %s: its layout is version %d, this program reads version %d", path, c.Form, form)
 	}
 	if c.Pilot != pilot {
-		return 0, nil, fmt.Errorf("load the list: %s: it is the copy of pilot %.40q, not of %.40q", path, c.Pilot, pilot)
+		return 0, nil, fmt.Errorf("load the list: %s: the file is the copy of pilot %.40q, not of %.40q", path, c.Pilot, pilot)
 	}
 	if sum(pilot, c.List) != c.Sum {
 		return 0, nil, fmt.Errorf("load the list: %s: its hash does not match", path)
--- a/roster/client.go
+++ b/roster/client.go
@@ -12,24 +12,25 @@
 	"vetchdoor/stream"
 )
 
-// Client follows a list service. It dials again after a break, with jitter, and asks from the version that it has.
+// Client watches the list of a list service. After a lost connection it dials again, with jitter, and continues from the
+// version that it has.
 type Client struct {
 	Address  string
-	Redial   time.Duration // mean wait between dials; 0: a second
+	Redial   time.Duration // mean wait between dials; 0: one second
 	Log      *slog.Logger
 	Rand     *rand.Rand
-	OnUpdate func(u *Update) // called from one goroutine at a time
-	Net      stream.Net      // nil: sockets
+	OnUpdate func(u *Update) // receives updates; calls do not overlap
+	Net      stream.Net      // nil: the sockets of the operating system
 
-	mu   sync.Mutex
-	conn *stream.Conn
-	have uint64
+	mu      sync.Mutex
+	conn    *stream.Conn
+	current uint64
 }
 
-// SetVersion tells the client which version is held already, before Run.
-func (c *Client) SetVersion(version uint64) { c.have = version }
+// SetVersion sets the version of the list that is present already. It must be called before Run.
+func (c *Client) SetVersion(version uint64) { c.current = version }
 
-// Run follows the list until the context ends.
+// Run watches the list until the context ends.
 func (c *Client) Run(ctx context.Context) {
 	mean := c.Redial
 	if mean <= 0 {
@@ -41,22 +42,22 @@
 		if err == nil {
 			c.mu.Lock()
 			c.conn = conn
-			have := c.have
+			current := c.current
 			c.mu.Unlock()
-			c.Log.Info("list service reached", "address", c.Address, "have", have)
-			_ = conn.Send(askLine(Request{Watch: true, Have: have}))
-			c.attend(ctx, conn, s)
+			c.Log.Info("connected to the list service", "address", c.Address, "have", current)
+			_ = conn.Send(encodeRequest(Request{Watch: true, Have: current}))
+			c.await(ctx, conn, s)
 			c.mu.Lock()
 			c.conn = nil
 			c.mu.Unlock()
-			s.busy.Lock()
-			//lint:ignore SA2001 nothing is to be done but to wait until the last call of Data is over
-			s.busy.Unlock()
+			s.running.Lock()
+			//lint:ignore SA2001 the lock only waits until the last call of Data has returned
+			s.running.Unlock()
 			if ctx.Err() == nil {
-				c.Log.Warn("list service lost; the last list stands", "address", c.Address)
+				c.Log.Warn("connection to the list service lost; continuing with the last list", "address", c.Address)
 			}
 		} else {
-			c.Log.Warn("list service not reached; the last list stands", "error", err)
+			c.Log.Warn("cannot connect to the list service; continuing with the last list", "error", err)
 		}
 		wait := time.Duration(float64(mean) * (0.5 + c.Rand.Float64()))
 		select {
@@ -66,67 +67,69 @@
 	}
 }
 
-// quiet is how long the service may say nothing before it is asked for the whole list, and then until it answers.
-const quiet = 15 * time.Second
+// silenceTimeout is how long the service may be silent before the client asks for the whole list, and then again before
+// the client closes the connection.
+const silenceTimeout = 15 * time.Second
 
-// attend waits until a connection ends. One that answers no question any more stands half open and is closed.
-func (c *Client) attend(ctx context.Context, conn *stream.Conn, s *session) {
-	t := time.NewTicker(quiet)
-	defer t.Stop()
-	for asked := false; ; {
+// await waits until a connection ends. It closes the connection if the service stays silent after a request, as the
+// connection may be half open.
+func (c *Client) await(ctx context.Context, conn *stream.Conn, s *session) {
+	ticker := time.NewTicker(silenceTimeout)
+	defer ticker.Stop()
+	for requested := false; ; {
 		select {
 		case <-s.ended:
 			return
 		case <-ctx.Done():
 			conn.Close()
 			return
-		case <-t.C:
-			if s.heard.Swap(false) {
-				asked = false
+		case <-ticker.C:
+			if s.received.Swap(false) {
+				requested = false
 				continue
 			}
-			if asked {
-				c.Log.Warn("list service does not answer; dialing again", "address", c.Address)
+			if requested {
+				c.Log.Warn("list service did not answer; reconnecting", "address", c.Address)
 				conn.Close()
 				return
 			}
-			asked = true
-			_ = conn.Send(askLine(Request{Fetch: true}))
+			requested = true
+			_ = conn.Send(encodeRequest(Request{Fetch: true}))
 		}
 	}
 }
 
-// Fetch asks for the whole list once. Where the service cannot be reached, a failed update answers.
+// Fetch asks for the whole list once. If the service is not connected, OnUpdate gets an update of kind failed.
 func (c *Client) Fetch() {
 	c.mu.Lock()
 	conn := c.conn
 	c.mu.Unlock()
-	if conn == nil || conn.Send(askLine(Request{Fetch: true})) != nil {
+	if conn == nil || conn.Send(encodeRequest(Request{Fetch: true})) != nil {
 		go c.OnUpdate(&Update{Kind: "failed"})
 	}
 }
 
-func askLine(a Request) []byte {
+func encodeRequest(a Request) []byte {
 	b, err := json.Marshal(a)
 	if err != nil {
-		panic(err) // plain values always marshal
+		panic(err) // a struct of booleans and integers can always be encoded
 	}
 	return append(b, '\n')
 }
 
-// session is one connection to the service.
+// session is one connection to the service. It implements stream.Handler.
 type session struct {
-	client *Client
-	lines  LineSplitter
-	busy   sync.Mutex
-	heard  atomic.Bool // since attend last looked
-	ended  chan struct{}
+	client   *Client
+	lines    LineSplitter
+	running  sync.Mutex
+	received atomic.Bool // data arrived since await last checked
+	ended    chan struct{}
 }
 
 func (s *session) Data(conn *stream.Conn, b []byte) {
-	s.busy.Lock()
-	defer s.busy.Unlock()
-	s.heard.Store(true)
+	s.running.Lock()
+	defer s.running.Unlock()
+	s.received.Store(true)
 	s.lines.Feed(b)
 	for {
 		line, ok, err := s.lines.Next()
@@ -138,21 +141,21 @@
 			u, err = ParseUpdate(line)
 		}
 		if err != nil {
-			s.client.Log.Warn("list service sent what cannot be read; dialing again", "error", err)
+			s.client.Log.Warn("invalid message from the list service; reconnecting", "error", err)
 			conn.Close()
 			return
 		}
 		s.client.mu.Lock()
-		stale := u.Kind == "changes" && u.Version <= s.client.have
-		gap := u.Kind == "changes" && u.Version > s.client.have+1
+		stale := u.Kind == "changes" && u.Version <= s.client.current
+		gap := u.Kind == "changes" && u.Version > s.client.current+1
 		if u.Kind != "failed" && !stale && !gap {
-			s.client.have = u.Version
+			s.client.current = u.Version
 		}
 		s.client.mu.Unlock()
 		switch {
 		case gap:
 			s.client.Log.Warn("list service skipped a version; asking for the whole list", "version", u.Version)
-			_ = conn.Send(askLine(Request{Fetch: true}))
+			_ = conn.Send(encodeRequest(Request{Fetch: true}))
 		case !stale:
 			s.client.OnUpdate(u)
 		}
--- a/roster/roster_test.go
+++ b/roster/roster_test.go
@@ -29,23 +29,25 @@
 )
 
 func entry(id int, mode string) roster.Entry {
-	return roster.Entry{Endpoint: control.EndpointID(id), Address: netip.MustParseAddrPort("127.0.0.1:80"), Zone: "z", Weight: 1, Mode: mode}
+	return roster.Entry{Endpoint: control.EndpointID(id), Address: netip.MustParseAddrPort("127.0.0.1:80"), Zone: "z",
+		Weight: 1, Mode: mode}
 }
 
-// follower keeps what a client was told.
+// follower records the updates that a client delivers.
 type follower struct {
-	mu   sync.Mutex
-	told []string
-	list map[control.EndpointID]string
+	mu      sync.Mutex
+	updates []string
+	list    map[control.EndpointID]string
 }
 
 func follow(t *testing.T, address string, have uint64) (*follower, *roster.Client) {
 	f := &follower{list: map[control.EndpointID]string{}}
-	c := &roster.Client{Address: address, Redial: 5 * time.Millisecond, Log: slog.New(slog.DiscardHandler), Rand: rand.New(rand.NewPCG(1, 1)),
+	c := &roster.Client{Address: address, Redial: 5 * time.Millisecond, Log: slog.New(slog.DiscardHandler),
+		Rand: rand.New(rand.NewPCG(1, 1)),
 		OnUpdate: func(u *roster.Update) {
 			f.mu.Lock()
 			defer f.mu.Unlock()
-			f.told = append(f.told, fmt.Sprintf("%s %d", u.Kind, u.Version))
+			f.updates = append(f.updates, fmt.Sprintf("%s %d", u.Kind, u.Version))
 			if u.Kind == "full" {
 				clear(f.list)
 			}
@@ -63,7 +65,7 @@
 	return f, c
 }
 
-func (f *follower) until(t *testing.T, want string) {
+func (f *follower) waitFor(t *testing.T, want string) {
 	t.Helper()
 	got := ""
 	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(time.Millisecond) {
@@ -74,11 +76,11 @@
 			return
 		}
 	}
-	t.Fatalf("the list is %s, want %s; told %v", got, want, f.told)
+	t.Fatalf("the list is %s, want %s; updates %v", got, want, f.updates)
 }
 
-// A service that took the client and then says nothing, not even to a question, stands half open: it is dialled again. One
-// that only has no news is not.
+// TestHalfOpen checks that a service which accepts the connection but never answers, not even a request, is dialled
+// again. A service that answers but has no changes is not.
 func TestHalfOpen(t *testing.T) {
 	for _, answers := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
@@ -90,7 +92,7 @@
 				}
 				defer s.Close()
 			} else {
-				l, err := stream.Listen(net, "list:80", func(*stream.Conn) stream.Handler { return mute{} })
+				l, err := stream.Listen(net, "list:80", func(*stream.Conn) stream.Handler { return silentHandler{} })
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -98,12 +100,12 @@
 			}
 			ctx, cancel := context.WithCancel(t.Context())
 			c := &roster.Client{Address: "list:80", Log: slog.New(slog.DiscardHandler), Rand: rand.New(rand.NewPCG(1, 1)),
-				Net: dialled{net, &dials}, OnUpdate: func(*roster.Update) {}}
+				Net: countingNet{net, &dials}, OnUpdate: func(*roster.Update) {}}
 			done := make(chan struct{})
 			go func() { c.Run(ctx); close(done) }()
 			time.Sleep(10 * time.Minute)
 			if n := dials.Load(); (n > 1) == answers {
-				t.Errorf("answers %t: dialled %d times", answers, n)
+				t.Errorf("service answers %t: dialled %d times", answers, n)
 			}
 			cancel()
 			<-done
@@ -111,23 +113,24 @@
 	}
 }
 
-type mute struct{}
+type silentHandler struct{}
 
-func (mute) Data(*stream.Conn, []byte) {}
-func (mute) Closed(*stream.Conn)       {}
+func (silentHandler) Data(*stream.Conn, []byte) {}
+func (silentHandler) Closed(*stream.Conn)       {}
 
-// dialled counts dials.
-type dialled struct {
+// countingNet counts dials.
+type countingNet struct {
 	stream.Net
 	n *atomic.Int64
 }
 
-func (d dialled) Dial(network, address string, timeout time.Duration) (netpoll.Connection, error) {
+func (d countingNet) Dial(network, address string, timeout time.Duration) (netpoll.Connection, error) {
 	d.n.Add(1)
 	return d.Net.Dial(network, address, timeout)
 }
 
-// A client follows changes, through a break of the service, and gets the whole list after a gap.
+// TestFollow checks that a client follows changes, reconnects after an outage of the service, and gets the whole list
+// after a gap.
 func TestFollow(t *testing.T) {
 	s, err := stand.Start("127.0.0.1:0", []roster.Entry{entry(1, "ready"), entry(2, "ready")})
 	if err != nil {
@@ -135,32 +138,33 @@
 	}
 	defer s.Close()
 	f, c := follow(t, s.Address(), 0)
-	f.until(t, "map[1:ready 2:ready]")
+	f.waitFor(t, "map[1:ready 2:ready]")
 	s.Set(entry(1, "draining"))
 	s.Set(entry(1, "gone"), entry(3, "ready"))
-	f.until(t, "map[2:ready 3:ready]")
+	f.waitFor(t, "map[2:ready 3:ready]")
 	s.Down(true)
 	for i := range 10 {
 		s.Set(entry(10+i, "ready"), entry(10+i-1, "gone"))
 	}
-	c.Fetch() // fails, or finds the stream already gone: either way it is told so
+	c.Fetch() // Fetch fails, or the stream is already closed: OnUpdate gets a failed update in both cases
 	s.Down(false)
-	f.until(t, "map[2:ready 3:ready 19:ready]")
+	f.waitFor(t, "map[2:ready 3:ready 19:ready]")
 	s.Down(true)
-	for i := range 100 { // more than the service keeps
+	for i := range 100 { // more changes than the service keeps
 		s.Set(entry(100+i, "ready"), entry(100+i-1, "gone"))
 	}
 	s.Down(false)
-	f.until(t, "map[2:ready 3:ready 19:ready 199:ready]")
+	f.waitFor(t, "map[2:ready 3:ready 19:ready 199:ready]")
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.told[len(f.told)-1] != "full 113" {
-		t.Errorf("told %v", f.told[len(f.told)-3:])
+	if f.updates[len(f.updates)-1] != "full 113" {
+		t.Errorf("last updates are %v", f.updates[len(f.updates)-3:])
 	}
 }
 
-// Rubbish from the service ends the connection, a skipped version is asked for, an old one is dropped.
-func TestStrangeService(t *testing.T) {
+// TestInvalidService checks that an invalid message ends the connection, that a skipped version makes the client ask for
+// the whole list, and that an old version is dropped.
+func TestInvalidService(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -170,19 +174,20 @@
 	line := func(kind string, version, id int, mode string) string {
 		return fmt.Sprintf(`{"kind":%q,"version":%d,"entries":[{"endpoint":%d,"address":"127.0.0.1:80","zone":"z","weight":1,"mode":%q}]}`+"\n", kind, version, id, mode)
 	}
-	for i, bad := range []string{"rubbish\n", "[]\n", line("other", 1, 1, "ready"), line("full", 1, 1, "asleep"), `{"kind":"full","entries":[{"mode":"ready","weight":-1}]}` + "\n"} {
+	for i, bad := range []string{"rubbish\n", "[]\n", line("other", 1, 1, "ready"), line("full", 1, 1, "asleep"),
+		`{"kind":"full","entries":[{"mode":"ready","weight":-1}]}` + "\n"} {
 		c, err := ln.Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
 		in := bufio.NewReader(c)
 		_ = c.SetDeadline(time.Now().Add(20 * time.Second))
-		if ask, _ := in.ReadString('\n'); ask != `{"watch":true,"have":5}`+"\n" {
-			t.Errorf("%d: asked %q", i, ask)
+		if request, _ := in.ReadString('\n'); request != `{"watch":true,"have":5}`+"\n" {
+			t.Errorf("%d: request is %q", i, request)
 		}
 		_, _ = io.WriteString(c, bad)
 		if _, err := io.ReadAll(in); err != nil {
-			t.Errorf("%q: not closed: %v", bad, err)
+			t.Errorf("%q: the connection was not closed: %v", bad, err)
 		}
 		c.Close()
 	}
@@ -194,17 +199,17 @@
 	in := bufio.NewReader(c)
 	_, _ = in.ReadString('\n')
 	_, _ = io.WriteString(c, line("changes", 4, 9, "ready")+line("changes", 6, 1, "ready")+line("changes", 8, 2, "ready"))
-	if ask, _ := in.ReadString('\n'); ask != `{"fetch":true}`+"\n" {
-		t.Errorf("after a gap: %q", ask)
+	if request, _ := in.ReadString('\n'); request != `{"fetch":true}`+"\n" {
+		t.Errorf("request after a gap is %q", request)
 	}
-	f.until(t, "map[1:ready]")
+	f.waitFor(t, "map[1:ready]")
 }
 
-// The copy on disk is the old one or the new one, and nothing that was altered.
+// TestCache checks that the copy on disk is the last one saved, and that a copy of another pilot or layout is refused.
 func TestCache(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "list.json")
 	if v, l, err := roster.Load(path, "p"); v != 0 || l != nil || err != nil {
-		t.Fatal("no copy:", v, l, err)
+		t.Fatal("without a copy:", v, l, err)
 	}
 	want := []roster.Entry{entry(1, "ready"), entry(2, "draining")}
 	for v := range uint64(3) {
@@ -219,7 +224,7 @@
 		t.Errorf("%d files left", len(files))
 	}
 	if v, l, err := roster.Load(path, "q"); v != 0 || l != nil || err == nil || !strings.Contains(err.Error(), `of pilot "p"`) {
-		t.Errorf("another pilot's copy: %d %v %v", v, l, err)
+		t.Errorf("copy of another pilot: %d %v %v", v, l, err)
 	}
 	text, err := os.ReadFile(path)
 	if err == nil {
@@ -229,10 +234,10 @@
 		t.Fatal(err)
 	}
 	if v, l, err := roster.Load(path, "p"); v != 0 || l != nil || err == nil || !strings.Contains(err.Error(), "version 2") {
-		t.Errorf("a later layout: %d %v %v", v, l, err)
+		t.Errorf("copy of a later layout: %d %v %v", v, l, err)
 	}
 	if err := roster.Save(filepath.Join(path, "x"), "p", 1, want); err == nil {
-		t.Error("saved into a file")
+		t.Error("saved below a path that is a file")
 	}
 }
 
