--- a/fleet/selector.go
+++ b/fleet/selector.go
@@ -149,6 +149,7 @@
 	return s.ranked[0].Address, true
 }
 
+// scheduleProbe sets the time of the next probe at random.
 func (s *Selector) scheduleProbe(now time.Duration) {
 	s.nextProbe = now + s.ratio(probeInterval*(1+(probeSpread-1)*s.rng.Float64()))
 }
--- a/members/members.go
+++ b/members/members.go
@@ -26,9 +26,9 @@
 type PilotStatus struct {
 	Pilot         string `json:"pilot"`
 	Zone          string `json:"zone"`
-	Run           uint64 `json:"run"`
+	Run           uint64 `json:"run"`  // number of the pilot's run
 	ListVersion   uint64 `json:"list"` // version of the pilot's list of servers
-	ListSource    string `json:"from"` // where the list came from
+	ListSource    string `json:"from"` // source of the list: list (the list service), cache (the copy on disk) or empty (none)
 	Servers       int    `json:"servers"`
 	Proxies       int    `json:"proxies"`
 	Wire          int    `json:"wire"` // version of its protocol with proxies
@@ -122,6 +122,7 @@
 	return m, nil
 }
 
+// readKey decodes a key and checks its length.
 func readKey(s string) ([]byte, error) {
 	b, err := base64.StdEncoding.DecodeString(s)
 	if err == nil {
@@ -200,6 +201,7 @@
 // DropKey removes a key. No member may encrypt with it any more.
 func (m *Members) DropKey(key string) error { return m.withKey(key, m.keyring.RemoveKey) }
 
+// withKey decodes a key and calls do with it.
 func (m *Members) withKey(key string, do func([]byte) error) error {
 	b, err := readKey(key)
 	if err != nil {
@@ -241,16 +243,17 @@
 	d.mu.Unlock()
 }
 
+// store saves the status that a member published.
 func (d *delegate) store(n *memberlist.Node) {
-	t := Member{Address: n.Address()}
-	if err := json.Unmarshal(n.Meta, &t.PilotStatus); err != nil {
-		t.PilotStatus, t.Invalid = PilotStatus{}, "what it tells cannot be read"
-	} else if t.Pilot != n.Name {
-		t.Invalid = fmt.Sprintf("it tells of %.40q", t.Pilot)
+	member := Member{Address: n.Address()}
+	if err := json.Unmarshal(n.Meta, &member.PilotStatus); err != nil {
+		member.PilotStatus, member.Invalid = PilotStatus{}, "what it tells cannot be read"
+	} else if member.Pilot != n.Name {
+		member.Invalid = fmt.Sprintf("it tells of %.40q", member.Pilot)
 	}
-	t.Pilot = n.Name
+	member.Pilot = n.Name
 	d.mu.Lock()
-	d.members[n.Name] = t
+	d.members[n.Name] = member
 	d.mu.Unlock()
 }
 
@@ -262,7 +265,7 @@
 // logWriter forwards memberlist's log lines, which begin with their level in brackets, to an slog.Logger.
 type logWriter struct{ log *slog.Logger }
 
-func (t logWriter) Write(b []byte) (int, error) {
+func (w logWriter) Write(b []byte) (int, error) {
 	text := strings.TrimSpace(string(b))
 	level := slog.LevelDebug
 	switch {
@@ -274,6 +277,6 @@
 	if _, rest, ok := strings.Cut(text, "] "); ok {
 		text = rest
 	}
-	t.log.Log(context.Background(), level, "members: "+text)
+	w.log.Log(context.Background(), level, "members: "+text)
 	return len(b), nil
 }
--- a/members/members_test.go
+++ b/members/members_test.go
@@ -76,8 +76,7 @@
 	b, _ := start(t, "b", []string{key(1)}, a.Address())
 	c, _ := start(t, "c", []string{key(1)}, a.Address())
 	waitFor(t, "not all pilots see all others", func() bool {
-		return names(a) == "a b c " && names(b) == "a b c " &&
-			names(c) == "a b c "
+		return names(a) == "a b c " && names(b) == "a b c " && names(c) == "a b c "
 	})
 	proxies.Store(7)
 	waitFor(t, "the changed status did not arrive", func() bool { return b.All()[0].Proxies == 7 })
--- a/roster/cache.go
+++ b/roster/cache.go
@@ -22,6 +22,7 @@
 // form is the version of the file's layout.
 const form = 1
 
+// sum returns the hash of a list and the name of its pilot.
 func sum(pilot string, list []byte) uint64 {
 	return xxhash.Sum64(append([]byte(pilot+"\x00"), list...))
 }
--- a/roster/client.go
+++ b/roster/client.go
@@ -109,8 +109,9 @@
 	}
 }
 
-func encodeRequest(a Request) []byte {
-	b, err := json.Marshal(a)
+// encodeRequest encodes a request as one line.
+func encodeRequest(request Request) []byte {
+	b, err := json.Marshal(request)
 	if err != nil {
 		panic(err) // a struct of booleans and integers can always be encoded
 	}
--- a/roster/roster_test.go
+++ b/roster/roster_test.go
@@ -40,6 +40,7 @@
 	list    map[control.EndpointID]string
 }
 
+// follow runs a client that has version have already, until the test ends.
 func follow(t *testing.T, address string, have uint64) (*follower, *roster.Client) {
 	f := &follower{list: map[control.EndpointID]string{}}
 	c := &roster.Client{Address: address, Redial: 5 * time.Millisecond, Log: slog.New(slog.DiscardHandler),
@@ -113,6 +114,7 @@
 	}
 }
 
+// silentHandler accepts connections and never answers.
 type silentHandler struct{}
 
 func (silentHandler) Data(*stream.Conn, []byte) {}
@@ -241,6 +243,7 @@
 	}
 }
 
+// FuzzUpdate checks that ParseUpdate accepts no entry without a valid address and weight.
 func FuzzUpdate(f *testing.F) {
 	f.Add([]byte(`{"kind":"full","version":1,"entries":[{"endpoint":1,"address":"127.0.0.1:80","zone":"z","weight":1,"mode":"ready"}]}`))
 	f.Fuzz(func(t *testing.T, in []byte) {
--- a/roster/wire.go
+++ b/roster/wire.go
@@ -41,6 +41,7 @@
 	Have  uint64 `json:"have,omitempty"`
 }
 
+// maxLineBytes bounds the length of a line.
 const maxLineBytes = 64 << 20
 
 // LineSplitter splits a stream of bytes into lines.
@@ -80,6 +81,7 @@
 	return &u, checkEntries(u.Entries)
 }
 
+// checkEntries validates the mode, address and weight of each entry.
 func checkEntries(entries []Entry) error {
 	for i := range entries {
 		e := &entries[i]
--- a/tenancy/bench_test.go
+++ b/tenancy/bench_test.go
@@ -8,7 +8,7 @@
 
 // BenchmarkQuarantineStep processes one period of 10,000 tenants, each on three pods.
 func BenchmarkQuarantineStep(b *testing.B) {
-	w := NewQuarantine(time.Second)
+	q := NewQuarantine(time.Second)
 	var uses []Usage
 	for i := range 10_000 {
 		for p := range 3 {
@@ -22,7 +22,7 @@
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		w.Step(uses, health)
+		q.Step(uses, health)
 	}
 }
 
--- a/tenancy/seat.go
+++ b/tenancy/binding.go
@@ -88,7 +88,8 @@
 
 // MoveDurations returns what a move of a tenant must wait out. write is the longest time from the admission of a write by
 // a proxy until it can have no effect any more: lifetime or, if that is 0, twice the longest op timeout. window is the
-// longest deduplication window of the op types that only a part of the servers deduplicate together.
+// longest deduplication window of the op types whose duplicates are dropped only within one group of servers. Retryable op
+// types are ignored.
 func MoveDurations(types []control.OpType, lifetime time.Duration) (write, window time.Duration) {
 	for _, t := range types {
 		if t.Repeat == control.Retryable {
--- a/tenancy/groups.go
+++ b/tenancy/groups.go
@@ -29,6 +29,7 @@
 	pods []Pod
 }
 
+// newGroupSet returns the groups with the given IDs, each once.
 func newGroupSet(ids []PodID) groupSet {
 	s := groupSet{ids: slices.Clone(ids)}
 	slices.Sort(s.ids)
--- a/tenancy/groups_test.go
+++ b/tenancy/groups_test.go
@@ -146,6 +146,7 @@
 	w.complete = false
 }
 
+// randomEvent simulates one random event.
 func (w *groupSimulation) randomEvent() {
 	p := w.fleet[w.rng.IntN(len(w.fleet))]
 	switch w.rng.IntN(14) {
@@ -171,7 +172,7 @@
 	}
 }
 
-// pass advances the time by half a tick; no try is in flight for longer than the lifetime of a write.
+// passTime advances the time by half a tick; no try is in flight for longer than the lifetime of a write.
 func (w *groupSimulation) passTime() {
 	w.now += tick / 2
 	for i := 0; i < len(w.flights); i++ {
--- a/tenancy/match/match.go
+++ b/tenancy/match/match.go
@@ -99,6 +99,7 @@
 // Header returns the name of the header field that Tenant needs; empty if none.
 func (m *Matcher) Header() string { return m.header }
 
+// validated returns the name if it is valid and known, otherwise Unknown.
 func (m *Matcher) validated(name []byte) string {
 	if !valid(name) || m.known != nil && !m.known[string(name)] {
 		return Unknown
--- a/tenancy/match/match_test.go
+++ b/tenancy/match/match_test.go
@@ -6,6 +6,7 @@
 	"testing"
 )
 
+// TestTenant checks the order of the rules and the bounds of names.
 func TestTenant(t *testing.T) {
 	m, err := New(Rules{Header: "Newsroom", PathPrefix: "/n/", Known: []string{"delo", "vecer", "dnevnik"},
 		Networks: map[string][]string{"delo": {"10.0.0.0/8", "2001:db8::/32"}, "vecer": {"10.1.0.0/16"},
@@ -45,6 +46,7 @@
 	}
 }
 
+// TestRules checks that invalid rules are refused.
 func TestRules(t *testing.T) {
 	for want, r := range map[string]Rules{
 		"not a network prefix":        {Networks: map[string][]string{"a": {"10.0.0.0"}}},
--- a/tenancy/move.go
+++ b/tenancy/move.go
@@ -128,7 +128,7 @@
 	queue      []*tenant        // tenants with a queued move, in order of request
 	proxies    map[ProxyID]bool // known proxies; true: connected
 	result     StepResult
-	changed    map[string]bool
+	changed    map[string]bool // tenants whose records changed in this step
 }
 
 // maxMovedTenants bounds the number of tenants that were ever moved; maxNameBytes bounds the length of a tenant's name.
@@ -166,9 +166,9 @@
 func clone(r Record) Record {
 	r.Placement, r.To = r.Placement.clone(), r.To.clone()
 	if r.Queued != nil {
-		a := *r.Queued
-		a.To = a.To.clone()
-		r.Queued = &a
+		request := *r.Queued
+		request.To = request.To.clone()
+		r.Queued = &request
 	}
 	return r
 }
@@ -292,6 +292,7 @@
 	}
 }
 
+// handleForgotten removes a proxy, so that no move waits for it.
 func (m *Mover) handleForgotten(p ProxyID) {
 	if _, known := m.proxies[p]; !known {
 		m.refuse("proxy %d is not known", p)
@@ -304,49 +305,53 @@
 	}
 }
 
+// handleConfirmed records that a proxy holds the writes of a moving tenant.
 func (m *Mover) handleConfirmed(c Confirmation) {
 	if t := m.moving[c.Tenant]; t != nil && c.Number == t.Number {
 		delete(t.unconfirmed, c.Proxy)
 	}
 }
 
+// refuse adds an error to the step's result.
 func (m *Mover) refuse(format string, args ...any) {
 	m.result.Refused = append(m.result.Refused, fmt.Errorf(format, args...))
 }
 
-func (m *Mover) handleMove(a MoveRequest) {
-	t := m.tenants[a.Tenant]
+// handleMove validates a move request and queues it, in place of an earlier queued one of the same tenant.
+func (m *Mover) handleMove(request MoveRequest) {
+	t := m.tenants[request.Tenant]
 	switch {
-	case a.Tenant == AggregatedTenant || len(a.Tenant) > maxNameBytes:
-		m.refuse("tenant %.40q cannot be moved: no tenant's name", a.Tenant)
+	case request.Tenant == AggregatedTenant || len(request.Tenant) > maxNameBytes:
+		m.refuse("tenant %.40q cannot be moved: no tenant's name", request.Tenant)
 		return
 	case t == nil && len(m.tenants) >= maxMovedTenants:
-		m.refuse("tenant %.40q cannot be moved: %d tenants were moved already, which is the limit", a.Tenant, maxMovedTenants)
+		m.refuse("tenant %.40q cannot be moved: %d tenants were moved already, which is the limit", request.Tenant, maxMovedTenants)
 		return
-	case t != nil && t.Phase == Settled && t.Queued == nil && t.Placement.Equal(a.To) || t == nil && a.To.Equal(Placement{}):
-		m.refuse("tenant %.40q is there already", a.Tenant)
+	case t != nil && t.Phase == Settled && t.Queued == nil && t.Placement.Equal(request.To) ||
+		t == nil && request.To.Equal(Placement{}):
+		m.refuse("tenant %.40q is there already", request.Tenant)
 		return
 	case t == nil:
-		t = &tenant{Record: Record{Tenant: a.Tenant}}
-		m.tenants[a.Tenant] = t
+		t = &tenant{Record: Record{Tenant: request.Tenant}}
+		m.tenants[request.Tenant] = t
 	}
 	if t.Queued == nil {
 		m.queue = append(m.queue, t)
 	}
-	a.To = a.To.clone()
-	t.Queued = &a
-	m.changed[a.Tenant] = true
+	request.To = request.To.clone()
+	t.Queued = &request
+	m.changed[request.Tenant] = true
 }
 
 // startMove starts a tenant's queued move.
 func (m *Mover) startMove(t *tenant) {
-	a := t.Queued
+	request := t.Queued
 	t.Queued = nil
 	m.changed[t.Tenant] = true
-	if t.Placement.Equal(a.To) {
+	if t.Placement.Equal(request.To) {
 		return
 	}
-	t.To, t.ManualOpen = a.To, a.ManualOpen
+	t.To, t.ManualOpen = request.To, request.ManualOpen
 	m.startHold(t)
 	m.broadcast(t)
 }
--- a/tenancy/move_test.go
+++ b/tenancy/move_test.go
@@ -17,7 +17,7 @@
 	started        time.Duration // start of this run of the pilot
 	limits         MoveLimits
 	proxyWait      time.Duration // how long a proxy waits by its Binding alone
-	m              *Mover
+	mover          *Mover
 	records        map[string]Record
 	knownProxies   []ProxyID
 	proxies        map[ProxyID]*simProxy
@@ -36,23 +36,25 @@
 	confirmations []Confirmation  // confirmations in flight to the pilot
 }
 
+// op is a client's write.
 type op struct {
-	first   time.Duration
-	effects int
+	first   time.Duration // time of the first try
+	effects int           // number of times that it took effect
 	tried   bool
 }
 
 // flight is a try in flight from a proxy to the servers.
 type flight struct {
-	op   int
-	seat string
-	sent time.Duration
+	op     int
+	target string // placement or group that the try goes to
+	sent   time.Duration
 }
 
 const tick = time.Second
 
+// step advances the Mover and delivers its result to the store and the connected proxies.
 func (w *simulation) step(events ...Event) {
-	d := w.m.Step(w.now-w.started, events...)
+	d := w.mover.Step(w.now-w.started, events...)
 	for _, r := range d.Records {
 		w.records[r.Tenant] = r
 	}
@@ -75,7 +77,7 @@
 	w := &simulation{rng: rand.New(rand.NewPCG(seed, 7)), limits: limits, proxyWait: proxyWait, records: map[string]Record{},
 		proxies: map[ProxyID]*simProxy{},
 		effects: map[string]map[int]time.Duration{}}
-	w.m = NewMover(limits, 100, nil, nil)
+	w.mover = NewMover(limits, 100, nil, nil)
 	for i := range proxies {
 		w.proxies[ProxyID(i)] = &simProxy{Binding: NewBinding(), joined: true}
 		w.step(Event{Joined: &Joined{Proxy: ProxyID(i)}})
@@ -90,7 +92,7 @@
 
 const dedupWindow, writeLifetime = 3 * tick, 2 * tick // real deduplication window and write lifetime in the simulation
 
-// take applies the next update at a proxy.
+// applyNext applies the next update at a proxy.
 func (w *simulation) applyNext(id ProxyID, p *simProxy) {
 	o := p.updates[0]
 	p.updates = p.updates[1:]
@@ -105,7 +107,7 @@
 	p.confirmations = append(p.confirmations, Confirmation{id, o.Tenant, o.Number})
 }
 
-// happen simulates one random event.
+// randomEvent simulates one random event.
 func (w *simulation) randomEvent() {
 	id, p := w.randomProxy()
 	name := "a"
@@ -142,7 +144,7 @@
 		if p.joined = !p.joined; p.joined {
 			w.step(Event{Joined: &Joined{Proxy: id, AppliedUpTo: p.appliedUpTo}})
 		} else {
-			w.m.ProxyLeft(id)
+			w.mover.ProxyLeft(id)
 		}
 	case 11:
 		switch w.rng.IntN(8) {
@@ -153,7 +155,7 @@
 			for _, r := range w.records {
 				records = append(records, r)
 			}
-			w.m, w.started = NewMover(w.limits, 100, records, w.knownProxies), w.now
+			w.mover, w.started = NewMover(w.limits, 100, records, w.knownProxies), w.now
 			for _, p := range w.proxies {
 				p.joined, p.updates, p.confirmations = false, nil, nil
 			}
@@ -165,7 +167,7 @@
 	case 12: // a proxy restarts with its saved binding
 		if w.rng.IntN(4) == 0 {
 			p.Binding, p.joined, p.updates, p.confirmations = p.AfterRestart(w.now), false, nil, nil
-			w.m.ProxyLeft(id)
+			w.mover.ProxyLeft(id)
 		}
 	case 13, 14: // time passes; no try is in flight for longer than the lifetime of a write
 		w.now += tick / 2
@@ -179,20 +181,22 @@
 	}
 }
 
+// deliver lets a try arrive at its target, which drops duplicates within the window.
 func (w *simulation) deliver(i int) {
 	f := w.flights[i]
 	w.flights = slices.Delete(w.flights, i, i+1)
-	if w.effects[f.seat] == nil {
-		w.effects[f.seat] = map[int]time.Duration{}
+	if w.effects[f.target] == nil {
+		w.effects[f.target] = map[int]time.Duration{}
 	}
-	first, seen := w.effects[f.seat][f.op]
+	first, seen := w.effects[f.target][f.op]
 	if seen && w.now-first < dedupWindow+writeLifetime {
 		return
 	}
-	w.effects[f.seat][f.op] = w.now
+	w.effects[f.target][f.op] = w.now
 	w.ops[f.op].effects++
 }
 
+// duplicated returns the number of ops that took effect more than once.
 func (w *simulation) duplicated() (n int) {
 	for _, o := range w.ops {
 		if o.effects > 1 {
@@ -239,7 +243,7 @@
 		if n := w.duplicated(); n > 0 {
 			t.Fatalf("seed %d: %d ops took effect twice", seed, n)
 		}
-		r, _ := w.m.RecordOf("a")
+		r, _ := w.mover.RecordOf("a")
 		if r.Phase != Settled || r.Queued != nil {
 			t.Fatalf("seed %d: the move did not end: %+v", seed, r)
 		}
--- a/tenancy/pods.go
+++ b/tenancy/pods.go
@@ -18,6 +18,7 @@
 	removed []removedPod
 }
 
+// removedPod is a pod that lost its last server at the time since.
 type removedPod struct {
 	Pod
 	since time.Duration
@@ -30,15 +31,15 @@
 	if p == nil {
 		return next
 	}
-	isLive := func(id PodID) bool { return slices.ContainsFunc(live, func(x Pod) bool { return x.ID == id }) }
-	for _, g := range p.removed {
-		if !isLive(g.ID) && now-g.since < Linger {
-			next.removed = append(next.removed, g)
+	isLive := func(id PodID) bool { return slices.ContainsFunc(live, func(pod Pod) bool { return pod.ID == id }) }
+	for _, lingering := range p.removed {
+		if !isLive(lingering.ID) && now-lingering.since < Linger {
+			next.removed = append(next.removed, lingering)
 		}
 	}
-	for _, x := range p.live {
-		if !isLive(x.ID) {
-			next.removed = append(next.removed, removedPod{x, now})
+	for _, pod := range p.live {
+		if !isLive(pod.ID) {
+			next.removed = append(next.removed, removedPod{pod, now})
 		}
 	}
 	if len(next.removed) > len(live) {
@@ -51,9 +52,9 @@
 // change.
 func (p *Pods) Candidates(now time.Duration) (pods []Pod, validFor time.Duration) {
 	pods, validFor = slices.Clone(p.live), math.MaxInt64
-	for _, g := range p.removed {
-		if left := Linger - (now - g.since); left > 0 {
-			pods, validFor = append(pods, g.Pod), min(validFor, left)
+	for _, pod := range p.removed {
+		if left := Linger - (now - pod.since); left > 0 {
+			pods, validFor = append(pods, pod.Pod), min(validFor, left)
 		}
 	}
 	return pods, validFor
@@ -66,9 +67,9 @@
 // in the tenant's rendezvous order. It returns false if there is no other pod.
 func (p *Pods) Spare(tenant string, subset []PodID) (PodID, bool) {
 	var others []Pod
-	for _, x := range p.live {
-		if !slices.Contains(subset, x.ID) {
-			others = append(others, x)
+	for _, pod := range p.live {
+		if !slices.Contains(subset, pod.ID) {
+			others = append(others, pod)
 		}
 	}
 	if s := SelectPods(tenant, others, 1); len(s) > 0 {
@@ -89,28 +90,28 @@
 }
 
 // BorrowedPod returns the borrowed pod that writes must continue to use; false if they go to the subset.
-func (l BorrowState) BorrowedPod(now, wait time.Duration) (PodID, bool) {
-	return l.pod, l.borrowed && now-l.lastWrite < wait
+func (b BorrowState) BorrowedPod(now, wait time.Duration) (PodID, bool) {
+	return b.pod, b.borrowed && now-b.lastWrite < wait
 }
 
 // MayBorrow reports whether writes that went to the subset may go to a borrowed pod now.
-func (l BorrowState) MayBorrow(now, wait time.Duration) bool {
-	return !l.written || now-l.lastWrite >= wait
+func (b BorrowState) MayBorrow(now, wait time.Duration) bool {
+	return !b.written || now-b.lastWrite >= wait
 }
 
 // RecordWrite records a write that was sent at the time now; borrowed says that it went to the given pod, outside the
 // subset.
-func (l *BorrowState) RecordWrite(now time.Duration, pod PodID, borrowed bool) {
-	if !l.borrowed {
-		l.borrowedSince = now
+func (b *BorrowState) RecordWrite(now time.Duration, pod PodID, borrowed bool) {
+	if !b.borrowed {
+		b.borrowedSince = now
 	}
-	l.pod, l.borrowed, l.written, l.lastWrite = pod, borrowed, true, now
+	b.pod, b.borrowed, b.written, b.lastWrite = pod, borrowed, true, now
 }
 
 // MustReturn reports whether writes have used a borrowed pod for so long that, if the subset is usable again, new writes
 // must wait for the change back instead of using the borrowed pod.
-func (l BorrowState) MustReturn(now time.Duration) bool {
-	return l.borrowed && now-l.borrowedSince >= Linger
+func (b BorrowState) MustReturn(now time.Duration) bool {
+	return b.borrowed && now-b.borrowedSince >= Linger
 }
 
 // BorrowCredit tracks the success of a tenant's tries. Only a tenant whose tries usually succeed may borrow a pod. A new
--- a/tenancy/quarantine.go
+++ b/tenancy/quarantine.go
@@ -88,12 +88,12 @@
 	busy        float64               // in seconds
 	pods        map[PodID]*[2]float64 // running means of busy seconds and failures, by pod
 	badPeriods  int                   // periods in a row in which the tenant was a cause
-	goodPeriods int
-	fences      int
+	goodPeriods int                   // periods in a row in which it was not
+	fences      int                   // number of times that the tenant was fenced
 
 	crowdedPeriods, roomyPeriods int // periods in a row in which the tenant's pods were too few, or more than needed
 	limit                        Limit
-	idlePeriods                  int
+	idlePeriods                  int // periods in a row without ops
 }
 
 // Quarantine detects tenants whose ops harm others and limits what they may use.
@@ -114,48 +114,48 @@
 const AggregatedTenant = "\x00folded"
 
 // Step processes one period's usage and pod loads, and returns the limits that changed, sorted by tenant.
-func (w *Quarantine) Step(uses []Usage, health []Health) []Limit {
+func (q *Quarantine) Step(uses []Usage, health []Health) []Limit {
 	for _, h := range health {
-		w.load[h.Pod] = h.Load
+		q.load[h.Pod] = h.Load
 	}
-	for _, t := range w.tenants {
+	for _, t := range q.tenants {
 		t.decay()
 	}
-	for _, u := range w.aggregate(uses) {
-		t := w.tenants[u.Tenant]
+	for _, u := range q.aggregate(uses) {
+		t := q.tenants[u.Tenant]
 		if t == nil {
 			t = &tenantStats{name: u.Tenant, pods: map[PodID]*[2]float64{}, limit: Unlimited(u.Tenant)}
-			w.tenants[u.Tenant] = t
+			q.tenants[u.Tenant] = t
 		}
 		t.add(u)
 	}
 	var out []Limit
-	causes, capacityShares := w.causes()
-	w.sinceAction++
-	for _, name := range slices.Sorted(maps.Keys(w.tenants)) {
-		t := w.tenants[name]
+	causes, capacityShares := q.causes()
+	q.sinceAction++
+	for _, name := range slices.Sorted(maps.Keys(q.tenants)) {
+		t := q.tenants[name]
 		if before := t.limit; name != AggregatedTenant {
 			cause := causes[name]
-			if w.sinceAction < settlePeriods && !before.Limited() && !cause.ruinous {
+			if q.sinceAction < settlePeriods && !before.Limited() && !cause.ruinous {
 				cause.share = 0
 			}
-			if t.adjustLimit(cause, w.period); t.limit.Limited() && t.limit != before && (t.limit.Fenced || !before.Limited()) {
-				w.sinceAction = 0
+			if t.adjustLimit(cause, q.period); t.limit.Limited() && t.limit != before && (t.limit.Fenced || !before.Limited()) {
+				q.sinceAction = 0
 			}
 			if t.adjustRoom(capacityShares[name], cause); t.limit != before {
 				out = append(out, t.limit)
 			}
 		}
 		if t.idlePeriods > forgetAfter && t.limit.IsDefault() {
-			delete(w.tenants, name)
+			delete(q.tenants, name)
 		}
 	}
 	return out
 }
 
 // UsageOf returns the running mean per period of a tenant's usage, over all pods.
-func (w *Quarantine) UsageOf(name string) Usage {
-	t := w.tenants[name]
+func (q *Quarantine) UsageOf(name string) Usage {
+	t := q.tenants[name]
 	if t == nil {
 		return Usage{Tenant: name}
 	}
@@ -163,18 +163,18 @@
 }
 
 // Restore loads the limits saved by an earlier run of the pilot. The counts of good periods start from zero.
-func (w *Quarantine) Restore(records []LimitRecord) {
+func (q *Quarantine) Restore(records []LimitRecord) {
 	for _, s := range records {
-		if len(w.tenants) < maxTenants {
-			w.tenants[s.Tenant] = &tenantStats{name: s.Tenant, pods: map[PodID]*[2]float64{}, limit: s.Limit, fences: s.Fences}
+		if len(q.tenants) < maxTenants {
+			q.tenants[s.Tenant] = &tenantStats{name: s.Tenant, pods: map[PodID]*[2]float64{}, limit: s.Limit, fences: s.Fences}
 		}
 	}
 }
 
 // LimitRecords returns all limits in force, sorted by tenant.
-func (w *Quarantine) LimitRecords() (out []LimitRecord) {
-	for _, name := range slices.Sorted(maps.Keys(w.tenants)) {
-		if t := w.tenants[name]; !t.limit.IsDefault() {
+func (q *Quarantine) LimitRecords() (out []LimitRecord) {
+	for _, name := range slices.Sorted(maps.Keys(q.tenants)) {
+		if t := q.tenants[name]; !t.limit.IsDefault() {
 			out = append(out, LimitRecord{t.limit, t.fences})
 		}
 	}
@@ -183,14 +183,14 @@
 
 // aggregate bounds the number of tracked tenants. It renames the usage of new tenants, other than the busiest, to
 // AggregatedTenant.
-func (w *Quarantine) aggregate(uses []Usage) []Usage {
+func (q *Quarantine) aggregate(uses []Usage) []Usage {
 	newTenants := map[string]time.Duration{}
 	for _, u := range uses {
-		if w.tenants[u.Tenant] == nil {
+		if q.tenants[u.Tenant] == nil {
 			newTenants[u.Tenant] += u.Busy
 		}
 	}
-	free := maxTenants - len(w.tenants)
+	free := maxTenants - len(q.tenants)
 	if len(newTenants) <= free {
 		return uses
 	}
@@ -209,6 +209,7 @@
 	return out
 }
 
+// decay discounts the running means at the start of a period.
 func (t *tenantStats) decay() {
 	t.idlePeriods++
 	t.ops, t.failed, t.busy = t.ops*(1-smoothing), t.failed*(1-smoothing), t.busy*(1-smoothing)
@@ -217,6 +218,7 @@
 	}
 }
 
+// add adds the usage of one pod in this period to the running means.
 func (t *tenantStats) add(u Usage) {
 	t.idlePeriods = 0
 	t.ops += smoothing * u.Ops
@@ -242,10 +244,10 @@
 // more than a fair share, with the part of its usage that would be fair. A tenant of which almost every op fails, while
 // others' ops fail far less often and some of its pods are unhealthy, is a cause regardless of its busy time. The second
 // result is the share of its pods' capacity that each tenant takes.
-func (w *Quarantine) causes() (map[string]cause, map[string]float64) {
+func (q *Quarantine) causes() (map[string]cause, map[string]float64) {
 	type podTotals struct{ busy, failed, ops, users float64 }
 	pods := map[PodID]*podTotals{}
-	for _, t := range w.tenants {
+	for _, t := range q.tenants {
 		for id, p := range t.pods {
 			if p[0] < 1e-6 && p[1] < 1e-6 {
 				delete(t.pods, id)
@@ -261,9 +263,9 @@
 		}
 	}
 	out, capacityShare := map[string]cause{}, map[string]float64{}
-	for name, t := range w.tenants {
+	for name, t := range q.tenants {
 		for id, p := range t.pods {
-			if load, known := w.load[id]; known && t.busy > 0 {
+			if load, known := q.load[id]; known && t.busy > 0 {
 				capacityShare[name] += p[0] / t.busy * load * p[0] / max(pods[id].busy, 1e-9)
 			}
 		}
@@ -281,7 +283,7 @@
 		}
 		for id, p := range t.pods {
 			total := pods[id]
-			load, known := w.load[id]
+			load, known := q.load[id]
 			unhealthy := total.failed > unhealthyShare*total.ops || known && load >= unhealthyLoad
 			fair := total.busy / total.users
 			dominates := p[0] > dominantShare*total.busy || p[1] > dominantShare*total.failed
--- a/tenancy/quarantine_test.go
+++ b/tenancy/quarantine_test.go
@@ -8,7 +8,7 @@
 
 // runPeriods simulates periods of 20 tenants on three pods with the given load. adjust may change the usage of tenant i.
 // It stores the last limit of each tenant in limits, and returns the number of changes.
-func runPeriods(w *Quarantine, periods int, limits map[string]Limit, adjust func(i int, u *Usage), load float64) (changes int) {
+func runPeriods(q *Quarantine, periods int, limits map[string]Limit, adjust func(i int, u *Usage), load float64) (changes int) {
 	for range periods {
 		var uses []Usage
 		for i := range 20 {
@@ -18,7 +18,7 @@
 				uses = append(uses, u)
 			}
 		}
-		for _, l := range w.Step(uses, []Health{{0, load}, {1, load}, {2, load}}) {
+		for _, l := range q.Step(uses, []Health{{0, load}, {1, load}, {2, load}}) {
 			limits[l.Tenant] = l
 			changes++
 		}
@@ -58,20 +58,20 @@
 			}
 		}, 0.95, true},
 	} {
-		w, limits := NewQuarantine(time.Second), map[string]Limit{}
-		runPeriods(w, 3, limits, c.adjust, c.load)
+		q, limits := NewQuarantine(time.Second), map[string]Limit{}
+		runPeriods(q, 3, limits, c.adjust, c.load)
 		if l, ok := limits["t7"]; ok != c.fence || c.fence && (l.Fenced || l.Rate <= 0 || l.Tries != 0) {
 			t.Errorf("%s: limits after three periods: %+v", c.name, limits)
 		}
-		runPeriods(w, 3, limits, c.adjust, c.load)
+		runPeriods(q, 3, limits, c.adjust, c.load)
 		if l := limits["t7"]; l.Fenced != c.fence || len(limits) > 1 {
 			t.Errorf("%s: limits after six periods: %+v", c.name, limits)
 		}
 	}
 	// While the queues that a flood left still make ops fail, the busiest of the other tenants is not limited.
-	w, limits := NewQuarantine(time.Second), map[string]Limit{}
-	runPeriods(w, 4, limits, flood, 0.6)
-	runPeriods(w, 3, limits, func(i int, u *Usage) {
+	q, limits := NewQuarantine(time.Second), map[string]Limit{}
+	runPeriods(q, 4, limits, flood, 0.6)
+	runPeriods(q, 3, limits, func(i int, u *Usage) {
 		if u.Failed = 3; i == 2 {
 			u.Busy = 30 * time.Second
 		} else if i == 7 {
@@ -81,14 +81,14 @@
 	if len(limits) != 1 {
 		t.Errorf("%+v", limits)
 	}
-	w, limits = NewQuarantine(time.Second), map[string]Limit{}
+	q, limits = NewQuarantine(time.Second), map[string]Limit{}
 	periodsFenced := func() (periods int) {
-		runPeriods(w, 8, limits, flood, 0.6)
+		runPeriods(q, 8, limits, flood, 0.6)
 		if !limits["t7"].Fenced {
 			t.Fatalf("%+v", limits)
 		}
 		for ; limits["t7"].Fenced && periods < 1000; periods++ {
-			runPeriods(w, 1, limits, normal, 0.5)
+			runPeriods(q, 1, limits, normal, 0.5)
 		}
 		return periods
 	}
@@ -97,11 +97,11 @@
 	if first < releaseAfter || second < 2*releaseAfter || second >= 1000 {
 		t.Errorf("fenced for %d periods, then for %d", first, second)
 	}
-	runPeriods(w, 20, limits, normal, 0.5)
+	runPeriods(q, 20, limits, normal, 0.5)
 	if l := limits["t7"]; l.Rate >= 0 || l.Tries != RetriesPerOp {
 		t.Errorf("still limited: %+v", l)
 	}
-	if n := runPeriods(w, 50, limits, normal, 0.5); n != 0 {
+	if n := runPeriods(q, 50, limits, normal, 0.5); n != 0 {
 		t.Errorf("%d changes of limits without failures", n)
 	}
 }
@@ -122,8 +122,8 @@
 		adjust func(int, *Usage)
 		fenced bool
 	}{{"ruins", ruinous(2), true}, {"fails without harm", ruinous(0), false}, {"all fail", ruinous(9), false}} {
-		w, limits := NewQuarantine(time.Second), map[string]Limit{}
-		runPeriods(w, 4, limits, c.adjust, 0.5)
+		q, limits := NewQuarantine(time.Second), map[string]Limit{}
+		runPeriods(q, 4, limits, c.adjust, 0.5)
 		if l := limits["t7"]; l.Fenced != c.fenced || c.fenced && (l.Rate > 1 || l.Hand > 1 || l.Tries != 0) || len(limits) > 1 {
 			t.Errorf("%s: %+v", c.name, limits)
 		}
@@ -138,20 +138,20 @@
 			u.Ops, u.Busy = 1000, 20*time.Second
 		}
 	}
-	w, limits := NewQuarantine(time.Second), map[string]Limit{}
-	runPeriods(w, resizeAfter-1, limits, big, 0.7)
+	q, limits := NewQuarantine(time.Second), map[string]Limit{}
+	runPeriods(q, resizeAfter-1, limits, big, 0.7)
 	if len(limits) != 0 {
 		t.Errorf("%+v", limits)
 	}
-	runPeriods(w, 1, limits, big, 0.7)
+	runPeriods(q, 1, limits, big, 0.7)
 	if l := limits["t7"]; l.Room != roomStep || l.Limited() || len(limits) != 1 {
 		t.Errorf("%+v", limits)
 	}
-	runPeriods(w, 20*resizeAfter, limits, big, 0.7)
+	runPeriods(q, 20*resizeAfter, limits, big, 0.7)
 	if l := limits["t7"]; l.Room != maxRoom {
 		t.Errorf("%+v", l)
 	}
-	runPeriods(w, 2, limits, func(i int, u *Usage) {
+	runPeriods(q, 2, limits, func(i int, u *Usage) {
 		if big(i, u); i == 7 {
 			u.Failed = 500
 		}
@@ -159,9 +159,9 @@
 	if l := limits["t7"]; !l.Limited() || l.Room != 1 {
 		t.Errorf("%+v", l)
 	}
-	w, limits = NewQuarantine(time.Second), map[string]Limit{}
-	runPeriods(w, 2*resizeAfter, limits, big, 0.7)
-	runPeriods(w, 3*resizeAfter*maxDoublings, limits, func(int, *Usage) {}, 0.5)
+	q, limits = NewQuarantine(time.Second), map[string]Limit{}
+	runPeriods(q, 2*resizeAfter, limits, big, 0.7)
+	runPeriods(q, 3*resizeAfter*maxDoublings, limits, func(int, *Usage) {}, 0.5)
 	if l := limits["t7"]; !l.IsDefault() {
 		t.Errorf("%+v", l)
 	}
@@ -170,26 +170,26 @@
 // TestRestore checks that saved limits are in force in the next run of the pilot, and that the next fence is as long as
 // without the restart.
 func TestRestore(t *testing.T) {
-	w, limits := NewQuarantine(time.Second), map[string]Limit{}
+	q, limits := NewQuarantine(time.Second), map[string]Limit{}
 	bad := func(i int, u *Usage) {
 		if u.Failed = 3; i == 7 {
 			u.Ops, u.Failed, u.Busy = 2000, 1500, 60*time.Second
 		}
 	}
-	runPeriods(w, 8, limits, bad, 0.6)
-	saved := w.LimitRecords()
+	runPeriods(q, 8, limits, bad, 0.6)
+	saved := q.LimitRecords()
 	if len(saved) != 1 || !saved[0].Fenced || saved[0].Fences != 1 {
 		t.Fatalf("%+v", saved)
 	}
-	w = NewQuarantine(time.Second)
-	w.Restore(saved)
-	if got := w.LimitRecords(); len(got) != 1 || got[0] != saved[0] {
+	q = NewQuarantine(time.Second)
+	q.Restore(saved)
+	if got := q.LimitRecords(); len(got) != 1 || got[0] != saved[0] {
 		t.Errorf("%+v", got)
 	}
-	if n := runPeriods(w, releaseAfter-1, limits, func(int, *Usage) {}, 0.5); n != 0 {
+	if n := runPeriods(q, releaseAfter-1, limits, func(int, *Usage) {}, 0.5); n != 0 {
 		t.Errorf("%d changes", n)
 	}
-	runPeriods(w, releaseAfter, limits, func(int, *Usage) {}, 0.5)
+	runPeriods(q, releaseAfter, limits, func(int, *Usage) {}, 0.5)
 	if l := limits["t7"]; l.Fenced || l.IsDefault() {
 		t.Errorf("%+v", l)
 	}
@@ -198,7 +198,7 @@
 // TestManyTenants checks that the number of tracked tenants is bounded, with over 10,000 tenants and unusual names, and
 // that idle tenants are forgotten.
 func TestManyTenants(t *testing.T) {
-	w := NewQuarantine(time.Second)
+	q := NewQuarantine(time.Second)
 	var uses []Usage
 	for i := range 10_000 {
 		uses = append(uses, Usage{Tenant: fmt.Sprintf("tenant %d\n;<<", i), Pod: PodID(i % 30), Ops: 1,
@@ -206,16 +206,16 @@
 	}
 	uses = append(uses, Usage{Tenant: "", Pod: 1, Ops: 1}, Usage{Tenant: string(make([]byte, 1<<16)), Pod: 1, Ops: 1, Failed: 50})
 	for range 5 {
-		w.Step(uses, nil)
+		q.Step(uses, nil)
 	}
-	if len(w.tenants) > maxTenants+1 || w.tenants["tenant 9999\n;<<"] == nil || w.tenants[AggregatedTenant] == nil {
-		t.Errorf("%d tenants are tracked", len(w.tenants))
+	if len(q.tenants) > maxTenants+1 || q.tenants["tenant 9999\n;<<"] == nil || q.tenants[AggregatedTenant] == nil {
+		t.Errorf("%d tenants are tracked", len(q.tenants))
 	}
 	for range forgetAfter + 2 {
-		w.Step(nil, nil)
+		q.Step(nil, nil)
 	}
-	if len(w.tenants) != 0 {
-		t.Errorf("%d idle tenants are still tracked", len(w.tenants))
+	if len(q.tenants) != 0 {
+		t.Errorf("%d idle tenants are still tracked", len(q.tenants))
 	}
 }
 
--- a/tenancy/placement.go
+++ b/tenancy/select.go
@@ -38,8 +38,7 @@
 		}
 	}
 	slices.SortFunc(candidates, func(a, b candidate) int {
-		return cmp.Or(cmp.Compare(b.score, a.score),
-			cmp.Compare(a.ID, b.ID))
+		return cmp.Or(cmp.Compare(b.score, a.score), cmp.Compare(a.ID, b.ID))
 	})
 	podsInZone := map[int]int{}
 	var out []PodID
--- a/tenancy/store/store.go
+++ b/tenancy/store/store.go
@@ -114,7 +114,7 @@
 	return nil
 }
 
-// check validates the layout; fresh reports that the file is new and has none.
+// check validates the layout; isNew reports that the file is new and has no layout yet.
 func (s *Store) check(tx *bbolt.Tx) (isNew bool, err error) {
 	b := tx.Bucket(aboutBucket)
 	if b == nil {
@@ -137,6 +137,7 @@
 	return false, nil
 }
 
+// createLayout creates the buckets and keys of a new file.
 func createLayout(tx *bbolt.Tx) error {
 	for _, name := range [][]byte{aboutBucket, tenantsBucket, proxiesBucket} {
 		if _, err := tx.CreateBucket(name); err != nil {
@@ -150,7 +151,7 @@
 	return tx.Bucket(aboutBucket).Put(versionKey, binary.BigEndian.AppendUint32(nil, version))
 }
 
-// seal encodes a value as JSON, preceded by its hash.
+// encode encodes a value as JSON, preceded by its hash.
 func encode(v any) ([]byte, error) {
 	text, err := json.Marshal(v)
 	if err != nil {
@@ -159,6 +160,7 @@
 	return append(binary.BigEndian.AppendUint64(nil, xxhash.Sum64(text)), text...), nil
 }
 
+// decode verifies the hash of an encoded value and decodes it into v; what names the record in errors.
 func (s *Store) decode(what string, b []byte, v any) error {
 	if len(b) < 8 || binary.BigEndian.Uint64(b) != xxhash.Sum64(b[8:]) {
 		return fmt.Errorf("%s: the record of %s is torn: its hash does not match", s.path, what)
@@ -210,6 +212,7 @@
 	return nil
 }
 
+// put saves a value in the bucket of the proxies.
 func put(tx *bbolt.Tx, key []byte, v any) error {
 	b, err := encode(v)
 	if err != nil {
--- a/tenancy/store/store_test.go
+++ b/tenancy/store/store_test.go
@@ -88,12 +88,10 @@
 	}
 	for path, want := range map[string]string{
 		storeWith("newer", func(tx *bbolt.Tx) error {
-			return tx.Bucket(aboutBucket).Put(versionKey,
-				[]byte{0, 0, 0, 9})
+			return tx.Bucket(aboutBucket).Put(versionKey, []byte{0, 0, 0, 9})
 		}): "version 9",
 		storeWith("older", func(tx *bbolt.Tx) error {
-			return tx.Bucket(aboutBucket).Put(versionKey,
-				[]byte{0, 0, 0, 0})
+			return tx.Bucket(aboutBucket).Put(versionKey, []byte{0, 0, 0, 0})
 		}): "version 0",
 		storeWith("no form", func(tx *bbolt.Tx) error { return tx.Bucket(aboutBucket).Delete(versionKey) }): "torn",
 		storeWith("other", func(tx *bbolt.Tx) error {
@@ -106,12 +104,10 @@
 			return err
 		}): "but not a store of tenants",
 		storeWith("torn record", func(tx *bbolt.Tx) error {
-			return tx.Bucket(tenantsBucket).Put(key("a"),
-				[]byte("12345678{}"))
+			return tx.Bucket(tenantsBucket).Put(key("a"), []byte("12345678{}"))
 		}): "torn",
 		storeWith("torn proxies", func(tx *bbolt.Tx) error {
-			return tx.Bucket(proxiesBucket).Put(knownKey,
-				[]byte("1234567890[1]"))
+			return tx.Bucket(proxiesBucket).Put(knownKey, []byte("1234567890[1]"))
 		}): "torn",
 		fileWith("empty", nil):                              "empty file",
 		fileWith("text", []byte(strings.Repeat("x", 9000))): "not a store",
