--- a/tenancy/binding.go
+++ b/tenancy/binding.go
@@ -8,7 +8,7 @@
 	"vetchdoor/control"
 )
 
-// Placement says which pods of a table a tenant uses, for any table. The zero value is the default: the pods that
+// Placement defines which pods of a table a tenant uses; it applies to every table. The zero value is the default: the pods that
 // SelectPods returns for its name.
 type Placement struct {
 	Draw uint32  `json:"draw,omitempty"` // hashed together with the name if not 0, to select another subset
@@ -105,7 +105,7 @@
 	return write, window
 }
 
-// Binding is a tenant's placement at one proxy. It ensures what a proxy can ensure alone, whatever the pilots send: the
+// Binding is a tenant's placement at one proxy. It guarantees, whatever updates the pilots send, that the
 // proxy never sends writes to two placements within the time in which a retry could reach servers that would not
 // recognise it as a duplicate.
 type Binding struct {
--- a/tenancy/move.go
+++ b/tenancy/move.go
@@ -1,5 +1,5 @@
 // Package tenancy decides which tenant may use which servers, and moves tenants from one set of servers to another. It
-// does no I/O. A Placement says which pods of a table a tenant uses. A Mover takes events by Step and returns the records
+// does no I/O. A Placement defines which pods of a table a tenant uses. A Mover takes events by Step and returns the records
 // to save and the binding updates to send. A Binding is the state of a tenant at one proxy. The Mover's durable state is
 // a set of Records; they must be on disk before the binding updates of the same step are sent.
 package tenancy
@@ -28,7 +28,7 @@
 
 const (
 	Settled  Phase = iota // no move: the tenant is where its record says; a proxy with the newest update admits its writes there
-	Holding               // proxies are told to hold the tenant's writes; not all have confirmed
+	Holding               // the proxies get the update to hold the tenant's writes; not all have confirmed
 	Draining              // all proxies hold; writes that may still be in progress are waited out
 	Ready                 // all proxies hold and no write is in progress; the move ends on Event.Open
 )
@@ -140,8 +140,8 @@
 // NewMover returns a Mover that continues from the saved records and known proxies. All updates from their store have
 // numbers above baseNumber. Times and confirmations are not saved, so moves under way wait for all confirmations and
 // waits again. Every proxy counts as disconnected until it joins: a proxy that has not reconnected to a restarted pilot
-// still sends writes to the placement that it was last told. A move that did not wait for this proxy could duplicate
-// these writes.
+// still sends writes to the placement in its last update. A move that did not wait for this proxy could duplicate these
+// writes.
 func NewMover(moveLimits MoveLimits, baseNumber uint64, records []Record, knownProxies []ProxyID) *Mover {
 	m := &Mover{limits: moveLimits, baseNumber: baseNumber, number: baseNumber, tenants: map[string]*tenant{},
 		moving: map[string]*tenant{}, proxies: map[ProxyID]bool{}}
--- a/tenancy/move_test.go
+++ b/tenancy/move_test.go
@@ -16,7 +16,7 @@
 	now            time.Duration
 	started        time.Duration // start of this run of the pilot
 	limits         MoveLimits
-	proxyWait      time.Duration // how long a proxy waits by its Binding alone
+	proxyWait      time.Duration // the wait parameter of the proxies' bindings
 	mover          *Mover
 	records        map[string]Record
 	knownProxies   []ProxyID
--- a/tenancy/pods.go
+++ b/tenancy/pods.go
@@ -99,7 +99,7 @@
 	return !b.written || now-b.lastWrite >= wait
 }
 
-// RecordWrite records a write that was sent at the time now; borrowed says that it went to the given pod, outside the
+// RecordWrite records a write that was sent at the time now; borrowed reports that it went to the given pod, outside the
 // subset.
 func (b *BorrowState) RecordWrite(now time.Duration, pod PodID, borrowed bool) {
 	if !b.borrowed {
--- a/tenancy/store/store.go
+++ b/tenancy/store/store.go
@@ -76,7 +76,7 @@
 	}
 }
 
-// checkSize checks a file before bbolt maps it: one that is shorter than its newest meta page says is truncated.
+// checkSize checks a file before bbolt maps it: one that is shorter than the size in its newest meta page is truncated.
 func (s *Store) checkSize() error {
 	f, err := os.Open(s.path)
 	if errors.Is(err, os.ErrNotExist) {
