--- a/tenancy/binding.go
+++ b/tenancy/binding.go
@@ -8,8 +8,8 @@
 	"vetchdoor/control"
 )
 
-// Placement defines which pods of a table a tenant uses; it applies to every table. The zero value is the default: the pods that
-// SelectPods returns for its name.
+// Placement defines which pods of a table a tenant uses; it applies to every table. The zero value is the
+// default: the pods that SelectPods returns for its name.
 type Placement struct {
 	Draw uint32  `json:"draw,omitempty"` // hashed together with the name if not 0, to select another subset
 	Size int     `json:"size,omitempty"` // number of pods; 0: the default of the proxies
@@ -105,9 +105,9 @@
 	return write, window
 }
 
-// Binding is a tenant's placement at one proxy. It guarantees, whatever updates the pilots send, that the
-// proxy never sends writes to two placements within the time in which a retry could reach servers that would not
-// recognise it as a duplicate.
+// Binding is a tenant's placement at one proxy. It guarantees, whatever updates the pilots send, that the proxy never
+// sends writes to two placements within the time in which a retry could reach servers that would not recognise it as a
+// duplicate.
 type Binding struct {
 	Placement
 	Pilot         string        `json:"pilot"` // the pilot whose update this is
