--- a/pilot/host/host.go
+++ b/pilot/host/host.go
@@ -147,8 +147,8 @@
 	}
 }
 
-// Event keeps an event for the batch at the next tick.
-func (h *Host) Event(e control.Event) {
+// Enqueue keeps an event for the batch at the next tick.
+func (h *Host) Enqueue(e control.Event) {
 	if h.events = append(h.events, e); len(h.events) == 1 && h.batch != nil {
 		h.batch.Reset(h.Facts.Tick)
 	}
@@ -199,7 +199,7 @@
 	run := h.run
 	h.After(w.After, func() {
 		if h.run == run {
-			h.Event(control.Ring{Label: w.Label})
+			h.Enqueue(control.Ring{Label: w.Label})
 		}
 	})
 }
--- a/pilot/host/host_test.go
+++ b/pilot/host/host_test.go
@@ -107,7 +107,7 @@
 	s := begin(t)
 	s.host.Post(func() {
 		for i := range uint32(9) {
-			s.host.Event(control.Ring{Label: 100 + i})
+			s.host.Enqueue(control.Ring{Label: 100 + i})
 		}
 	})
 	s.until(t, "nine rings", func() bool {
@@ -123,9 +123,9 @@
 	s.mu.Lock()
 	s.next = []control.Order{control.Wake{After: 50 * time.Millisecond, Label: 77}}
 	s.mu.Unlock()
-	s.host.Post(func() { s.host.Event(control.Ring{Label: 1}) })
+	s.host.Post(func() { s.host.Enqueue(control.Ring{Label: 1}) })
 	s.until(t, "asked for", func() bool { return s.next == nil })
-	s.host.Post(func() { s.host.Event(control.Ring{Label: 666}) })
+	s.host.Post(func() { s.host.Enqueue(control.Ring{Label: 666}) })
 	s.until(t, "a second start", func() bool {
 		return s.count(func(e control.Event) bool { x, ok := e.(control.Start); return ok && x.Seed == 8 }) == 1
 	})
--- a/pilot/lifecycle.go
+++ b/pilot/lifecycle.go
@@ -72,7 +72,7 @@
 	p.pace = p.host.After(time.Hour, p.pump)
 	p.host.Every(p.facts.ReportEvery, func() {
 		for _, e := range p.intake.take(p.facts.ReportEvery) {
-			p.host.Event(e)
+			p.host.Enqueue(e)
 		}
 		p.limitTenants()
 	})
--- a/pilot/list.go
+++ b/pilot/list.go
@@ -15,7 +15,7 @@
 // listed takes in what the list service says.
 func (p *Pilot) listed(u *roster.Update) {
 	if u.Kind == "failed" {
-		p.host.Event(control.Listing{Kind: control.Failed})
+		p.host.Enqueue(control.Listing{Kind: control.Failed})
 		return
 	}
 	var known []roster.Entry
@@ -54,7 +54,7 @@
 	}
 	p.version, p.fresher = u.Version, "list"
 	if p.given = p.given || len(known) > 0; p.given {
-		p.host.Event(control.Listing{Kind: kind, Entries: p.entries(known)})
+		p.host.Enqueue(control.Listing{Kind: kind, Entries: p.entries(known)})
 	}
 	if len(moved) > 0 {
 		p.desired.moved(moved)
--- a/pilot/peer_notes.go
+++ b/pilot/peer_notes.go
@@ -17,7 +17,7 @@
 		p.reject(c, fmt.Sprintf("a note of instance %d, which is no peer", n.From))
 		return
 	}
-	p.host.Event(control.PeerNote{From: n.From, Data: n.Data})
+	p.host.Enqueue(control.PeerNote{From: n.From, Data: n.Data})
 	delete(p.connections, c)
 	c.stream.End()
 }
--- a/pilot/pilot_test.go
+++ b/pilot/pilot_test.go
@@ -74,7 +74,7 @@
 	r.module.mu.Lock()
 	r.module.next = append(r.module.next, orders)
 	r.module.mu.Unlock()
-	r.p.post(func() { r.p.host.Event(control.Ring{}) })
+	r.p.post(func() { r.p.host.Enqueue(control.Ring{}) })
 	r.until("ordered", func() bool { r.module.mu.Lock(); defer r.module.mu.Unlock(); return len(r.module.next) == 0 })
 }
 
@@ -483,7 +483,7 @@
 func TestPanic(t *testing.T) {
 	r := newRig(t)
 	x := r.bound(nil)
-	r.p.post(func() { r.p.host.Event(control.Ring{Label: 666}) })
+	r.p.post(func() { r.p.host.Enqueue(control.Ring{Label: 666}) })
 	r.until("started afresh", func() bool { return count[control.Start](r.module) == 2 && count[control.Joined](r.module) == 2 })
 	if !strings.Contains(x.Stat(), "e1,UP,2") {
 		t.Errorf("tables are gone: %s", x.Stat())
--- a/pilot/probe.go
+++ b/pilot/probe.go
@@ -13,14 +13,14 @@
 func (p *Pilot) probe(id control.EndpointID) {
 	e, ok := p.list[id]
 	if !ok || p.probing.Load() >= mostProbes {
-		p.host.Event(control.Probed{Endpoint: id, Outcome: control.ProbeOther})
+		p.host.Enqueue(control.Probed{Endpoint: id, Outcome: control.ProbeOther})
 		return
 	}
 	p.probing.Add(1)
 	go func() {
 		defer p.probing.Add(-1)
 		probed := host.Probe(p.probes, id, e.Address.String(), "/probe", p.silent/4, p.loadOf)
-		p.post(func() { p.host.Event(probed) })
+		p.post(func() { p.host.Enqueue(probed) })
 	}()
 }
 
--- a/pilot/push_bench_test.go
+++ b/pilot/push_bench_test.go
@@ -42,7 +42,7 @@
 		module.mu.Lock()
 		module.next = append(module.next, orders)
 		module.mu.Unlock()
-		p.post(func() { p.host.Event(control.Ring{}) })
+		p.post(func() { p.host.Enqueue(control.Ring{}) })
 	}
 	wait("joined", func() bool { return count[control.Joined](module) == proxies })
 	var first []control.Order
--- a/pilot/session.go
+++ b/pilot/session.go
@@ -65,7 +65,7 @@
 		return
 	}
 	s.announced = true
-	p.host.Event(control.Joined{Proxy: s.id, Zone: s.zone, Rate: s.rate, Standing: s.standing})
+	p.host.Enqueue(control.Joined{Proxy: s.id, Zone: s.zone, Rate: s.rate, Standing: s.standing})
 }
 
 // resume puts what the proxy has not applied back into the channel; false if it cannot go on where it was.
@@ -91,7 +91,7 @@
 	p.placed(s, m)
 	if m.Checkpoint >= 0 {
 		p.records.inForce(s.id, m.Checkpoint, p.host.Now()-m.At)
-		p.host.Event(control.InForce{Proxy: s.id, Checkpoint: m.Checkpoint, Took: p.host.Now() - m.At})
+		p.host.Enqueue(control.InForce{Proxy: s.id, Checkpoint: m.Checkpoint, Took: p.host.Now() - m.At})
 	}
 }
 
@@ -142,7 +142,7 @@
 	p.away(s.id)
 	p.records.left(s.id)
 	if s.announced {
-		p.host.Event(control.Left{Proxy: s.id})
+		p.host.Enqueue(control.Left{Proxy: s.id})
 	}
 }
 
