--- a/adapter/adapter_test.go
+++ b/adapter/adapter_test.go
@@ -70,7 +70,7 @@
 		want  string
 	}{
 		{control.Blank{Table: 117}, "19 06000000 03000000 7500"},
-		{control.Wake{After: 500 * time.Millisecond, Label: 77}, "16 10000000 03000000 0000000000407f40 4d000000"},
+		{control.SetTimer{After: 500 * time.Millisecond, Label: 77}, "16 10000000 03000000 0000000000407f40 4d000000"},
 		{control.Publish{To: -1, Data: []byte("hi 7")}, "1a 0e000000 03000000 ffffffff 0400 68692037"},
 		{control.FetchList{}, "13 04000000 03000000"},
 		{control.Probe{Endpoint: 0x2c9011f2}, "1b 08000000 03000000 f211902c"},
--- a/adapter/wire.go
+++ b/adapter/wire.go
@@ -185,7 +185,7 @@
 		r.add(acCheckpoint, who, func(b []byte) []byte {
 			return flag(le.AppendUint32(b, uint32(o.Number)), o.All)
 		})
-	case control.Wake:
+	case control.SetTimer:
 		r.add(acWakeMe, who, func(b []byte) []byte {
 			return le.AppendUint32(le.AppendUint64(b, math.Float64bits(millis(o.After))), o.Label)
 		})
--- a/control/control.go
+++ b/control/control.go
@@ -316,7 +316,7 @@
 		Number int
 		All    bool // also to joined proxies that the other orders would not reach
 	}
-	Wake struct {
+	SetTimer struct {
 		After time.Duration
 		Label uint32
 	}
@@ -336,7 +336,7 @@
 func (SetLevel) order()   {}
 func (Suspend) order()    {}
 func (Checkpoint) order() {}
-func (Wake) order()       {}
+func (SetTimer) order()   {}
 func (Probe) order()      {}
 func (Publish) order()    {}
 func (FetchList) order()  {}
--- a/pilot/host/host.go
+++ b/pilot/host/host.go
@@ -186,7 +186,7 @@
 	}
 	rest := orders[:0:0]
 	for _, o := range orders {
-		if w, ok := o.(control.Wake); ok {
+		if w, ok := o.(control.SetTimer); ok {
 			h.wake(w)
 		} else {
 			rest = append(rest, o)
@@ -195,7 +195,7 @@
 	h.Front.Carry(now, rest)
 }
 
-func (h *Host) wake(w control.Wake) {
+func (h *Host) wake(w control.SetTimer) {
 	run := h.run
 	h.After(w.After, func() {
 		if h.run == run {
--- a/pilot/host/host_test.go
+++ b/pilot/host/host_test.go
@@ -81,7 +81,7 @@
 	s := &script{}
 	s.host = New(control.Facts{Tick: time.Millisecond}, 7, slog.New(slog.DiscardHandler))
 	s.host.Front, s.host.NewDecider = s, func() Decider { return s }
-	s.next = []control.Order{control.Wake{After: time.Millisecond, Label: 5}, control.Note{Text: "x"}}
+	s.next = []control.Order{control.SetTimer{After: time.Millisecond, Label: 5}, control.Note{Text: "x"}}
 	go s.host.Run()
 	t.Cleanup(s.host.Stop)
 	return s
@@ -121,7 +121,7 @@
 func TestPanicBeginsAnew(t *testing.T) {
 	s := begin(t)
 	s.mu.Lock()
-	s.next = []control.Order{control.Wake{After: 50 * time.Millisecond, Label: 77}}
+	s.next = []control.Order{control.SetTimer{After: 50 * time.Millisecond, Label: 77}}
 	s.mu.Unlock()
 	s.host.Post(func() { s.host.Enqueue(control.Ring{Label: 1}) })
 	s.until(t, "asked for", func() bool { return s.next == nil })
@@ -129,7 +129,7 @@
 	s.until(t, "a second start", func() bool {
 		return s.count(func(e control.Event) bool { x, ok := e.(control.Start); return ok && x.Seed == 8 }) == 1
 	})
-	s.host.Post(func() { s.host.wake(control.Wake{After: 100 * time.Millisecond, Label: 78}) })
+	s.host.Post(func() { s.host.wake(control.SetTimer{After: 100 * time.Millisecond, Label: 78}) })
 	s.until(t, "the new one's wake", func() bool { return s.count(func(e control.Event) bool { return e == control.Ring{Label: 78} }) == 1 })
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -192,7 +192,7 @@
 		a.arrivals(ev)
 	case control.Ring:
 		if ev.Label == beat {
-			a.do(control.Wake{After: a.facts.ReportEvery, Label: beat})
+			a.do(control.SetTimer{After: a.facts.ReportEvery, Label: beat})
 			a.forget()
 			a.health()
 			a.rate()
@@ -230,7 +230,7 @@
 	if a.facts.AskForList {
 		a.do(control.WatchList{On: true})
 	}
-	a.do(control.Wake{After: a.facts.ReportEvery, Label: beat})
+	a.do(control.SetTimer{After: a.facts.ReportEvery, Label: beat})
 }
 
 // group lays out each area's cells by the first list: as many as leave each enough servers and proxies.
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -140,7 +140,7 @@
 			charge(0, true)
 		case control.Checkpoint:
 			mark = o.Number
-		case control.Wake:
+		case control.SetTimer:
 			w.wakes = append(w.wakes, w.now+o.After)
 		case control.Probe, control.Publish:
 			w.fail("nobody allowed %+v", o)
