--- a/control/control.go
+++ b/control/control.go
@@ -256,27 +256,27 @@
 
 // The reasons, with the figure and the limit that a Why bears.
 const (
-	Unlisted  Reason = "gone"       // the list says that it is no more
-	Drains    Reason = "draining"   // the list says that it drains
-	Sick      Reason = "sick"       // share of its tries that failed; what is borne, by how others fare
-	Back      Reason = "back"       // listed as ready, or its sick spell is over
-	Listed    Reason = "listed"     // its weight on the list
-	Warming   Reason = "warming"    // how far it has come since its start; 1 is warm
-	Jammed    Reason = "jammed"     // its cell's load in percent; where no cold server may join it
-	Eased     Reason = "eased"      // its load in percent; what is borne beside the others'
-	Regains   Reason = "regains"    // its load in percent; what calls for more, beside the others'
-	Returning Reason = "returning"  // it takes up its weight in steps; the share that it has
-	Home      Reason = "home"       // the identity hash says so
-	CellDown  Reason = "cell-down"  // its cell drops; seconds that nothing came back from it, how long is borne
-	HomeDown  Reason = "home-down"  // seconds that nothing came back from its home; how long is borne
-	HomeFull  Reason = "home-full"  // the fill of its home with it; how far one is filled
-	HomeAgain Reason = "home-again" // the fill of its home with it; where there is room
-	Shed      Reason = "shed"       // its cell's score, or fill; where it sheds
-	First     Reason = "start"      // the first word
-	Distress  Reason = "distress"   // the fleet's load in percent; where levels fall
-	Failing   Reason = "failing"    // share of tries that fail; where levels fall
-	Capacity  Reason = "capacity"   // what the servers can do over what is offered; 1
-	Recovers  Reason = "recovers"   // the fleet's load in percent; where levels rise
+	Unlisted     Reason = "gone"       // the list says that it is no more
+	Drains       Reason = "draining"   // the list says that it drains
+	Sick         Reason = "sick"       // share of its tries that failed; what is borne, by how others fare
+	Back         Reason = "back"       // listed as ready, or its sick spell is over
+	Listed       Reason = "listed"     // its weight on the list
+	Warming      Reason = "warming"    // how far it has come since its start; 1 is warm
+	Jammed       Reason = "jammed"     // its cell's load in percent; where no cold server may join it
+	Eased        Reason = "eased"      // its load in percent; what is borne beside the others'
+	Regains      Reason = "regains"    // its load in percent; what calls for more, beside the others'
+	Returning    Reason = "returning"  // it takes up its weight in steps; the share that it has
+	Home         Reason = "home"       // the identity hash says so
+	CellDown     Reason = "cell-down"  // its cell drops; seconds that nothing came back from it, how long is borne
+	HomeDown     Reason = "home-down"  // seconds that nothing came back from its home; how long is borne
+	HomeFull     Reason = "home-full"  // the fill of its home with it; how far one is filled
+	HomeAgain    Reason = "home-again" // the fill of its home with it; where there is room
+	Shed         Reason = "shed"       // its cell's score, or fill; where it sheds
+	InitialLevel Reason = "start"      // the first word
+	Distress     Reason = "distress"   // the fleet's load in percent; where levels fall
+	Failing      Reason = "failing"    // share of tries that fail; where levels fall
+	Capacity     Reason = "capacity"   // what the servers can do over what is offered; 1
+	Recovers     Reason = "recovers"   // the fleet's load in percent; where levels rise
 )
 
 // Why is an order's reason with the figure that crossed a limit; both are 0 where there is none.
--- a/policy/tables.go
+++ b/policy/tables.go
@@ -70,7 +70,7 @@
 func (a *Assigner) whyLevel(before, level float64) control.Why {
 	switch {
 	case before < 0 && level == 1:
-		return control.Why{Reason: control.First}
+		return control.Why{Reason: control.InitialLevel}
 	case level > before && before >= 0:
 		return control.Why{Reason: control.Recovers, Value: a.load, Limit: calm}
 	case a.load >= busy:
