--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -101,7 +101,7 @@
 	defer c.mu.Unlock()
 	c.cancelled = true
 	if c.nc != nil {
-		stream.Shut(c.nc)
+		stream.Shutdown(c.nc)
 	}
 }
 
