--- a/pilot/hello.go
+++ b/pilot/hello.go
@@ -28,7 +28,7 @@
 	}
 	delete(p.connections, c)
 	_ = c.stream.Send([]byte(runtime.Room + "\n"))
-	c.stream.End()
+	c.stream.CloseGracefully()
 }
 
 // handleHello resumes a proxy's session if it can, and otherwise starts a new one, redirects the proxy or refuses the stream.
--- a/pilot/peer_notes.go
+++ b/pilot/peer_notes.go
@@ -19,7 +19,7 @@
 	}
 	p.host.Enqueue(control.PeerNote{From: n.From, Data: n.Data})
 	delete(p.connections, c)
-	c.stream.End()
+	c.stream.CloseGracefully()
 }
 
 // maxPendingNotes bounds the number of notes being sent.
@@ -42,7 +42,7 @@
 			defer p.pendingNotes.Add(-1)
 			if c, err := stream.Dial(p.Net, peer.Address, time.Second, ignoreData{}); err == nil {
 				_ = c.Send(note)
-				c.End()
+				c.CloseGracefully()
 			}
 		})
 	}
--- a/pilot/streams.go
+++ b/pilot/streams.go
@@ -54,7 +54,7 @@
 			c.pilot.log.Warn("malformed block received; closing the stream", "remote", c.stream.Remote(), "error", err)
 			c.refused = true
 			_ = c.stream.Send(runtime.GoAway{Reason: err.Error()}.Append(nil))
-			c.stream.End()
+			c.stream.CloseGracefully()
 			return
 		}
 		if !c.pilot.post(func() { c.pilot.handleBlock(c, block) }) {
@@ -143,7 +143,7 @@
 func (p *Pilot) sendGoAway(c *connection, g runtime.GoAway) {
 	delete(p.connections, c)
 	_ = c.stream.Send(g.Append(nil))
-	c.stream.End()
+	c.stream.CloseGracefully()
 }
 
 // checkConnections closes streams that sent nothing for the silence timeout, and connections without a hello after it. It pings
--- a/proxy/pilot_client.go
+++ b/proxy/pilot_client.go
@@ -240,7 +240,7 @@
 	if s == nil {
 		return
 	}
-	s.conn.End()
+	s.conn.CloseGracefully()
 	select {
 	case <-s.closed:
 	case <-time.After(endTimeout):
--- a/proxy/pilot_stream.go
+++ b/proxy/pilot_stream.go
@@ -101,7 +101,7 @@
 	s.client.log.Warn("invalid input from the pilot; closing the stream", "error", err)
 	s.rejected = true
 	_ = c.Send(runtime.Refused{Reason: err.Error()}.Append(nil))
-	c.End()
+	c.CloseGracefully()
 }
 
 // handle processes one command. It returns an error if the command is invalid.
--- a/session/session.go
+++ b/session/session.go
@@ -135,7 +135,7 @@
 			s.done = true
 		}
 	}
-	c.End()
+	c.CloseGracefully()
 }
 
 // answer runs one command and returns its reply, with the empty line that ends it.
