--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -345,8 +345,8 @@
 	history := tryHistory{opType: t.OpType, hasKey: len(key) > 0}
 	var tried []*server
 	call := &upstream.Call{}
-	c.OnGone(call.Cancel)
-	defer c.OnGone(nil)
+	c.OnDisconnect(call.Cancel)
+	defer c.OnDisconnect(nil)
 	var lastFailure *upstream.Failure
 	for {
 		tryStart := time.Now()
