--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -390,7 +390,7 @@
 				target.recordTry(false, took, nil, 0, 0)
 				t.unacked.Add(1)
 				p.counters.aborted.Add(1)
-				c.CloseAfter()
+				c.CloseAfterAnswer()
 				return
 			}
 			target.recordTry(false, took, nil, p.settings.Service.OutlierAfter, p.settings.Service.OutlierFor.Span())
