--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -137,7 +137,7 @@
 			return nil, err
 		}
 	}
-	p.server = &serve.Server{Handle: p.handle, Drain: stopIdleTimeout,
+	p.server = &serve.Server{Handle: p.handle, DrainTimeout: stopIdleTimeout,
 		Open: func(c *serve.Conn) bool { c.Data = &scratch{}; return true }}
 	return p, nil
 }
