--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -138,7 +138,7 @@
 		}
 	}
 	p.server = &serve.Server{Handle: p.handle, DrainTimeout: stopIdleTimeout,
-		Open: func(c *serve.Conn) bool { c.Data = &scratch{}; return true }}
+		Accept: func(c *serve.Conn) bool { c.Data = &scratch{}; return true }}
 	return p, nil
 }
 
