--- a/session/session.go
+++ b/session/session.go
@@ -65,7 +65,7 @@
 			l.openSessions.Add(-1)
 			return nil
 		}
-		return &conversation{listener: l, scanner: runtime.NewScanner(runtime.People), idleTimer: time.AfterFunc(idleTimeout, c.Close)}
+		return &conversation{listener: l, scanner: runtime.NewScanner(runtime.SessionBounds), idleTimer: time.AfterFunc(idleTimeout, c.Close)}
 	})
 	if err != nil {
 		return nil, err
