--- a/proxy/pilot_stream.go
+++ b/proxy/pilot_stream.go
@@ -44,7 +44,7 @@
 		closed:       make(chan struct{}),
 		welcomed:     make(chan struct{}),
 		queue:        make(chan *runtime.Message, maxQueuedMessages),
-		scanner:      runtime.NewScanner(runtime.Orders),
+		scanner:      runtime.NewScanner(runtime.StreamBounds),
 		lastReceived: time.Now(),
 	}
 }
--- a/proxy/room_probe.go
+++ b/proxy/room_probe.go
@@ -15,7 +15,7 @@
 // hasRoom asks the pilot at address, on a separate stream, whether it would admit this proxy. Errors and timeouts count as
 // no.
 func (c *pilotClient) hasRoom(address string) bool {
-	probe := &roomProbe{scanner: runtime.NewScanner(runtime.Orders), result: make(chan bool, 1)}
+	probe := &roomProbe{scanner: runtime.NewScanner(runtime.StreamBounds), result: make(chan bool, 1)}
 	conn, err := stream.Dial(c.proxy.Net, address, probeTimeout, probe)
 	if err != nil {
 		return false
