--- a/pilot/streams.go
+++ b/pilot/streams.go
@@ -14,7 +14,7 @@
 type connection struct {
 	pilot        *Pilot
 	stream       *stream.Conn
-	blocks       *runtime.Blocks
+	blocks       *runtime.BlockReader
 	refused      bool // it sent a malformed block, so its data is ignored; used only by Data
 	id           control.ProxyID
 	joined       bool // its hello was answered with a welcome; set on the loop
