--- a/pilot/streams.go
+++ b/pilot/streams.go
@@ -27,7 +27,7 @@
 
 // accept registers a new connection. It returns nil, which closes the connection, if the pilot has ended.
 func (p *Pilot) accept(conn *stream.Conn) stream.Handler {
-	c := &connection{pilot: p, stream: conn, blocks: runtime.NewBlocks(maxBlockBytes), opened: time.Now(), lastReceived: time.Now()}
+	c := &connection{pilot: p, stream: conn, blocks: runtime.NewBlockReader(maxBlockBytes), opened: time.Now(), lastReceived: time.Now()}
 	if !p.post(func() { p.connections[c] = true }) {
 		return nil
 	}
