--- a/pilot/fleet.go
+++ b/pilot/fleet.go
@@ -53,7 +53,7 @@
 func (p *Pilot) updateAdvertised() {
 	w := members.PilotStatus{Pilot: p.file.Name, Zone: p.file.Zone, Run: p.run, ListVersion: p.listVersion, ListSource: p.listOrigin,
 		Servers: len(p.list), Proxies: len(p.sessions),
-		Wire: runtime.Wire, ListenAddress: p.file.Listen}
+		Wire: runtime.WireVersion, ListenAddress: p.file.Listen}
 	if p.ln != nil {
 		w.ListenAddress = p.ln.Address()
 	}
--- a/proxy/pilot_client.go
+++ b/proxy/pilot_client.go
@@ -126,7 +126,7 @@
 	t := p.current.Load()
 	h := &runtime.Hello{
 		Proxy:    control.ProxyID(p.settings.ID),
-		Wire:     runtime.Wire,
+		Wire:     runtime.WireVersion,
 		Token:    p.token,
 		Zone:     p.zone,
 		Rate:     p.settings.Rate,
