--- a/pilot/hello.go
+++ b/pilot/hello.go
@@ -96,7 +96,7 @@
 		p.notifyMoverJoined(h)
 	}
 	p.records.recordJoined(s, resumed)
-	_ = c.stream.Send(runtime.Welcome{Pilot: p.file.Name, Run: p.run, Wire: runtime.WireVersion, Resumed: resumed}.Append(nil))
+	_ = c.stream.Send(runtime.Welcome{Pilot: p.file.Name, Run: p.run, WireVersion: runtime.WireVersion, Resumed: resumed}.Append(nil))
 	p.log.Info("proxy joined", "proxy", s.id, "zone", s.zone, "resumed", resumed)
 	p.pump()
 	if !resumed {
--- a/proxy/pilot_client_test.go
+++ b/proxy/pilot_client_test.go
@@ -19,7 +19,7 @@
 	p.pilotClient.end()
 	s := newPilotStream(p.pilotClient)
 	s.Closed(nil)
-	s.Data(nil, runtime.Welcome{Pilot: "p", Run: 1, Wire: runtime.WireVersion}.Append(nil))
+	s.Data(nil, runtime.Welcome{Pilot: "p", Run: 1, WireVersion: runtime.WireVersion}.Append(nil))
 	if p.pilotClient.joined() {
 		t.Error("joined by a stream that has ended")
 	}
--- a/proxy/pilot_stream.go
+++ b/proxy/pilot_stream.go
@@ -117,7 +117,7 @@
 		return nil // Data has recorded the arrival
 	case cmd.Is("apply"):
 		return s.handleMessage(cmd)
-	case s.welcome.Wire > runtime.WireVersion:
+	case s.welcome.WireVersion > runtime.WireVersion:
 		s.client.log.Debug("ignoring a command of a later protocol version", "command", cmd.String())
 		return nil
 	}
