--- a/pilot/hello.go
+++ b/pilot/hello.go
@@ -107,7 +107,7 @@
 // notifyMoverJoined reports to the mover that a proxy joined, and up to which number it has this pilot's bindings.
 func (p *Pilot) notifyMoverJoined(h *runtime.Hello) {
 	confirmedTo := uint64(0)
-	if h.Bound == p.file.Name {
+	if h.BindingsPilot == p.file.Name {
 		confirmedTo = h.BoundTo
 	}
 	p.stepMover(tenancy.Event{Joined: &tenancy.Joined{Proxy: tenancy.ProxyID(h.Proxy), AppliedUpTo: confirmedTo}})
