--- a/pilot/hello.go
+++ b/pilot/hello.go
@@ -108,7 +108,7 @@
 func (p *Pilot) notifyMoverJoined(h *runtime.Hello) {
 	confirmedTo := uint64(0)
 	if h.BindingsPilot == p.file.Name {
-		confirmedTo = h.BoundTo
+		confirmedTo = h.BindingsNumber
 	}
 	p.stepMover(tenancy.Event{Joined: &tenancy.Joined{Proxy: tenancy.ProxyID(h.Proxy), AppliedUpTo: confirmedTo}})
 }
--- a/proxy/pilot_client.go
+++ b/proxy/pilot_client.go
@@ -125,19 +125,19 @@
 	defer p.mu.Unlock()
 	t := p.current.Load()
 	h := &runtime.Hello{
-		Proxy:         control.ProxyID(p.settings.ID),
-		WireVersion:   runtime.WireVersion,
-		Token:         p.token,
-		Zone:          p.zone,
-		Rate:          p.settings.Rate,
-		Pilot:         t.pilot,
-		Run:           t.run,
-		Number:        t.number,
-		Window:        maxQueuedLines,
-		Standing:      p.standingServers,
-		Digests:       t.digests(),
-		BindingsPilot: t.bindings.pilot,
-		BoundTo:       t.bindings.upTo,
+		Proxy:          control.ProxyID(p.settings.ID),
+		WireVersion:    runtime.WireVersion,
+		Token:          p.token,
+		Zone:           p.zone,
+		Rate:           p.settings.Rate,
+		Pilot:          t.pilot,
+		Run:            t.run,
+		Number:         t.number,
+		Window:         maxQueuedLines,
+		Standing:       p.standingServers,
+		Digests:        t.digests(),
+		BindingsPilot:  t.bindings.pilot,
+		BindingsNumber: t.bindings.upTo,
 	}
 	if h.Pilot == "" {
 		h.Pilot = runtime.NoPilot
