--- a/proxy/pilot_stream.go
+++ b/proxy/pilot_stream.go
@@ -155,7 +155,7 @@
 
 // handleSendTables sends the lines of the requested tables. Tables that are no longer in force are skipped.
 func (s *pilotStream) handleSendTables(c *stream.Conn, cmd runtime.Command) error {
-	ask, err := runtime.ParseAsk(cmd)
+	ask, err := runtime.ParseTableRequest(cmd)
 	if err != nil {
 		return err
 	}
