--- a/pilot/desired.go
+++ b/pilot/desired.go
@@ -280,7 +280,7 @@
 
 // learnTable stores the contents of a table that a proxy holds, if they match their digest. When the bound is reached all
 // stored tables are dropped, because old ones are of no use once the proxies' tables have changed.
-func (ds *desiredState) learnTable(t *runtime.Holding) {
+func (ds *desiredState) learnTable(t *runtime.TableContents) {
 	if runtime.Digest(t.Lines) != t.Digest {
 		return
 	}
--- a/pilot/reconcile_test.go
+++ b/pilot/reconcile_test.go
@@ -92,7 +92,7 @@
 	} {
 		ds := newDesiredState(1, 3, serverAt)
 		ds.join(1, nil, true, 0)
-		h := &runtime.Holding{Digest: runtime.Digest(c.base), Lines: c.base}
+		h := &runtime.TableContents{Digest: runtime.Digest(c.base), Lines: c.base}
 		ds.learnTable(h)
 		ds.proxies[1].heldDigests = []uint64{h.Digest}
 		m, _ := ds.translate([]control.Order{control.PutLine{Endpoint: 0, Weight: 1}, control.PutLine{Endpoint: 1, Weight: 1},
@@ -118,7 +118,7 @@
 		}
 	}
 	ds := newDesiredState(1, 3, serverAt)
-	ds.learnTable(&runtime.Holding{Digest: 5, Lines: []runtime.Line{line(0, 1)}})
+	ds.learnTable(&runtime.TableContents{Digest: 5, Lines: []runtime.Line{line(0, 1)}})
 	if len(ds.knownTables) != 0 {
 		t.Error("learned a table whose contents do not match its digest")
 	}
@@ -134,7 +134,7 @@
 	for i := range 2*maxKnownTables + 1 {
 		lines := []runtime.Line{{Endpoint: control.EndpointID(i), Weight: 1}}
 		d := runtime.Digest(lines)
-		if ds.learnTable(&runtime.Holding{Digest: d, Lines: lines}); len(ds.unknownDigests([]uint64{d})) > 0 {
+		if ds.learnTable(&runtime.TableContents{Digest: d, Lines: lines}); len(ds.unknownDigests([]uint64{d})) > 0 {
 			t.Fatalf("table %d was not learned", i)
 		}
 	}
--- a/pilot/streams.go
+++ b/pilot/streams.go
@@ -107,7 +107,7 @@
 		p.handleInForce(s, b)
 	case runtime.Refused:
 		p.handleRefused(s, b)
-	case *runtime.Holding:
+	case *runtime.TableContents:
 		p.handleHolding(b)
 	case *runtime.Sums:
 		p.intake.add(p.host.Now(), s.id, s.zone, b)
@@ -124,7 +124,7 @@
 }
 
 // handleHolding stores the contents of a table that a proxy holds, and announces the proxies whose tables are now all known.
-func (p *Pilot) handleHolding(h *runtime.Holding) {
+func (p *Pilot) handleHolding(h *runtime.TableContents) {
 	p.desired.learnTable(h)
 	for _, id := range slices.Sorted(maps.Keys(p.sessions)) {
 		if s := p.sessions[id]; !s.announced && len(p.desired.unknownDigests(s.digests)) == 0 {
--- a/proxy/pilot_stream.go
+++ b/proxy/pilot_stream.go
@@ -162,7 +162,7 @@
 	held := s.client.proxy.current.Load()
 	for _, digest := range ask {
 		if table := held.tableByDigest(digest); table != nil {
-			holding := runtime.Holding{Digest: digest, Lines: table.wireLines()}
+			holding := runtime.TableContents{Digest: digest, Lines: table.wireLines()}
 			_ = c.Send(holding.Append(nil))
 		}
 	}
