--- a/pilot/session.go
+++ b/pilot/session.go
@@ -99,7 +99,7 @@
 }
 
 // handleInForce confirms all messages up to the number that a proxy reports as in force.
-func (p *Pilot) handleInForce(s *session, f runtime.InForce) {
+func (p *Pilot) handleInForce(s *session, f runtime.Confirmation) {
 	if f.Run != p.run {
 		return
 	}
