--- a/pilot/desired.go
+++ b/pilot/desired.go
@@ -350,7 +350,7 @@
 // setLevel stores a level and adds it to the messages of the proxies concerned. A proxy that has not been sent globalLevels yet
 // gets all of them.
 func (ds *desiredState) setLevel(o control.SetLevel, joined []*proxyState) {
-	c := runtime.Change{Verb: runtime.SetLevel, Table: o.Table, OpTypes: o.OpTypes, Level: o.Level, Again: o.RetryPolicy}
+	c := runtime.Change{Verb: runtime.SetLevel, Table: o.Table, OpTypes: o.OpTypes, Level: o.Level, RetryPolicy: o.RetryPolicy}
 	levels := ds.globalLevels
 	var t *tableState
 	if o.Table != control.Everywhere {
--- a/proxy/tables.go
+++ b/proxy/tables.go
@@ -300,7 +300,7 @@
 			err = forOpTypes(c.OpTypes, func(int) {})
 		case runtime.SetLevel:
 			err = forOpTypes(c.OpTypes, func(i int) {
-				l := level{c.Level, c.Again}
+				l := level{c.Level, c.RetryPolicy}
 				if c.Table == control.Everywhere {
 					next.levels[i] = l
 					return
