--- a/pilot/desired.go
+++ b/pilot/desired.go
@@ -202,7 +202,7 @@
 // addState adds to a proxy's message whether an endpoint is withdrawn, if the proxy was last sent the opposite.
 func (ds *desiredState) addState(proxy *proxyState, e control.EndpointID) {
 	if withdrawn := ds.withdrawn[e]; proxy.sentWithdrawn[e] != withdrawn {
-		proxy.add(runtime.Change{Verb: runtime.SetState, Endpoint: e, Out: withdrawn})
+		proxy.add(runtime.Change{Verb: runtime.SetState, Endpoint: e, Drained: withdrawn})
 		if proxy.sentWithdrawn[e] = withdrawn; !withdrawn {
 			delete(proxy.sentWithdrawn, e)
 		}
--- a/proxy/tables.go
+++ b/proxy/tables.go
@@ -277,7 +277,7 @@
 		case runtime.ClearTable:
 			lines[c.Table], levels[c.Table] = nil, map[int]level{}
 		case runtime.SetState:
-			if c.Out {
+			if c.Drained {
 				next.drained[c.Endpoint] = true
 			} else {
 				delete(next.drained, c.Endpoint)
