--- a/pilot/notices.go
+++ b/pilot/notices.go
@@ -154,8 +154,8 @@
 	if c.Rate > 0 {
 		c.Rate /= n
 	}
-	if c.Hand > 0 {
-		c.Hand /= n
+	if c.MaxInFlight > 0 {
+		c.MaxInFlight /= n
 	}
 	return c
 }
