--- a/pilot/notices.go
+++ b/pilot/notices.go
@@ -145,7 +145,7 @@
 	if c, ok := ds.limits[name]; ok {
 		return c
 	}
-	return runtime.LimitOf(tenancy.Unlimited(name))
+	return runtime.SetTenantChange(tenancy.Unlimited(name))
 }
 
 // perProxyLimit returns a tenant's limit with its rate and its ops in flight divided evenly among the joined proxies.
--- a/pilot/pilot.go
+++ b/pilot/pilot.go
@@ -141,7 +141,7 @@
 		p.quarantine = tenancy.NewQuarantine(p.facts.ReportInterval)
 		p.quarantine.Restore(sentences)
 		for _, s := range sentences {
-			p.desired.limits[s.Tenant] = runtime.LimitOf(s.Limit)
+			p.desired.limits[s.Tenant] = runtime.SetTenantChange(s.Limit)
 		}
 	}
 	p.sessions, p.lastNumbers = map[control.ProxyID]*session{}, map[control.ProxyID]uint64{}
@@ -250,7 +250,7 @@
 func (p *Pilot) sendLimits(limits []tenancy.Limit) {
 	var changes []runtime.Change
 	for _, l := range limits {
-		changes = append(changes, runtime.LimitOf(l))
+		changes = append(changes, runtime.SetTenantChange(l))
 	}
 	p.desired.markLimits(changes)
 	p.pump()
