--- a/proxy/pilot_stream.go
+++ b/proxy/pilot_stream.go
@@ -107,15 +107,15 @@
 // handle processes one command. It returns an error if the command is invalid.
 func (s *pilotStream) handle(c *stream.Conn, cmd runtime.Command) error {
 	switch {
-	case cmd.Is("welcome"):
+	case cmd.HasPrefix("welcome"):
 		return s.handleWelcome(c, cmd)
-	case cmd.Is("refused"), cmd.Is("away"):
+	case cmd.HasPrefix("refused"), cmd.HasPrefix("away"):
 		return s.handleGoAway(c, cmd)
-	case cmd.Is("send", "tables"):
+	case cmd.HasPrefix("send", "tables"):
 		return s.handleSendTables(c, cmd)
-	case cmd.Is("ping"):
+	case cmd.HasPrefix("ping"):
 		return nil // Data has recorded the arrival
-	case cmd.Is("apply"):
+	case cmd.HasPrefix("apply"):
 		return s.handleMessage(cmd)
 	case s.welcome.WireVersion > runtime.WireVersion:
 		s.client.log.Debug("ignoring a command of a later protocol version", "command", cmd.String())
