--- a/session/session.go
+++ b/session/session.go
@@ -121,7 +121,7 @@
 			break
 		}
 		if !ok {
-			if s.interactive && s.scanner.Waiting() {
+			if s.interactive && s.scanner.ReadingPayload() {
 				_ = c.Send([]byte("+ "))
 			}
 			return
