--- a/pilot/streams.go
+++ b/pilot/streams.go
@@ -51,7 +51,7 @@
 			block, err = runtime.ParseBlock(lines)
 		}
 		if err != nil {
-			c.pilot.log.Warn("malformed block received; closing the stream", "remote", c.stream.Remote(), "error", err)
+			c.pilot.log.Warn("malformed block received; closing the stream", "remote", c.stream.RemoteAddress(), "error", err)
 			c.refused = true
 			_ = c.stream.Send(runtime.GoAway{Reason: err.Error()}.Append(nil))
 			c.stream.CloseGracefully()
@@ -135,7 +135,7 @@
 
 // reject ends a stream that violates the protocol and sends the reason.
 func (p *Pilot) reject(c *connection, reason string) {
-	p.log.Warn("stream refused", "remote", c.stream.Remote(), "reason", reason)
+	p.log.Warn("stream refused", "remote", c.stream.RemoteAddress(), "reason", reason)
 	p.sendGoAway(c, runtime.GoAway{Reason: reason})
 }
 
@@ -155,7 +155,7 @@
 	for c := range p.connections {
 		silent := time.Since(c.lastReceived)
 		if c.joined && silent > p.silenceTimeout || !c.joined && time.Since(c.opened) > p.silenceTimeout {
-			p.log.Warn("stream silent for too long; closing it", "remote", c.stream.Remote(), "for", silent)
+			p.log.Warn("stream silent for too long; closing it", "remote", c.stream.RemoteAddress(), "for", silent)
 			c.stream.Close()
 		} else if c.joined {
 			_ = c.stream.Send([]byte("ping\n"))
