--- a/proxy/tenants.go
+++ b/proxy/tenants.go
@@ -81,7 +81,7 @@
 		field = m.Get(h)
 	}
 	var client netip.Addr
-	if at, err := netip.ParseAddrPort(c.Remote()); err == nil {
+	if at, err := netip.ParseAddrPort(c.RemoteAddress()); err == nil {
 		client = at.Addr()
 	}
 	return t.lookup(t.matcher.Tenant(field, m.Target, client))
