--- a/pilot/notices_test.go
+++ b/pilot/notices_test.go
@@ -61,7 +61,7 @@
 		t.Errorf("notices still pending for %v", ds.pendingNotices)
 	}
 	ds.markLimits([]runtime.Change{{Verb: runtime.SetTenant, Tenant: "delo", Rate: 8, MaxInFlight: 6}})
-	ds.markLimits([]runtime.Change{{Verb: runtime.SetTenant, Tenant: "delo", Rate: -1, MaxInFlight: -1, Room: 1}})
+	ds.markLimits([]runtime.Change{{Verb: runtime.SetTenant, Tenant: "delo", Rate: -1, MaxInFlight: -1, SubsetFactor: 1}})
 	messages, _ := ds.translate([]control.Order{control.Checkpoint{All: true}})
 	if got := formatMessages(messages); !strings.Contains(got, "set tenant =delo rate * ") {
 		t.Errorf("lifted limit not sent in place of the earlier one: %q", got)
