--- a/pilot/pilot.go
+++ b/pilot/pilot.go
@@ -190,7 +190,7 @@
 		if s == nil {
 			continue
 		}
-		m.Pilot, m.Run, m.At = p.file.Name, p.run, now
+		m.Pilot, m.Run, m.CreatedAt = p.file.Name, p.run, now
 		if !p.channel.push(m) {
 			p.overflows++
 			p.log.Error("channel full; session of the proxy dropped, it must join again", "proxy", s.id, "lines", m.Lines, "waiting",
--- a/pilot/session.go
+++ b/pilot/session.go
@@ -93,8 +93,8 @@
 	p.desired.confirmNotices(m)
 	p.confirmBindings(s, m)
 	if m.Checkpoint >= 0 {
-		p.records.recordInForce(s.id, m.Checkpoint, p.host.Now()-m.At)
-		p.host.Enqueue(control.InForce{Proxy: s.id, Checkpoint: m.Checkpoint, Took: p.host.Now() - m.At})
+		p.records.recordInForce(s.id, m.Checkpoint, p.host.Now()-m.CreatedAt)
+		p.host.Enqueue(control.InForce{Proxy: s.id, Checkpoint: m.Checkpoint, Took: p.host.Now() - m.CreatedAt})
 	}
 }
 
