--- a/lab/node/node.go
+++ b/lab/node/node.go
@@ -327,7 +327,7 @@
 	}
 	if deaf {
 		n.mu.Unlock()
-		c.OnGone(func() { close(j.gone) })
+		c.OnDisconnect(func() { close(j.gone) })
 		<-j.gone
 		return
 	}
@@ -373,13 +373,13 @@
 	n.queue = append(n.queue, j)
 	n.kick()
 	n.mu.Unlock()
-	c.OnGone(func() { n.cancel(j) })
+	c.OnDisconnect(func() { n.cancel(j) })
 	v := dead
 	select {
 	case v = <-j.done:
 	case <-j.gone:
 	}
-	c.OnGone(nil)
+	c.OnDisconnect(nil)
 	switch v {
 	case acked:
 		body := []byte("ok\n")
@@ -619,7 +619,7 @@
 	switch {
 	case t.Silent:
 		gone := make(chan struct{})
-		c.OnGone(func() { close(gone) })
+		c.OnDisconnect(func() { close(gone) })
 		<-gone
 	case t.Draining:
 		_ = c.Answer(http1.AppendBody(n.report(http1.AppendStatus(nil, 503)), nil))
