--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -375,7 +375,7 @@
 				e.met(false, took, nil, 0, 0)
 				t.unacked.Add(1)
 				p.tally.aborted.Add(1)
-				c.CloseAfter()
+				c.CloseAfterAnswer()
 				return
 			}
 			e.met(false, took, nil, p.file.Service.OutlierAfter, p.file.Service.OutlierFor.Span())
--- a/serve/conn.go
+++ b/serve/conn.go
@@ -86,8 +86,8 @@
 	return err
 }
 
-// CloseAfter ends the connection once the answer under way is written, if there is one.
-func (c *Conn) CloseAfter() { c.closing = true }
+// CloseAfterAnswer ends the connection once the answer under way is written, if there is one.
+func (c *Conn) CloseAfterAnswer() { c.closing = true }
 
 // finish closes a connection that was idle or active towards the client, and leaves the rest to the client or to the sweep;
 // false if it is in another state by now.
