--- a/serve/serve.go
+++ b/serve/serve.go
@@ -27,7 +27,7 @@
 	Handle         func(c *Conn, m *http1.Message) // answers by c.Write; m holds for the call
 	Open           func(c *Conn) bool              // optional; false refuses the connection
 	Closed         func(c *Conn)                   // optional
-	Idle           time.Duration                   // a connection without a request for so long is closed; 0: a minute
+	IdleTimeout    time.Duration                   // a connection without a request for so long is closed; 0: a minute
 	Drain          time.Duration                   // the same while the server stops, since Stop; 0: until the end of its context
 	RequestTimeout time.Duration                   // a request must be whole this long after its first byte; 0: ten seconds
 
@@ -48,8 +48,8 @@
 	if s.Bounds == (http1.Bounds{}) {
 		s.Bounds = http1.Usual
 	}
-	if s.Idle <= 0 {
-		s.Idle = time.Minute
+	if s.IdleTimeout <= 0 {
+		s.IdleTimeout = time.Minute
 	}
 	if s.RequestTimeout <= 0 {
 		s.RequestTimeout = 10 * time.Second
@@ -140,7 +140,7 @@
 	if c.state.Load() != idle || c.nc.Reader().Len() > 0 {
 		return false
 	}
-	if now-c.last.Load() > int64(s.Idle) {
+	if now-c.last.Load() > int64(s.IdleTimeout) {
 		return true
 	}
 	began := s.stopping.Load()
