--- a/serve/serve.go
+++ b/serve/serve.go
@@ -28,7 +28,7 @@
 	Open           func(c *Conn) bool              // optional; false refuses the connection
 	Closed         func(c *Conn)                   // optional
 	IdleTimeout    time.Duration                   // a connection without a request for so long is closed; 0: a minute
-	Drain          time.Duration                   // the same while the server stops, since Stop; 0: until the end of its context
+	DrainTimeout   time.Duration                   // the same while the server stops, since Stop; 0: until the end of its context
 	RequestTimeout time.Duration                   // a request must be whole this long after its first byte; 0: ten seconds
 
 	Net stream.Net // nil: sockets
@@ -144,7 +144,7 @@
 		return true
 	}
 	began := s.stopping.Load()
-	return began != 0 && s.Drain > 0 && now-max(began, c.last.Load()) > int64(s.Drain)
+	return began != 0 && s.DrainTimeout > 0 && now-max(began, c.last.Load()) > int64(s.DrainTimeout)
 }
 
 // sweep closes connections that sent too much ahead or stand idle.
