--- a/serve/conn.go
+++ b/serve/conn.go
@@ -171,5 +171,5 @@
 // refuse answers a request that cannot be read, as the connection's last.
 func (c *Conn) refuse(status int, text string) {
 	c.closing = true
-	_ = c.Answer(Plain(status, text))
+	_ = c.Answer(PlainText(status, text))
 }
--- a/serve/finish_test.go
+++ b/serve/finish_test.go
@@ -19,7 +19,7 @@
 // idle for too long, its client closed it, and its descriptor is another's by the time it is to be finished.
 func TestFinishAfterEnd(t *testing.T) {
 	opened, closed := make(chan *Conn, 2), make(chan *Conn, 2)
-	s := &Server{Handle: func(c *Conn, m *http1.Message) { _ = c.Answer(Plain(200, "well")) },
+	s := &Server{Handle: func(c *Conn, m *http1.Message) { _ = c.Answer(PlainText(200, "well")) },
 		Accept: func(c *Conn) bool { opened <- c; return true },
 		Closed: func(c *Conn) { closed <- c }}
 	if err := s.Start("127.0.0.1:0"); err != nil {
--- a/serve/serve.go
+++ b/serve/serve.go
@@ -128,8 +128,8 @@
 	return nil
 }
 
-// Plain is a short answer with a line of text.
-func Plain(status int, text string) []byte {
+// PlainText is a short answer with a line of text.
+func PlainText(status int, text string) []byte {
 	b := http1.AppendStatus(make([]byte, 0, 160+len(text)), status)
 	b = http1.AppendField(b, "Content-Type", "text/plain; charset=utf-8")
 	return http1.AppendBody(b, append([]byte(text), '\n'))
--- a/serve/serve_test.go
+++ b/serve/serve_test.go
@@ -44,7 +44,7 @@
 	return c
 }
 
-func ok(c *serve.Conn, m *http1.Message) { _ = c.Answer(serve.Plain(200, string(m.Target))) }
+func ok(c *serve.Conn, m *http1.Message) { _ = c.Answer(serve.PlainText(200, string(m.Target))) }
 
 const get = "GET /a HTTP/1.1\r\nHost: h\r\n\r\n"
 
