--- a/runtime/runtime_test.go
+++ b/runtime/runtime_test.go
@@ -57,7 +57,7 @@
 		{"a \\<<x\n", "a|<<x"},
 	} {
 		for _, size := range []int{1, 3, 1000} {
-			got, err := scan(c.in, size, People)
+			got, err := scan(c.in, size, SessionBounds)
 			if err != nil || strings.Join(got, " ") != c.want {
 				t.Errorf("%q in pieces of %d: %q, %v; want %q", c.in, size, got, err, c.want)
 			}
@@ -190,8 +190,8 @@
 		if size < 1 || size > 64 {
 			return
 		}
-		whole, err1 := scan(string(in), len(in)+1, People)
-		pieces, err2 := scan(string(in), size, People)
+		whole, err1 := scan(string(in), len(in)+1, SessionBounds)
+		pieces, err2 := scan(string(in), size, SessionBounds)
 		if (err1 == nil) != (err2 == nil) || fmt.Sprint(whole) != fmt.Sprint(pieces) {
 			t.Fatalf("whole %q %v; in pieces %q %v", whole, err1, pieces, err2)
 		}
--- a/session/session.go
+++ b/session/session.go
@@ -63,7 +63,7 @@
 			l.open.Add(-1)
 			return nil
 		}
-		return &conversation{l: l, scan: runtime.NewScanner(runtime.People), idle: time.AfterFunc(mostIdle, c.Close)}
+		return &conversation{l: l, scan: runtime.NewScanner(runtime.SessionBounds), idle: time.AfterFunc(mostIdle, c.Close)}
 	})
 	if err != nil {
 		return nil, err
