--- a/pilot/streams.go
+++ b/pilot/streams.go
@@ -14,7 +14,7 @@
 type connection struct {
 	pilot        *Pilot
 	stream       *stream.Conn
-	blocks       *runtime.Blocks
+	blocks       *runtime.BlockReader
 	refused      bool // it sent what cannot be read: nothing more is; its reader's
 	id           control.ProxyID
 	joined       bool // it has said hello and was welcomed; set by the loop
--- a/runtime/block.go
+++ b/runtime/block.go
@@ -10,21 +10,21 @@
 // What a proxy sends to its pilot, and a pilot to a peer, are blocks: lines ended by an empty one, as replies are in HAProxy's
 // socket. The first word tells the kind. A pilot answers with commands.
 
-// Blocks cuts bytes into blocks.
-type Blocks struct {
+// BlockReader cuts bytes into blocks.
+type BlockReader struct {
 	buf      []byte
 	scanned  int // bytes of buf, known to hold no end of a block
 	maxBytes int // of a block
 }
 
 // NewBlocks returns a reader of blocks of at most maxBytes each.
-func NewBlocks(maxBytes int) *Blocks { return &Blocks{maxBytes: maxBytes} }
+func NewBlocks(maxBytes int) *BlockReader { return &BlockReader{maxBytes: maxBytes} }
 
 // Feed takes bytes in.
-func (r *Blocks) Feed(b []byte) { r.buf = append(r.buf, b...) }
+func (r *BlockReader) Feed(b []byte) { r.buf = append(r.buf, b...) }
 
 // Next returns the lines of the next whole block; ok is false until there is one.
-func (r *Blocks) Next() (lines []string, ok bool, err error) {
+func (r *BlockReader) Next() (lines []string, ok bool, err error) {
 	end := bytes.Index(r.buf[r.scanned:], []byte("\n\n"))
 	if end < 0 || r.scanned+end > r.maxBytes {
 		if r.scanned = max(0, len(r.buf)-1); len(r.buf) > r.maxBytes {
