--- a/runtime/block.go
+++ b/runtime/block.go
@@ -17,8 +17,8 @@
 	maxBytes int // of a block
 }
 
-// NewBlocks returns a reader of blocks of at most maxBytes each.
-func NewBlocks(maxBytes int) *BlockReader { return &BlockReader{maxBytes: maxBytes} }
+// NewBlockReader returns a reader of blocks of at most maxBytes each.
+func NewBlockReader(maxBytes int) *BlockReader { return &BlockReader{maxBytes: maxBytes} }
 
 // Feed takes bytes in.
 func (r *BlockReader) Feed(b []byte) { r.buf = append(r.buf, b...) }
