--- a/pilot/fleet.go
+++ b/pilot/fleet.go
@@ -49,7 +49,7 @@
 // updateSelf notes what the others are to hear of this pilot; the loop's own.
 func (p *Pilot) updateSelf() {
 	w := members.Who{Pilot: p.file.Name, Zone: p.file.Zone, Run: p.run, List: p.version, From: p.fresher, Servers: len(p.list), Proxies: len(p.sessions),
-		Wire: runtime.Wire, At: p.file.Listen}
+		Wire: runtime.WireVersion, At: p.file.Listen}
 	if p.ln != nil {
 		w.At = p.ln.Address()
 	}
--- a/proxy/orders.go
+++ b/proxy/orders.go
@@ -124,7 +124,7 @@
 	t := p.now.Load()
 	h := &runtime.Hello{
 		Proxy:    control.ProxyID(p.file.ID),
-		Wire:     runtime.Wire,
+		Wire:     runtime.WireVersion,
 		Token:    p.token,
 		Zone:     p.zone,
 		Rate:     p.file.Rate,
--- a/runtime/handshake.go
+++ b/runtime/handshake.go
@@ -9,9 +9,9 @@
 	"vetchdoor/control"
 )
 
-// Wire is the version of what pilots and proxies speak. What a later one adds to a hello, a welcome or a stream's commands
+// WireVersion is the version of what pilots and proxies speak. What a later one adds to a hello, a welcome or a stream's commands
 // an earlier one passes over; a pilot sends a proxy no change that its version does not know.
-const Wire = 1
+const WireVersion = 1
 
 // Hello is how a proxy opens its stream.
 type Hello struct {
@@ -86,11 +86,11 @@
 		w.take()
 		h.Digests = w.digests()
 	}
-	if len(w.words) > 0 && (h.Wire <= Wire || w.words[0] == "bound") {
+	if len(w.words) > 0 && (h.Wire <= WireVersion || w.words[0] == "bound") {
 		w.expect("bound")
 		h.Bound, h.BoundTo = w.take(), w.uint("number", math.MaxUint64)
 	}
-	if h.Wire > Wire { // a later one's: what it says beyond is passed over
+	if h.Wire > WireVersion { // a later one's: what it says beyond is passed over
 		w.words = nil
 	}
 	return h
