--- a/runtime/handshake.go
+++ b/runtime/handshake.go
@@ -15,19 +15,19 @@
 
 // Hello is how a proxy opens its stream.
 type Hello struct {
-	Proxy    control.ProxyID
-	Wire     int    // what it speaks; 0: it does not say
-	Token    string // drawn at the proxy's start; tells it from another that takes its number
-	Zone     int
-	Rate     float64 // ops a second it usually gets
-	Pilot    string  // whose run it last applied a message of, or NoPilot
-	Run      uint64
-	Number   uint64               // the last message applied, of that run
-	Window   int                  // lines that may be on their way to it, not confirmed
-	Standing []control.EndpointID // its standing table
-	Digests  []uint64             // of the tables that op types go by; 0: a standing one. Empty: the proxy does not say
-	Bound    string               // the pilot whose bindings of tenants it has; empty: none's
-	BoundTo  uint64               // it has all of them up to this number
+	Proxy       control.ProxyID
+	WireVersion int    // what it speaks; 0: it does not say
+	Token       string // drawn at the proxy's start; tells it from another that takes its number
+	Zone        int
+	Rate        float64 // ops a second it usually gets
+	Pilot       string  // whose run it last applied a message of, or NoPilot
+	Run         uint64
+	Number      uint64               // the last message applied, of that run
+	Window      int                  // lines that may be on their way to it, not confirmed
+	Standing    []control.EndpointID // its standing table
+	Digests     []uint64             // of the tables that op types go by; 0: a standing one. Empty: the proxy does not say
+	Bound       string               // the pilot whose bindings of tenants it has; empty: none's
+	BoundTo     uint64               // it has all of them up to this number
 }
 
 // NoPilot stands in a hello for the pilot of a proxy that has applied no message yet.
@@ -35,7 +35,7 @@
 
 // Append appends the block.
 func (h *Hello) Append(b []byte) []byte {
-	b = fmt.Appendf(b, "hello %d wire %d token %s zone %d rate %s holds %s %d %d window %d standing ", h.Proxy, h.Wire, Quote(h.Token), h.Zone,
+	b = fmt.Appendf(b, "hello %d wire %d token %s zone %d rate %s holds %s %d %d window %d standing ", h.Proxy, h.WireVersion, Quote(h.Token), h.Zone,
 		strconv.FormatFloat(h.Rate, 'g', -1, 64), Quote(h.Pilot), h.Run, h.Number, h.Window)
 	b = appendStanding(b, h.Standing)
 	if len(h.Digests) > 0 {
@@ -67,7 +67,7 @@
 	h := &Hello{Proxy: control.ProxyID(w.uint("proxy", math.MaxUint16))}
 	if w.next("wire") {
 		w.take()
-		h.Wire = int(w.uint("wire", math.MaxUint16))
+		h.WireVersion = int(w.uint("wire", math.MaxUint16))
 	}
 	w.expect("token")
 	h.Token = w.take()
@@ -86,11 +86,11 @@
 		w.take()
 		h.Digests = w.digests()
 	}
-	if len(w.words) > 0 && (h.Wire <= WireVersion || w.words[0] == "bound") {
+	if len(w.words) > 0 && (h.WireVersion <= WireVersion || w.words[0] == "bound") {
 		w.expect("bound")
 		h.Bound, h.BoundTo = w.take(), w.uint("number", math.MaxUint64)
 	}
-	if h.Wire > WireVersion { // a later one's: what it says beyond is passed over
+	if h.WireVersion > WireVersion { // a later one's: what it says beyond is passed over
 		w.words = nil
 	}
 	return h
