--- a/pilot/hello.go
+++ b/pilot/hello.go
@@ -95,7 +95,7 @@
 		p.tellMover(h)
 	}
 	p.records.joined(s, resumed)
-	_ = c.stream.Send(runtime.Welcome{Pilot: p.file.Name, Run: p.run, Wire: runtime.WireVersion, Resumed: resumed}.Append(nil))
+	_ = c.stream.Send(runtime.Welcome{Pilot: p.file.Name, Run: p.run, WireVersion: runtime.WireVersion, Resumed: resumed}.Append(nil))
 	p.log.Info("proxy joined", "proxy", s.id, "zone", s.zone, "resumed", resumed)
 	p.pump()
 	if !resumed {
--- a/proxy/orders_test.go
+++ b/proxy/orders_test.go
@@ -18,7 +18,7 @@
 	p.orders.end()
 	s := newPilotStream(p.orders)
 	s.Closed(nil)
-	s.Data(nil, runtime.Welcome{Pilot: "p", Run: 1, Wire: runtime.WireVersion}.Append(nil))
+	s.Data(nil, runtime.Welcome{Pilot: "p", Run: 1, WireVersion: runtime.WireVersion}.Append(nil))
 	if p.orders.joined() {
 		t.Error("joined by a stream that is over")
 	}
--- a/proxy/pilot_stream.go
+++ b/proxy/pilot_stream.go
@@ -113,7 +113,7 @@
 		return nil // Data has noted that something came
 	case cmd.Is("apply"):
 		return s.handleMessage(cmd)
-	case s.welcome.Wire > runtime.WireVersion:
+	case s.welcome.WireVersion > runtime.WireVersion:
 		s.orders.log.Debug("a command of a later version is passed over", "command", cmd.String())
 		return nil
 	}
--- a/runtime/handshake.go
+++ b/runtime/handshake.go
@@ -115,10 +115,10 @@
 
 // Welcome is the pilot's answer to a hello, a command line of its own.
 type Welcome struct {
-	Pilot   string
-	Run     uint64
-	Wire    int  // what the pilot speaks; 0: it does not say
-	Resumed bool // the session goes on: what was not confirmed comes again
+	Pilot       string
+	Run         uint64
+	WireVersion int  // what the pilot speaks; 0: it does not say
+	Resumed     bool // the session goes on: what was not confirmed comes again
 }
 
 // Append appends the command.
@@ -127,7 +127,7 @@
 	if m.Resumed {
 		how = "resumed"
 	}
-	return fmt.Appendf(b, "welcome %s %d %s wire %d\n", Quote(m.Pilot), m.Run, how, m.Wire)
+	return fmt.Appendf(b, "welcome %s %d %s wire %d\n", Quote(m.Pilot), m.Run, how, m.WireVersion)
 }
 
 // ParseWelcome reads a welcome.
@@ -144,7 +144,7 @@
 	}
 	if len(w.words) > 0 {
 		w.expect("wire")
-		m.Wire = int(w.uint("wire", math.MaxUint16))
+		m.WireVersion = int(w.uint("wire", math.MaxUint16))
 	}
 	return m, w.err
 }
