--- a/pilot/hello.go
+++ b/pilot/hello.go
@@ -106,7 +106,7 @@
 // tellMover tells the mover that a proxy joined, and up to which number it has this pilot's bindings.
 func (p *Pilot) tellMover(h *runtime.Hello) {
 	has := uint64(0)
-	if h.Bound == p.file.Name {
+	if h.BindingsPilot == p.file.Name {
 		has = h.BoundTo
 	}
 	p.move(tenancy.Event{Joined: &tenancy.Joined{Proxy: tenancy.ProxyID(h.Proxy), Has: has}})
