--- a/pilot/hello.go
+++ b/pilot/hello.go
@@ -107,7 +107,7 @@
 func (p *Pilot) tellMover(h *runtime.Hello) {
 	has := uint64(0)
 	if h.BindingsPilot == p.file.Name {
-		has = h.BoundTo
+		has = h.BindingsNumber
 	}
 	p.move(tenancy.Event{Joined: &tenancy.Joined{Proxy: tenancy.ProxyID(h.Proxy), Has: has}})
 }
--- a/proxy/orders.go
+++ b/proxy/orders.go
@@ -123,19 +123,19 @@
 	defer p.mu.Unlock()
 	t := p.now.Load()
 	h := &runtime.Hello{
-		Proxy:         control.ProxyID(p.file.ID),
-		WireVersion:   runtime.WireVersion,
-		Token:         p.token,
-		Zone:          p.zone,
-		Rate:          p.file.Rate,
-		Pilot:         t.pilot,
-		Run:           t.run,
-		Number:        t.number,
-		Window:        windowLines,
-		Standing:      p.standing,
-		Digests:       t.digests(),
-		BindingsPilot: t.bindings.pilot,
-		BoundTo:       t.bindings.upTo,
+		Proxy:          control.ProxyID(p.file.ID),
+		WireVersion:    runtime.WireVersion,
+		Token:          p.token,
+		Zone:           p.zone,
+		Rate:           p.file.Rate,
+		Pilot:          t.pilot,
+		Run:            t.run,
+		Number:         t.number,
+		Window:         windowLines,
+		Standing:       p.standing,
+		Digests:        t.digests(),
+		BindingsPilot:  t.bindings.pilot,
+		BindingsNumber: t.bindings.upTo,
 	}
 	if h.Pilot == "" {
 		h.Pilot = runtime.NoPilot
--- a/runtime/handshake.go
+++ b/runtime/handshake.go
@@ -15,19 +15,19 @@
 
 // Hello is how a proxy opens its stream.
 type Hello struct {
-	Proxy         control.ProxyID
-	WireVersion   int    // what it speaks; 0: it does not say
-	Token         string // drawn at the proxy's start; tells it from another that takes its number
-	Zone          int
-	Rate          float64 // ops a second it usually gets
-	Pilot         string  // whose run it last applied a message of, or NoPilot
-	Run           uint64
-	Number        uint64               // the last message applied, of that run
-	Window        int                  // lines that may be on their way to it, not confirmed
-	Standing      []control.EndpointID // its standing table
-	Digests       []uint64             // of the tables that op types go by; 0: a standing one. Empty: the proxy does not say
-	BindingsPilot string               // the pilot whose bindings of tenants it has; empty: none's
-	BoundTo       uint64               // it has all of them up to this number
+	Proxy          control.ProxyID
+	WireVersion    int    // what it speaks; 0: it does not say
+	Token          string // drawn at the proxy's start; tells it from another that takes its number
+	Zone           int
+	Rate           float64 // ops a second it usually gets
+	Pilot          string  // whose run it last applied a message of, or NoPilot
+	Run            uint64
+	Number         uint64               // the last message applied, of that run
+	Window         int                  // lines that may be on their way to it, not confirmed
+	Standing       []control.EndpointID // its standing table
+	Digests        []uint64             // of the tables that op types go by; 0: a standing one. Empty: the proxy does not say
+	BindingsPilot  string               // the pilot whose bindings of tenants it has; empty: none's
+	BindingsNumber uint64               // it has all of them up to this number
 }
 
 // NoPilot stands in a hello for the pilot of a proxy that has applied no message yet.
@@ -42,7 +42,7 @@
 		b = appendDigests(append(b, " digests "...), h.Digests)
 	}
 	if h.BindingsPilot != "" {
-		b = strconv.AppendUint(append(append(append(b, " bound "...), Quote(h.BindingsPilot)...), ' '), h.BoundTo, 10)
+		b = strconv.AppendUint(append(append(append(b, " bound "...), Quote(h.BindingsPilot)...), ' '), h.BindingsNumber, 10)
 	}
 	return append(b, "\n\n"...)
 }
@@ -88,7 +88,7 @@
 	}
 	if len(w.words) > 0 && (h.WireVersion <= WireVersion || w.words[0] == "bound") {
 		w.expect("bound")
-		h.BindingsPilot, h.BoundTo = w.take(), w.uint("number", math.MaxUint64)
+		h.BindingsPilot, h.BindingsNumber = w.take(), w.uint("number", math.MaxUint64)
 	}
 	if h.WireVersion > WireVersion { // a later one's: what it says beyond is passed over
 		w.words = nil
