--- a/proxy/pilot_stream.go
+++ b/proxy/pilot_stream.go
@@ -149,7 +149,7 @@
 
 // handleAsk sends the lines of the tables that the pilot asks for; of those that are not held any more it says nothing.
 func (s *pilotStream) handleAsk(c *stream.Conn, cmd runtime.Command) error {
-	ask, err := runtime.ParseAsk(cmd)
+	ask, err := runtime.ParseTableRequest(cmd)
 	if err != nil {
 		return err
 	}
--- a/runtime/digest.go
+++ b/runtime/digest.go
@@ -55,8 +55,8 @@
 	return b
 }
 
-// ParseAsk reads one.
-func ParseAsk(c Command) (TableRequest, error) {
+// ParseTableRequest reads one.
+func ParseTableRequest(c Command) (TableRequest, error) {
 	w := &wordReader{words: c.Words}
 	w.expect("send")
 	w.expect("tables")
