--- a/pilot/desired.go
+++ b/pilot/desired.go
@@ -267,7 +267,7 @@
 const mostContents = 256
 
 // learn takes in a table that a proxy holds; past the bound it begins anew, for what proxies hold changes with the fleet.
-func (ds *desiredState) learn(t *runtime.Holding) {
+func (ds *desiredState) learn(t *runtime.TableContents) {
 	if runtime.Digest(t.Lines) != t.Digest {
 		return
 	}
--- a/pilot/reconcile_test.go
+++ b/pilot/reconcile_test.go
@@ -86,7 +86,7 @@
 	} {
 		ds := newDesiredState(1, 3, at)
 		ds.join(1, nil, true, 0)
-		h := &runtime.Holding{Digest: runtime.Digest(c.base), Lines: c.base}
+		h := &runtime.TableContents{Digest: runtime.Digest(c.base), Lines: c.base}
 		ds.learn(h)
 		ds.proxies[1].held = []uint64{h.Digest}
 		m, _ := ds.write([]control.Order{control.PutLine{Endpoint: 0, Weight: 1}, control.PutLine{Endpoint: 1, Weight: 1}, control.PutLine{Endpoint: 2, Weight: 1},
@@ -111,7 +111,7 @@
 		}
 	}
 	ds := newDesiredState(1, 3, at)
-	ds.learn(&runtime.Holding{Digest: 5, Lines: []runtime.Line{line(0, 1)}})
+	ds.learn(&runtime.TableContents{Digest: 5, Lines: []runtime.Line{line(0, 1)}})
 	if len(ds.contents) != 0 {
 		t.Error("took lines that are not those of their digest")
 	}
@@ -127,7 +127,7 @@
 	for i := range 2*mostContents + 1 {
 		lines := []runtime.Line{{Endpoint: control.EndpointID(i), Weight: 1}}
 		d := runtime.Digest(lines)
-		if ds.learn(&runtime.Holding{Digest: d, Lines: lines}); len(ds.unknown([]uint64{d})) > 0 {
+		if ds.learn(&runtime.TableContents{Digest: d, Lines: lines}); len(ds.unknown([]uint64{d})) > 0 {
 			t.Fatalf("table %d was not learned", i)
 		}
 	}
--- a/pilot/streams.go
+++ b/pilot/streams.go
@@ -104,7 +104,7 @@
 		p.handleInForce(s, b)
 	case runtime.Refused:
 		p.handleRefused(s, b)
-	case *runtime.Holding:
+	case *runtime.TableContents:
 		p.handleHolding(b)
 	case *runtime.Sums:
 		p.intake.add(p.host.Now(), s.id, s.zone, b)
@@ -121,7 +121,7 @@
 }
 
 // handleHolding takes in a table that a proxy holds, and announces the proxies that held nothing else unknown.
-func (p *Pilot) handleHolding(h *runtime.Holding) {
+func (p *Pilot) handleHolding(h *runtime.TableContents) {
 	p.desired.learn(h)
 	for _, id := range slices.Sorted(maps.Keys(p.sessions)) {
 		if s := p.sessions[id]; !s.announced && len(p.desired.unknown(s.digests)) == 0 {
--- a/proxy/pilot_stream.go
+++ b/proxy/pilot_stream.go
@@ -156,7 +156,7 @@
 	held := s.orders.proxy.now.Load()
 	for _, digest := range ask {
 		if table := held.holding(digest); table != nil {
-			holding := runtime.Holding{Digest: digest, Lines: table.content()}
+			holding := runtime.TableContents{Digest: digest, Lines: table.content()}
 			_ = c.Send(holding.Append(nil))
 		}
 	}
--- a/runtime/digest.go
+++ b/runtime/digest.go
@@ -78,14 +78,14 @@
 	return out
 }
 
-// Holding is a table that a proxy has, as the answer to an Ask.
-type Holding struct {
+// TableContents is a table that a proxy has, as the answer to an Ask.
+type TableContents struct {
 	Digest uint64
 	Lines  []Line
 }
 
 // Append appends the block.
-func (t *Holding) Append(b []byte) []byte {
+func (t *TableContents) Append(b []byte) []byte {
 	b = fmt.Appendf(b, "table %x\n", t.Digest)
 	for _, l := range t.Lines {
 		b = append(l.Append(b), '\n')
@@ -94,8 +94,8 @@
 }
 
 // holding reads the rest of a block that is a table.
-func (w *wordReader) holding(lines []string) (*Holding, error) {
-	t := &Holding{Digest: w.digest()}
+func (w *wordReader) holding(lines []string) (*TableContents, error) {
+	t := &TableContents{Digest: w.digest()}
 	for _, line := range lines {
 		l, err := readLine(line)
 		if err == nil {
@@ -109,7 +109,7 @@
 }
 
 // line reads a line of a holding.
-func (w *wordReader) line(t *Holding) error {
+func (w *wordReader) line(t *TableContents) error {
 	var l Line
 	w.expect("server")
 	l.Endpoint = w.endpoint()
