--- a/pilot/desired_test.go
+++ b/pilot/desired_test.go
@@ -161,7 +161,7 @@
 		messages, _ := ds.notify(0)
 		return text(messages)
 	}
-	limit := runtime.Change{Verb: runtime.SetTenant, Tenant: "delo", Rate: 8, Hand: 6, Fenced: true, Room: 1}
+	limit := runtime.Change{Verb: runtime.SetTenant, Tenant: "delo", Rate: 8, MaxInFlight: 6, Fenced: true, Room: 1}
 	if got := told(limit); got != "p1 #2 4; set tenant =delo rate 4 tries 0 fence on hand 3 room 1\np2 #2 4; set tenant =delo rate 4 tries 0 fence on hand 3 room 1" {
 		t.Error(got)
 	}
@@ -170,7 +170,7 @@
 	if s := text(got); !strings.HasSuffix(s, "p3 #1 5 ?2; set tenant =delo rate 2.6666666666666665 tries 0 fence on hand 2 room 1") {
 		t.Error(s)
 	}
-	limit.Rate, limit.Hand, limit.Fenced, limit.Tries = -1, -1, false, 0.2
+	limit.Rate, limit.MaxInFlight, limit.Fenced, limit.Tries = -1, -1, false, 0.2
 	if got := told(limit); strings.Count(got, "set tenant =delo rate * tries 0.2 fence off hand * room 1") != 3 {
 		t.Error(got)
 	}
--- a/pilot/notices.go
+++ b/pilot/notices.go
@@ -152,8 +152,8 @@
 	if c.Rate > 0 {
 		c.Rate /= n
 	}
-	if c.Hand > 0 {
-		c.Hand /= n
+	if c.MaxInFlight > 0 {
+		c.MaxInFlight /= n
 	}
 	return c
 }
--- a/runtime/change.go
+++ b/runtime/change.go
@@ -41,7 +41,7 @@
 	Rate        float64 // ops a second at this proxy; below 0: no limit
 	Tries       float64 // beyond the first, for each op
 	Fenced      bool    // to one pod of its subset alone
-	Hand        float64 // ops in hand at this proxy at a time; below 0: no limit
+	MaxInFlight float64 // ops in hand at this proxy at a time; below 0: no limit
 	Room        float64 // times the pods that its subset has by itself
 	Digest      uint64
 	Number      uint64 // of a binding, among those of its pilot
@@ -61,12 +61,12 @@
 
 // LimitOf is the change that says a tenant's limit.
 func LimitOf(l tenancy.Limit) Change {
-	return Change{Verb: SetTenant, Tenant: l.Tenant, Rate: l.Rate, Tries: l.Tries, Hand: l.Hand, Fenced: l.Fenced, Room: l.Room}
+	return Change{Verb: SetTenant, Tenant: l.Tenant, Rate: l.Rate, Tries: l.Tries, MaxInFlight: l.Hand, Fenced: l.Fenced, Room: l.Room}
 }
 
 // Limit is what a SetTenant says.
 func (c Change) Limit() tenancy.Limit {
-	return tenancy.Limit{Tenant: c.Tenant, Rate: c.Rate, Tries: c.Tries, Hand: c.Hand, Fenced: c.Fenced, Room: c.Room}
+	return tenancy.Limit{Tenant: c.Tenant, Rate: c.Rate, Tries: c.Tries, Hand: c.MaxInFlight, Fenced: c.Fenced, Room: c.Room}
 }
 
 // Append appends the change as a line, without its end.
@@ -130,7 +130,7 @@
 	b = appendLimit(append(b, " rate "...), c.Rate)
 	b = number(append(b, " tries "...), c.Tries)
 	b = appendOnOff(append(b, " fence "...), c.Fenced)
-	b = appendLimit(append(b, " hand "...), c.Hand)
+	b = appendLimit(append(b, " hand "...), c.MaxInFlight)
 	return number(append(b, " room "...), c.Room)
 }
 
--- a/runtime/parse_change.go
+++ b/runtime/parse_change.go
@@ -129,7 +129,7 @@
 		w.fail("tries %v are below 0", c.Tries)
 	}
 	c.Fenced = w.onOff("fence")
-	c.Hand = w.limit("hand")
+	c.MaxInFlight = w.limit("hand")
 	w.expect("room")
 	if c.Room = w.float("room"); c.Room < 1 || c.Room > maxPods {
 		w.fail("room %v is not from 1 to %d", c.Room, maxPods)
