--- a/pilot/notices.go
+++ b/pilot/notices.go
@@ -143,7 +143,7 @@
 	if c, ok := ds.limits[name]; ok {
 		return c
 	}
-	return runtime.LimitOf(tenancy.Unlimited(name))
+	return runtime.SetTenantChange(tenancy.Unlimited(name))
 }
 
 // share is a tenant's limit as one of the joined proxies keeps it.
--- a/pilot/pilot.go
+++ b/pilot/pilot.go
@@ -140,7 +140,7 @@
 		p.quarantine = tenancy.NewQuarantine(p.facts.ReportEvery)
 		p.quarantine.Restore(kept)
 		for _, s := range kept {
-			p.desired.limits[s.Tenant] = runtime.LimitOf(s.Limit)
+			p.desired.limits[s.Tenant] = runtime.SetTenantChange(s.Limit)
 		}
 	}
 	p.sessions, p.numbers = map[control.ProxyID]*session{}, map[control.ProxyID]uint64{}
@@ -248,7 +248,7 @@
 func (p *Pilot) sendLimits(limits []tenancy.Limit) {
 	var changes []runtime.Change
 	for _, l := range limits {
-		changes = append(changes, runtime.LimitOf(l))
+		changes = append(changes, runtime.SetTenantChange(l))
 	}
 	p.desired.limit(changes)
 	p.pump()
--- a/runtime/change.go
+++ b/runtime/change.go
@@ -59,8 +59,8 @@
 var agains = [...]string{control.Never: "never", control.IfUnrun: "if-unrun", control.OnceMore: "once",
 	control.TwiceMore: "twice"}
 
-// LimitOf is the change that says a tenant's limit.
-func LimitOf(l tenancy.Limit) Change {
+// SetTenantChange is the change that says a tenant's limit.
+func SetTenantChange(l tenancy.Limit) Change {
 	return Change{Verb: SetTenant, Tenant: l.Tenant, Rate: l.Rate, Tries: l.Tries, MaxInFlight: l.Hand, Fenced: l.Fenced, Room: l.Room}
 }
 
