--- a/stream/stream.go
+++ b/stream/stream.go
@@ -32,8 +32,8 @@
 // mostAhead bounds the bytes that a peer may have sent ahead of what the handler has taken.
 const mostAhead = 64 << 20
 
-// ErrSlow says that the peer read too little of what was sent to it.
-var ErrSlow = errors.New("stream: the peer does not read")
+// ErrSlowPeer says that the peer read too little of what was sent to it.
+var ErrSlowPeer = errors.New("stream: the peer does not read")
 
 // Conn is one connection.
 type Conn struct {
@@ -143,7 +143,7 @@
 	if len(c.out)+len(b) > mostPending {
 		c.ending, c.out = true, nil
 		go c.Close()
-		return ErrSlow
+		return ErrSlowPeer
 	}
 	c.out = append(c.out, b...)
 	if !c.flushing {
--- a/stream/stream_test.go
+++ b/stream/stream_test.go
@@ -66,7 +66,7 @@
 			break
 		}
 	}
-	if err != ErrSlow || c.Send([]byte("x")) == nil {
+	if err != ErrSlowPeer || c.Send([]byte("x")) == nil {
 		t.Errorf("%v", err)
 	}
 	closed.within(t, "one whose peer is too slow")
