--- a/pilot/streams.go
+++ b/pilot/streams.go
@@ -49,7 +49,7 @@
 			block, err = runtime.ParseBlock(lines)
 		}
 		if err != nil {
-			c.pilot.log.Warn("a proxy sent what cannot be read; its stream is closed", "remote", c.stream.Remote(), "error", err)
+			c.pilot.log.Warn("a proxy sent what cannot be read; its stream is closed", "remote", c.stream.RemoteAddress(), "error", err)
 			c.refused = true
 			_ = c.stream.Send(runtime.GoAway{Reason: err.Error()}.Append(nil))
 			c.stream.CloseGracefully()
@@ -132,7 +132,7 @@
 
 // reject closes a stream that did not keep to the rules.
 func (p *Pilot) reject(c *connection, why string) {
-	p.log.Warn("stream refused", "remote", c.stream.Remote(), "reason", why)
+	p.log.Warn("stream refused", "remote", c.stream.RemoteAddress(), "reason", why)
 	p.sendAway(c, runtime.GoAway{Reason: why})
 }
 
@@ -150,7 +150,7 @@
 	for c := range p.connections {
 		quiet := time.Since(c.lastReceived)
 		if c.joined && quiet > p.silent || !c.joined && time.Since(c.opened) > p.silent {
-			p.log.Warn("a stream went silent", "remote", c.stream.Remote(), "for", quiet)
+			p.log.Warn("a stream went silent", "remote", c.stream.RemoteAddress(), "for", quiet)
 			c.stream.Close()
 		} else if c.joined {
 			_ = c.stream.Send([]byte("ping\n"))
--- a/stream/stream.go
+++ b/stream/stream.go
@@ -125,8 +125,8 @@
 	}
 }
 
-// Remote is the peer's address.
-func (c *Conn) Remote() string {
+// RemoteAddress is the peer's address.
+func (c *Conn) RemoteAddress() string {
 	if a := c.nc.RemoteAddr(); a != nil {
 		return a.String()
 	}
