--- a/proxy/tenants.go
+++ b/proxy/tenants.go
@@ -79,7 +79,7 @@
 		field = m.Get(h)
 	}
 	var client netip.Addr
-	if at, err := netip.ParseAddrPort(c.Remote()); err == nil {
+	if at, err := netip.ParseAddrPort(c.RemoteAddress()); err == nil {
 		client = at.Addr()
 	}
 	return t.named(t.match.Of(field, m.Target, client))
--- a/serve/conn.go
+++ b/serve/conn.go
@@ -70,8 +70,8 @@
 	}
 }
 
-// Remote is the client's address.
-func (c *Conn) Remote() string { return c.nc.RemoteAddr().String() }
+// RemoteAddress is the client's address.
+func (c *Conn) RemoteAddress() string { return c.nc.RemoteAddr().String() }
 
 // Answer sends a whole final answer. Where it is the connection's last, because the client or the handler wants it so or
 // the server stops, the answer says so: a client that reads no such word may send its next request, which nobody would take.
--- a/serve/trace_test.go
+++ b/serve/trace_test.go
@@ -46,9 +46,9 @@
 	tr := &trace{began: time.Now(), ended: make(chan struct{})}
 	handle := s.Handle
 	s.Handle = func(c *serve.Conn, m *http1.Message) {
-		tr.note("%s read", c.Remote())
+		tr.note("%s read", c.RemoteAddress())
 		handle(c, m)
-		tr.note("%s answered", c.Remote())
+		tr.note("%s answered", c.RemoteAddress())
 	}
 	s.Net = tracedNet{stream.NetOrSockets(s.Net), tr}
 	go tr.beat()
