--- a/pilot/desired_test.go
+++ b/pilot/desired_test.go
@@ -161,7 +161,7 @@
 		messages, _ := ds.notify(0)
 		return text(messages)
 	}
-	limit := runtime.Change{Verb: runtime.SetTenant, Tenant: "delo", Rate: 8, MaxInFlight: 6, Fenced: true, Room: 1}
+	limit := runtime.Change{Verb: runtime.SetTenant, Tenant: "delo", Rate: 8, MaxInFlight: 6, Fenced: true, SubsetFactor: 1}
 	if got := told(limit); got != "p1 #2 4; set tenant =delo rate 4 tries 0 fence on hand 3 room 1\np2 #2 4; set tenant =delo rate 4 tries 0 fence on hand 3 room 1" {
 		t.Error(got)
 	}
--- a/pilot/notices_test.go
+++ b/pilot/notices_test.go
@@ -60,7 +60,7 @@
 		t.Errorf("%v are yet to be told", ds.due)
 	}
 	ds.limit([]runtime.Change{{Verb: runtime.SetTenant, Tenant: "delo", Rate: 8, MaxInFlight: 6}})
-	ds.limit([]runtime.Change{{Verb: runtime.SetTenant, Tenant: "delo", Rate: -1, MaxInFlight: -1, Room: 1}})
+	ds.limit([]runtime.Change{{Verb: runtime.SetTenant, Tenant: "delo", Rate: -1, MaxInFlight: -1, SubsetFactor: 1}})
 	messages, _ := ds.write([]control.Order{control.Checkpoint{All: true}})
 	if got := text(messages); !strings.Contains(got, "set tenant =delo rate * ") {
 		t.Errorf("a limit that was lifted while others waited: %q", got)
--- a/pilot/reconcile_test.go
+++ b/pilot/reconcile_test.go
@@ -158,7 +158,7 @@
 	r := newRig(t)
 	r.loop(func() {
 		r.p.channel.most = 0
-		r.p.desired.limits["delo"] = runtime.Change{Verb: runtime.SetTenant, Tenant: "delo", Rate: 8, MaxInFlight: 6, Room: 1}
+		r.p.desired.limits["delo"] = runtime.Change{Verb: runtime.SetTenant, Tenant: "delo", Rate: 8, MaxInFlight: 6, SubsetFactor: 1}
 	})
 	c, _ := dial(t, r.p.Address())
 	fmt.Fprint(c, "hello 1 token x zone 0 rate 1 holds q 7 3 window 1000 standing - digests 1234\n\n")
--- a/runtime/change.go
+++ b/runtime/change.go
@@ -42,7 +42,7 @@
 	RetriesPerOp float64 // beyond the first, for each op
 	Fenced       bool    // to one pod of its subset alone
 	MaxInFlight  float64 // ops in hand at this proxy at a time; below 0: no limit
-	Room         float64 // times the pods that its subset has by itself
+	SubsetFactor float64 // times the pods that its subset has by itself
 	Digest       uint64
 	Number       uint64 // of a binding, among those of its pilot
 	Seat         tenancy.Seat
@@ -61,12 +61,12 @@
 
 // SetTenantChange is the change that says a tenant's limit.
 func SetTenantChange(l tenancy.Limit) Change {
-	return Change{Verb: SetTenant, Tenant: l.Tenant, Rate: l.Rate, RetriesPerOp: l.Tries, MaxInFlight: l.Hand, Fenced: l.Fenced, Room: l.Room}
+	return Change{Verb: SetTenant, Tenant: l.Tenant, Rate: l.Rate, RetriesPerOp: l.Tries, MaxInFlight: l.Hand, Fenced: l.Fenced, SubsetFactor: l.Room}
 }
 
 // Limit is what a SetTenant says.
 func (c Change) Limit() tenancy.Limit {
-	return tenancy.Limit{Tenant: c.Tenant, Rate: c.Rate, Tries: c.RetriesPerOp, Hand: c.MaxInFlight, Fenced: c.Fenced, Room: c.Room}
+	return tenancy.Limit{Tenant: c.Tenant, Rate: c.Rate, Tries: c.RetriesPerOp, Hand: c.MaxInFlight, Fenced: c.Fenced, Room: c.SubsetFactor}
 }
 
 // Append appends the change as a line, without its end.
@@ -131,7 +131,7 @@
 	b = number(append(b, " tries "...), c.RetriesPerOp)
 	b = appendOnOff(append(b, " fence "...), c.Fenced)
 	b = appendLimit(append(b, " hand "...), c.MaxInFlight)
-	return number(append(b, " room "...), c.Room)
+	return number(append(b, " room "...), c.SubsetFactor)
 }
 
 func (c Change) appendSetBinding(b []byte) []byte {
--- a/runtime/parse_change.go
+++ b/runtime/parse_change.go
@@ -131,8 +131,8 @@
 	c.Fenced = w.onOff("fence")
 	c.MaxInFlight = w.limit("hand")
 	w.expect("room")
-	if c.Room = w.float("room"); c.Room < 1 || c.Room > maxPods {
-		w.fail("room %v is not from 1 to %d", c.Room, maxPods)
+	if c.SubsetFactor = w.float("room"); c.SubsetFactor < 1 || c.SubsetFactor > maxPods {
+		w.fail("room %v is not from 1 to %d", c.SubsetFactor, maxPods)
 	}
 }
 
