--- a/stream/accept_test.go
+++ b/stream/accept_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestAcceptDoesNotWait guards against a listener that holds up its poller, and a stop, where nobody waits to be accepted.
-func TestAcceptDoesNotWait(t *testing.T) {
+// TestAcceptDoesNotBlock guards against a listener that blocks its poller, or a stop, while no connection is waiting.
+func TestAcceptDoesNotBlock(t *testing.T) {
 	ln, err := NewListener("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -16,9 +16,9 @@
 	go func() {
 		c, err := ln.Accept()
 		if c != nil {
-			t.Errorf("it accepted %v", c.RemoteAddr())
+			t.Errorf("Accept returned a connection of %v, though nobody dialled", c.RemoteAddr())
 		}
-		ln.(*listener).acceptRest(context.Background())
+		ln.(*listener).acceptPendingAndRefuse(context.Background())
 		done <- err
 	}()
 	select {
@@ -27,7 +27,7 @@
 			t.Error(err)
 		}
 	case <-time.After(5 * time.Second):
-		t.Fatal("it waits for a connection")
+		t.Fatal("Accept or acceptPendingAndRefuse still waits for a connection after 5 s")
 	}
 	if err := ln.Close(); err != nil {
 		t.Error(err)
--- a/stream/ends_test.go
+++ b/stream/ends_test.go
@@ -12,74 +12,76 @@
 	"github.com/cloudwego/netpoll"
 )
 
-// lateNet dials, and returns once the peer has closed.
-type lateNet struct {
+// peerClosingNet dials connections whose peer closes before Dial returns or, with afterHandler, while SetOnRequest is called.
+type peerClosingNet struct {
 	Net
-	atRequest bool // once it has closed after the handler was set, no sooner
-	leave     chan bool
+	afterHandler bool      // the peer closes after the request handler was set
+	leave        chan bool // closed to make the peer close
 }
 
-// lateConnection has its peer leave as its handler is set.
-type lateConnection struct {
+// peerClosingConnection is a connection whose peer closes just after its request handler was set.
+type peerClosingConnection struct {
 	*netpoll.TCPConnection
 	leave chan bool
 }
 
-func (c *lateConnection) SetOnRequest(on netpoll.OnRequest) error {
+func (c *peerClosingConnection) SetOnRequest(on netpoll.OnRequest) error {
 	err := c.TCPConnection.SetOnRequest(on)
 	close(c.leave)
 	awaitPeerGone(c)
 	return err
 }
 
+// awaitPeerGone waits until netpoll has noticed that the peer of a connection has closed.
 func awaitPeerGone(c netpoll.Connection) {
 	for end := time.Now().Add(20 * time.Second); c.IsActive() && time.Now().Before(end); {
 		time.Sleep(100 * time.Microsecond)
 	}
-	time.Sleep(10 * time.Millisecond) // netpoll calls back in a goroutine of its own
+	time.Sleep(10 * time.Millisecond) // netpoll runs the callbacks in another goroutine
 }
 
-func (n lateNet) Dial(network, address string, timeout time.Duration) (netpoll.Connection, error) {
+func (n peerClosingNet) Dial(network, address string, timeout time.Duration) (netpoll.Connection, error) {
 	nc, err := NetOrSockets(nil).Dial(network, address, timeout)
 	if err != nil {
 		return nil, err
 	}
-	if n.atRequest {
-		return &lateConnection{nc.(*netpoll.TCPConnection), n.leave}, nil
+	if n.afterHandler {
+		return &peerClosingConnection{nc.(*netpoll.TCPConnection), n.leave}, nil
 	}
 	close(n.leave)
 	awaitPeerGone(nc)
 	return nc, nil
 }
 
-// lastWords keeps what came before the end.
-type lastWords struct {
-	mu    sync.Mutex
-	came  []byte
-	ended chan string
-	ends  atomic.Int64
+// recorder is a handler that records the received bytes and the calls of Closed.
+type recorder struct {
+	mu       sync.Mutex
+	received []byte
+	closed   chan string // at each call of Closed, the bytes received before it
+	closes   atomic.Int64
 }
 
-func newLastWords() *lastWords { return &lastWords{ended: make(chan string, 10)} }
+func newRecorder() *recorder { return &recorder{closed: make(chan string, 10)} }
 
-func (h *lastWords) Data(_ *Conn, b []byte) {
+func (h *recorder) Data(_ *Conn, b []byte) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.came = append(h.came, b...)
+	h.received = append(h.received, b...)
 }
 
-func (h *lastWords) Closed(*Conn) {
+func (h *recorder) Closed(*Conn) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.ends.Add(1)
-	h.ended <- string(h.came)
+	h.closes.Add(1)
+	h.closed <- string(h.received)
 }
 
-// TestPeerLeavesWhileDialling guards against a dialler that is never told that its connection ended, because its peer left before
-// the handler was set or between that and the close callback: netpoll closes by itself only what has a handler by then.
-func TestPeerLeavesWhileDialling(t *testing.T) {
-	for _, words := range []string{"", "last words"} {
-		for _, atRequest := range []bool{false, true} {
+// TestPeerClosesDuringDial guards against a dialled connection whose handler is never notified of its close, because the
+// peer closed before the request handler was set or just after that: netpoll itself closes only connections that have a
+// request handler by then.
+func TestPeerClosesDuringDial(t *testing.T) {
+	for _, text := range []string{"", "last words"} {
+		for _, afterHandler := range []bool{false, true} {
 			ln, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
 				t.Fatal(err)
@@ -91,27 +93,27 @@
 					return
 				}
 				<-leave
-				_, _ = peer.Write([]byte(words))
+				_, _ = peer.Write([]byte(text))
 				peer.Close()
 			}()
-			h := newLastWords()
-			c, err := Dial(lateNet{atRequest: atRequest, leave: leave}, ln.Addr().String(), time.Second, h)
+			h := newRecorder()
+			c, err := Dial(peerClosingNet{afterHandler: afterHandler, leave: leave}, ln.Addr().String(), time.Second, h)
 			if err != nil {
 				t.Fatal(err)
 			}
 			select {
-			case came := <-h.ended:
-				if came != words {
-					t.Errorf("%q, handler set %v: %q came before the end", words, atRequest, came)
+			case received := <-h.closed:
+				if received != text {
+					t.Errorf("peer sends %q and closes, after the handler was set %v: received %q", text, afterHandler, received)
 				}
 				awaitDescriptorClosed(t, c)
 			case <-time.After(2 * time.Second):
-				t.Errorf("%q, handler set %v: never told of the end", words, atRequest)
+				t.Errorf("peer sends %q and closes, after the handler was set %v: Closed was not called", text, afterHandler)
 			}
 			c.Close()
 			time.Sleep(10 * time.Millisecond)
-			if n := h.ends.Load(); n != 1 {
-				t.Errorf("%q, handler set %v: told of the end %d times", words, atRequest, n)
+			if n := h.closes.Load(); n != 1 {
+				t.Errorf("peer sends %q and closes, after the handler was set %v: Closed was called %d times", text, afterHandler, n)
 			}
 			ln.Close()
 		}
@@ -125,18 +127,18 @@
 	var stat syscall.Stat_t
 	for end := time.Now().Add(20 * time.Second); syscall.Fstat(fd, &stat) != syscall.EBADF; {
 		if time.Now().After(end) {
-			t.Error("its descriptor stays open")
+			t.Error("the descriptor of the closed connection is still open after 20 s")
 			return
 		}
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// TestCloseWhileAccepted guards against a connection that is closed by another goroutine between accept and its registration with
-// the poller, which netpoll doesn't bear: it registers what has been given back.
-func TestCloseWhileAccepted(t *testing.T) {
+// TestCloseDuringAccept guards against the close of a connection by another goroutine between accept and registration with
+// the poller. netpoll does not tolerate that: it would register a connection that it has already recycled.
+func TestCloseDuringAccept(t *testing.T) {
 	const connections = 5000
-	var ends, accepted atomic.Int64
+	var closes, accepted atomic.Int64
 	l, err := Listen(nil, "127.0.0.1:0", func(c *Conn) Handler {
 		wait := time.Duration(accepted.Add(1)%50) * time.Microsecond
 		begun := make(chan bool)
@@ -147,7 +149,7 @@
 			c.Close()
 		}()
 		<-begun
-		return counted{&ends}
+		return closeCounter{&closes}
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -160,21 +162,21 @@
 		}
 		_ = peer.SetDeadline(time.Now().Add(5 * time.Second))
 		if _, err := peer.Read(make([]byte, 1)); err != nil && isTimeout(err) {
-			t.Fatal("a connection that was closed stays open")
+			t.Fatal("a connection that was closed is still open for the peer after 5 s")
 		}
 		peer.Close()
 	}
-	for end := time.Now().Add(5 * time.Second); ends.Load() < connections && time.Now().Before(end); {
+	for end := time.Now().Add(5 * time.Second); closes.Load() < connections && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
-	if n := ends.Load(); n != connections {
-		t.Errorf("%d connections were told of %d ends", connections, n)
+	if n := closes.Load(); n != connections {
+		t.Errorf("for %d connections Closed was called %d times", connections, n)
 	}
-	for end := time.Now().Add(5 * time.Second); len(l.open()) > 0 && time.Now().Before(end); {
+	for end := time.Now().Add(5 * time.Second); len(l.openConns()) > 0 && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
-	if n := len(l.open()); n > 0 {
-		t.Errorf("%d connections are kept", n)
+	if n := len(l.openConns()); n > 0 {
+		t.Errorf("the listener still holds %d connections", n)
 	}
 }
 
@@ -183,15 +185,16 @@
 	return ok && e.Timeout()
 }
 
-// counted is a handler that counts ends.
-type counted struct{ ends *atomic.Int64 }
+// closeCounter is a handler that counts the calls of Closed.
+type closeCounter struct{ closes *atomic.Int64 }
 
-func (h counted) Data(*Conn, []byte) {}
-func (h counted) Closed(*Conn)       { h.ends.Add(1) }
+func (h closeCounter) Data(*Conn, []byte) {}
+func (h closeCounter) Closed(*Conn)       { h.closes.Add(1) }
 
-// TestPeerSaysAndLeaves guards against the same over and over at any timing: a peer that says why and closes as soon as it is
-// reached, as a pilot without room does. Whoever dialled hears why, and that it is over.
-func TestPeerSaysAndLeaves(t *testing.T) {
+// TestPeerSendsAndCloses guards, over many dials and thus at varying timing, against lost bytes and lost notifications from
+// a peer that sends a reason and closes as soon as it is dialled, as a pilot without room does: the handler must get both
+// the reason and Closed.
+func TestPeerSendsAndCloses(t *testing.T) {
 	const dials = 10000
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -208,40 +211,40 @@
 			peer.Close()
 		}
 	}()
-	reached, lost := 0, 0
-	var all []*lastWords
+	connected, lost := 0, 0
+	var all []*recorder
 	for range dials {
-		h := newLastWords()
+		h := newRecorder()
 		if _, err := Dial(nil, ln.Addr().String(), 5*time.Second, h); err != nil {
-			continue // it had left by then
+			continue // the peer had already closed
 		}
-		reached++
+		connected++
 		all = append(all, h)
 	}
-	untold := 0
+	unnotified := 0
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
 	for _, h := range all {
 		select {
-		case came := <-h.ended:
-			if came != "no room" {
+		case received := <-h.closed:
+			if received != "no room" {
 				lost++
 			}
 			continue
 		case <-ctx.Done():
 		}
-		if h.ends.Load() == 0 {
-			untold++
+		if h.closes.Load() == 0 {
+			unnotified++
 		}
 	}
-	if reached == 0 || untold > 0 || lost > 0 {
-		t.Errorf("of %d connections %d were never told of the end, %d lost what came before it", reached, untold, lost)
+	if connected == 0 || unnotified > 0 || lost > 0 {
+		t.Errorf("of %d connections %d were not notified of the close, %d lost bytes received before it", connected, unnotified, lost)
 	}
-	t.Logf("%d of %d dials reached the peer", reached, dials)
+	t.Logf("%d of %d dials succeeded", connected, dials)
 }
 
-// closingPeers listens for connections that it closes at the first byte; it returns the address.
-func closingPeers(t *testing.T) string {
+// listenAndClose listens for connections and closes each at its first byte. It returns the address.
+func listenAndClose(t *testing.T) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -262,12 +265,13 @@
 	return ln.Addr().String()
 }
 
-// TestDialsBesideCloses guards against a dial that fails though nobody closed it, because an event of a connection whose descriptor it
-// took is meant for it: half of the peers close as the dialler does.
-func TestDialsBesideCloses(t *testing.T) {
+// TestDialsDuringCloses guards against a dial that fails though nobody closed its connection, because netpoll delivers to it
+// a late event of the closed connection whose descriptor it has reused. Half of the peers close at the same time as the
+// dialling side.
+func TestDialsDuringCloses(t *testing.T) {
 	const diallers, dials = 16, 1000
-	peers := closingPeers(t)
-	var failed, ended atomic.Int64
+	peers := listenAndClose(t)
+	var failed, closed atomic.Int64
 	var done sync.WaitGroup
 	for range diallers {
 		done.Go(func() {
@@ -279,7 +283,7 @@
 				}
 				time.Sleep(100 * time.Microsecond)
 				if !nc.IsActive() {
-					ended.Add(1)
+					closed.Add(1)
 				}
 				if i%2 == 0 {
 					_, _ = nc.Write([]byte("x"))
@@ -289,27 +293,28 @@
 		})
 	}
 	done.Wait()
-	if failed.Load() > 0 || ended.Load() > 0 {
-		t.Errorf("of %d dials %d failed and %d connections ended though nobody closed them", diallers*dials, failed.Load(), ended.Load())
+	if failed.Load() > 0 || closed.Load() > 0 {
+		t.Errorf("of %d dials %d failed and %d connections closed though nobody closed them",
+			diallers*dials, failed.Load(), closed.Load())
 	}
 }
 
-// answering sends back what came.
-type answering struct{}
+// echo is a handler that sends the received bytes back.
+type echo struct{}
 
-func (answering) Data(c *Conn, b []byte) { _ = c.Send(b) }
-func (answering) Closed(*Conn)           {}
+func (echo) Data(c *Conn, b []byte) { _ = c.Send(b) }
+func (echo) Closed(*Conn)           {}
 
-// TestAnswersBesideCloses guards against an accepted connection that ends though nobody closed it, for the end of a dialled one whose
-// descriptor it took.
-func TestAnswersBesideCloses(t *testing.T) {
+// TestAnswersDuringCloses guards against an accepted connection that closes though nobody closed it, because netpoll
+// delivers to it the close event of a dialled connection whose descriptor it has reused.
+func TestAnswersDuringCloses(t *testing.T) {
 	const clients, calls = 8, 1000
-	l, err := Listen(nil, "127.0.0.1:0", func(*Conn) Handler { return answering{} })
+	l, err := Listen(nil, "127.0.0.1:0", func(*Conn) Handler { return echo{} })
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	peers := closingPeers(t)
+	peers := listenAndClose(t)
 	var lost atomic.Int64
 	var calling, dialling sync.WaitGroup
 	ctx, cancel := context.WithCancel(context.Background())
@@ -331,7 +336,7 @@
 	}
 }
 
-// dialAndClose opens connections and closes each as its peer does.
+// dialAndClose makes connections until the context ends, and closes each at about the same time as its peer does.
 func dialAndClose(ctx context.Context, address string) {
 	for ctx.Err() == nil {
 		nc, err := NetOrSockets(nil).Dial("tcp", address, 5*time.Second)
@@ -344,7 +349,7 @@
 	}
 }
 
-// answered tells whether a call on a connection of its own is answered.
+// answered reports whether a call on a new connection is answered within 5 s.
 func answered(address string) bool {
 	c, err := net.Dial("tcp", address)
 	if err != nil {
@@ -360,8 +365,8 @@
 	return err == nil
 }
 
-// TestRefusedIsClosedOnce guards against a client that is shut down in place of one that was refused: whoever refused it closes it once
-// more, when its descriptor is another's.
+// TestRefusedIsClosedOnce guards against the shutdown of another client's connection: the function that has refused a
+// connection closes it again, when its descriptor may already belong to the other client.
 func TestRefusedIsClosedOnce(t *testing.T) {
 	var hooks Hooks
 	var refused *Conn
@@ -372,15 +377,15 @@
 	nc := &countingConnection{}
 	hooks.Prepare(nc)
 	if nc.closes != 1 {
-		t.Errorf("a connection that was refused is closed %d times", nc.closes)
+		t.Errorf("the refused connection was closed %d times", nc.closes)
 	}
 	refused.Close()
-	if nc.shuts > 0 {
-		t.Error("it is shut down after it was closed")
+	if nc.shutdowns > 0 {
+		t.Error("the refused connection was shut down after it was closed")
 	}
 }
 
-// hookNet keeps what a server is to be told of, and serves nobody.
+// hookNet is a Net whose servers accept no connections; it stores the hooks for the test to call.
 type hookNet struct {
 	Net
 	hooks *Hooks
@@ -391,16 +396,16 @@
 	return addressOnly{}, nil
 }
 
-// addressOnly is a server that has nothing but an address.
+// addressOnly is a Server that has only an address.
 type addressOnly struct{ Server }
 
 func (addressOnly) Address() string { return "127.0.0.1:1" }
 
-// countingConnection counts how often it is closed and shut down.
+// countingConnection is a connection that counts how often it is closed and shut down.
 type countingConnection struct {
 	netpoll.Connection
-	closes, shuts int
+	closes, shutdowns int
 }
 
 func (c *countingConnection) Close() error { c.closes++; return nil }
-func (c *countingConnection) Shut()        { c.shuts++ }
+func (c *countingConnection) Shut()        { c.shutdowns++ }
--- a/stream/guard.go
+++ b/stream/guard.go
@@ -7,46 +7,49 @@
 	"github.com/cloudwego/netpoll"
 )
 
-// Guard ends a netpoll connection at any time of its life. netpoll bears the close of an accepted connection only once its poller
-// knows it, and when the connection has ended its descriptor may be another's.
+// Guard closes a netpoll connection safely at any point of its life. netpoll tolerates the close of an accepted connection
+// only once the connection is registered with its poller, and after the connection has closed its descriptor may belong to
+// another connection.
 type Guard struct {
 	nc         netpoll.Connection
-	registered atomic.Bool
+	registered atomic.Bool // with netpoll's poller
 	mu         sync.Mutex
-	released   bool
+	released   bool // the descriptor may be closed already and must not be used
 }
 
-// NewGuard guards a connection that the poller does not know yet.
+// NewGuard returns a guard for a connection that is not registered with the poller yet.
 func NewGuard(nc netpoll.Connection) *Guard { return &Guard{nc: nc} }
 
-// Register notes that the poller knows the connection.
+// Register records that the connection is registered with the poller.
 func (g *Guard) Register() { g.registered.Store(true) }
 
-// Release notes that netpoll is about to close the descriptor, or may have: it isn't shut down any more.
+// Release records that netpoll is about to close the descriptor, or may have closed it. The guard does not use it any more.
 func (g *Guard) Release() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.released = true
 }
 
-// Close closes the connection. One that the poller does not know yet is shut down, at which the poller closes it as it comes to know it.
+// Close closes the connection. A connection that is not registered with the poller yet is shut down instead, which makes the
+// poller close it on registration.
 func (g *Guard) Close() {
 	if g.registered.Load() {
 		_ = g.nc.Close()
 	} else {
-		g.shut()
+		g.shutdown()
 	}
 }
 
-// Abort closes the connection also for whoever reads from it at the moment.
+// Abort closes the connection, and shuts its socket down first, so that a goroutine that is reading from it stops too.
 func (g *Guard) Abort() {
-	g.shut()
+	g.shutdown()
 	if g.registered.Load() {
 		_ = g.nc.Close()
 	}
 }
 
-func (g *Guard) shut() {
+// shutdown shuts the connection down in both directions unless its descriptor has been released.
+func (g *Guard) shutdown() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if !g.released {
@@ -54,8 +57,8 @@
 	}
 }
 
-// ShutWrite tells the peer that nothing more will be written; false where the connection has ended or cannot be closed in one
-// direction alone.
+// ShutWrite closes the write direction of the connection. It returns false if the connection has closed or does not support
+// this.
 func (g *Guard) ShutWrite() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/stream/listener.go
+++ b/stream/listener.go
@@ -14,9 +14,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// NewListener listens for netpoll. Its own listeners close their descriptor twice, which in a process that opens others
-// meanwhile closes one of those; this one closes it once, and accepts nothing after. What netpoll polls is not the socket but an
-// epoll descriptor over it, which says no more than that Accept is to be called.
+// NewListener returns a listener for use with netpoll. netpoll's own listeners close their descriptor twice; if another file
+// was opened in between, the second close hits that file's descriptor. This listener closes its descriptor once and accepts
+// nothing afterwards. netpoll does not poll the socket itself but an epoll descriptor that watches the socket: its only
+// meaning is that Accept should be called.
 func NewListener(network, address string) (netpoll.Listener, error) {
 	ln, err := net.Listen(network, address)
 	if err != nil {
@@ -32,50 +33,51 @@
 		ln.Close()
 		return nil, fmt.Errorf("listen on %s: %w", address, err)
 	}
-	fd := int(file.Fd()) // each call of Fd makes the descriptor a blocking one
+	fd := int(file.Fd()) // Fd sets the descriptor to blocking mode at each call
 	if err := syscall.SetNonblock(fd, true); err != nil {
 		file.Close()
 		ln.Close()
 		return nil, fmt.Errorf("listen on %s: %w", address, err)
 	}
-	ready, err := readiness(fd)
+	pollFD, err := newReadinessPoll(fd)
 	if err != nil {
 		file.Close()
 		ln.Close()
 		return nil, fmt.Errorf("listen on %s: %w", address, err)
 	}
-	return &listener{ln: ln, file: file, fd: fd, ready: ready, network: network}, nil
+	return &listener{ln: ln, file: file, fd: fd, pollFD: pollFD, network: network}, nil
 }
 
-// readiness returns an epoll descriptor that is readable while the other one is, or has ended.
-func readiness(fd int) (int, error) {
-	ready, err := unix.EpollCreate1(unix.EPOLL_CLOEXEC)
+// newReadinessPoll returns an epoll descriptor that is readable while the descriptor fd is readable or shut down.
+func newReadinessPoll(fd int) (int, error) {
+	pollFD, err := unix.EpollCreate1(unix.EPOLL_CLOEXEC)
 	if err != nil {
 		return 0, err
 	}
-	if err := unix.EpollCtl(ready, unix.EPOLL_CTL_ADD, fd, &unix.EpollEvent{Events: unix.EPOLLIN}); err != nil {
-		_ = unix.Close(ready)
+	if err := unix.EpollCtl(pollFD, unix.EPOLL_CTL_ADD, fd, &unix.EpollEvent{Events: unix.EPOLLIN}); err != nil {
+		_ = unix.Close(pollFD)
 		return 0, err
 	}
-	return ready, nil
+	return pollFD, nil
 }
 
+// listener is the listener that NewListener returns.
 type listener struct {
 	ln       net.Listener
-	file     *os.File
-	fd       int
-	ready    int // what netpoll polls
+	file     *os.File // a duplicate of the socket of ln
+	fd       int      // the descriptor of file
+	pollFD   int      // the epoll descriptor that netpoll polls
 	network  string
 	mu       sync.Mutex
 	closed   bool
 	refusing bool       // the socket is shut down
-	rest     []net.Conn // accepted by acceptRest and not returned by Accept yet
-	drained  bool       // Accept has said that rest is empty
+	pending  []net.Conn // accepted by refuse but not returned by Accept yet
+	drained  bool       // Accept has reported once that pending is empty
 }
 
-// accepted is a connection as netpoll takes it over: a descriptor and its addresses.
+// accepted is an accepted connection in the form that netpoll needs: a descriptor and its addresses.
 type accepted struct {
-	net.Conn // none: netpoll reads and writes by the descriptor
+	net.Conn // nil: netpoll reads and writes through the descriptor
 	fd       int
 	local    net.Addr
 	remote   net.Addr
@@ -85,18 +87,19 @@
 func (a *accepted) LocalAddr() net.Addr  { return a.local }
 func (a *accepted) RemoteAddr() net.Addr { return a.remote }
 
-// Accept returns nil and no error where nobody waits, as netpoll expects it. Connections that acceptRest took over come first. Once
-// the listener refuses and these are returned it says so once, as netpoll awaits it where descriptors had run out, and from then on
-// returns net.ErrClosed, at which netpoll lets go of the listener.
+// Accept returns nil and no error if no connection is waiting, as netpoll expects. Connections that refuse has already
+// accepted are returned first. Once the listener refuses and these are all returned, Accept returns nil and no error once
+// more, because netpoll waits for that result after it had run out of descriptors. After that it returns net.ErrClosed, at
+// which netpoll releases the listener.
 func (l *listener) Accept() (net.Conn, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
 	case l.closed:
 		return nil, net.ErrClosed
-	case len(l.rest) > 0:
-		next := l.rest[0]
-		l.rest = l.rest[1:]
+	case len(l.pending) > 0:
+		next := l.pending[0]
+		l.pending = l.pending[1:]
 		return next, nil
 	case !l.refusing:
 		return l.acceptOne()
@@ -107,7 +110,7 @@
 	return nil, net.ErrClosed
 }
 
-// acceptOne takes a connection from the socket; nil and no error where none waits there.
+// acceptOne accepts a connection from the socket. It returns nil and no error if none is waiting.
 func (l *listener) acceptOne() (net.Conn, error) {
 	fd, sa, err := syscall.Accept4(l.fd, syscall.SOCK_NONBLOCK|syscall.SOCK_CLOEXEC)
 	for errors.Is(err, syscall.EINTR) || errors.Is(err, syscall.ECONNABORTED) {
@@ -117,9 +120,9 @@
 	case errors.Is(err, syscall.EAGAIN):
 		return nil, nil
 	case err != nil:
-		return nil, err // as it is: netpoll knows by its type that descriptors ran out, and waits
+		return nil, err // not wrapped: netpoll recognizes by the error's type that descriptors have run out, and then waits
 	}
-	fd = apart(fd)
+	fd = moveDescriptor(fd)
 	a := &accepted{fd: fd, local: l.ln.Addr()}
 	switch sa := sa.(type) {
 	case *syscall.SockaddrInet4:
@@ -135,19 +138,19 @@
 	return a, nil
 }
 
-// acceptRest takes over the connections that wait to be accepted, for Accept to return, and has the address refuse others. Where
-// descriptors have run out it waits until the rest could be taken over, or the context has ended.
-func (l *listener) acceptRest(ctx context.Context) {
-	l.keepOthersOut()
+// acceptPendingAndRefuse accepts the connections that are waiting, for Accept to return, and refuses all later ones. If
+// descriptors have run out, it retries until all waiting connections are accepted or the context has ended.
+func (l *listener) acceptPendingAndRefuse(ctx context.Context) {
+	l.blockNewConnections()
 	for !l.refuse(ctx) {
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// keepOthersOut has the queue of those that wait only shrink, however fast clients dial: of length 0 it takes a connection once none
-// waits, and with a filter that drops all it takes none. Where the system has no such filter, a connection that comes in the instant
-// between the last accept and the shutdown is reset.
-func (l *listener) keepOthersOut() {
+// blockNewConnections keeps new connections out of the accept queue, so that the queue only shrinks however fast clients
+// dial. A queue of length 0 still takes a connection when it is empty; a socket filter that drops every packet prevents that
+// too. If the system does not support the filter, a connection made between the last accept and the shutdown is reset.
+func (l *listener) blockNewConnections() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.closed || l.refusing {
@@ -159,8 +162,9 @@
 	_ = syscall.Listen(l.fd, 0)
 }
 
-// refuse accepts all that wait, however slowly they are handed on, and shuts the socket down as soon as none does or the context has
-// ended; the descriptor stays. It returns false where a connection waits that cannot be accepted yet.
+// refuse accepts all waiting connections, independently of how fast Accept returns them, and shuts the socket down as soon
+// as none is waiting or the context has ended. The descriptor stays open. It returns false if a waiting connection cannot be
+// accepted yet.
 func (l *listener) refuse(ctx context.Context) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -175,14 +179,14 @@
 		if next == nil {
 			break
 		}
-		l.rest = append(l.rest, next)
+		l.pending = append(l.pending, next)
 	}
 	_ = syscall.Shutdown(l.fd, syscall.SHUT_RDWR)
 	l.refusing = true
 	return true
 }
 
-// Close stops listening and ends the connections that Accept did not return.
+// Close stops listening and closes the accepted connections that Accept has not returned. Further calls do nothing.
 func (l *listener) Close() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -190,13 +194,13 @@
 		return nil
 	}
 	l.closed = true
-	for _, c := range l.rest {
+	for _, c := range l.pending {
 		_ = syscall.Close(c.(netpoll.Conn).Fd())
 	}
-	_ = unix.Close(l.ready)
+	_ = unix.Close(l.pollFD)
 	l.file.Close()
 	return l.ln.Close()
 }
 
 func (l *listener) Addr() net.Addr { return l.ln.Addr() }
-func (l *listener) Fd() int        { return l.ready }
+func (l *listener) Fd() int        { return l.pollFD }
--- a/stream/net.go
+++ b/stream/net.go
@@ -9,16 +9,16 @@
 	"github.com/cloudwego/netpoll"
 )
 
-// Net is how connections come about: sockets, or in a rehearsal links in memory. A nil one stands for sockets where a
-// package takes one.
+// Net makes connections, over sockets or, in simulations, over links in memory. Wherever a function takes a Net, nil stands
+// for sockets.
 type Net interface {
 	Dial(network, address string, timeout time.Duration) (netpoll.Connection, error)
 	Serve(network, address string, h Hooks) (Server, error)
 }
 
-// Hooks are what a server is told of its connections. Prepare comes before anything else of a connection; what it returns
-// goes to the others. Request comes whenever bytes are there, one call at a time a connection. Gone, if not nil, comes as
-// the peer goes, also while a request is under way.
+// Hooks are the callbacks of a Server for its connections. Prepare is called first, and the context that it returns is
+// passed to the other two. Request is called whenever there are unread bytes, with one call at a time per connection.
+// Disconnected, if not nil, is called as soon as the peer disconnects, even while a call of Request is running.
 type Hooks struct {
 	Prepare      func(netpoll.Connection) context.Context
 	Request      func(context.Context, netpoll.Connection) error
@@ -27,17 +27,18 @@
 
 // Server accepts connections.
 type Server interface {
+	// Address returns the address on which the server listens.
 	Address() string
 
-	// Refuse accepts no more. Connections go on, those included that had been made and waited to be accepted; it returns
-	// once these were, or the context has ended.
+	// Refuse refuses new connections. Open connections stay open; those that are waiting to be accepted are still accepted.
+	// Refuse returns once they are, or once the context has ended.
 	Refuse(ctx context.Context)
 
-	// Stop accepts no more; connections that are idle close, others are waited for until the context ends.
+	// Stop refuses new connections, closes idle ones and waits for the others until the context ends.
 	Stop(ctx context.Context)
 }
 
-// NetOrSockets is the net given, or sockets.
+// NetOrSockets returns n, or the Net of sockets if n is nil.
 func NetOrSockets(n Net) Net {
 	if n == nil {
 		return sockets{}
@@ -45,7 +46,8 @@
 	return n
 }
 
-// Shutdown ends a connection in both directions without taking its buffers back, so that whoever still reads from it may.
+// Shutdown shuts a connection down in both directions without releasing its buffers, so that a goroutine that is still
+// reading from it can go on.
 func Shutdown(nc netpoll.Connection) {
 	switch nc := nc.(type) {
 	case netpoll.Conn:
@@ -55,19 +57,21 @@
 	}
 }
 
-// ShutWrite tells the peer that nothing more will be written, and goes on reading; false where the connection cannot be
-// closed in one direction alone.
+// ShutWrite closes the write direction of a connection, which can still be read. It returns false if the connection does not
+// support this, or if the system call fails.
 func ShutWrite(nc netpoll.Connection) bool {
 	socket, ok := nc.(netpoll.Conn)
 	return ok && syscall.Shutdown(socket.Fd(), syscall.SHUT_WR) == nil
 }
 
+// sockets is the Net of TCP and Unix sockets.
 type sockets struct{}
 
+// Dial retries a dial that netpoll reports as closed by the peer up to maxFalseCloseRetries times, within the timeout.
 func (sockets) Dial(network, address string, timeout time.Duration) (netpoll.Connection, error) {
 	deadline := time.Now().Add(timeout)
 	nc, err := netpoll.DialConnection(network, address, timeout)
-	for again := 0; again < mostFalseEnds && errors.Is(err, netpoll.ErrConnClosed); again++ {
+	for retry := 0; retry < maxFalseCloseRetries && errors.Is(err, netpoll.ErrConnClosed); retry++ {
 		left := time.Until(deadline)
 		if left <= 0 {
 			break
@@ -77,6 +81,7 @@
 	return nc, err
 }
 
+// Serve accepts connections in an event loop of their own.
 func (sockets) Serve(network, address string, h Hooks) (Server, error) {
 	ln, err := NewListener(network, address)
 	if err != nil {
@@ -98,27 +103,30 @@
 	return s, nil
 }
 
+// socketServer is a Server that runs a netpoll event loop.
 type socketServer struct {
 	address string
 	ln      *listener
 	loop    netpoll.EventLoop
-	done    chan struct{} // closed once the loop serves no more
+	done    chan struct{} // closed once loop.Serve has returned
 }
 
 func (s *socketServer) Address() string { return s.address }
 
-// Refuse has the listener refuse, and waits until the loop has taken over what the listener had accepted and let go of it; it does not
-// look at its connections then, as it does when it is itself shut down.
+// Refuse makes the listener refuse new connections, and waits until the event loop has taken the connections that the
+// listener had accepted and has released the listener. Unlike a shutdown of the loop, this does not touch the open
+// connections.
 func (s *socketServer) Refuse(ctx context.Context) {
-	s.ln.acceptRest(ctx)
+	s.ln.acceptPendingAndRefuse(ctx)
 	select {
 	case <-s.done:
-		_ = s.ln.Close() // the loop has let go of the descriptor
-	case <-ctx.Done(): // Stop closes it
+		_ = s.ln.Close() // the loop no longer uses the descriptor
+	case <-ctx.Done(): // Stop closes the listener
 	}
 }
 
-// Stop ends the loop. One that has not come to serve yet is ended as soon as it has.
+// Stop shuts the event loop down. It retries until Serve has returned, because a shutdown before Serve has begun has no
+// effect.
 func (s *socketServer) Stop(ctx context.Context) {
 	for {
 		_ = s.loop.Shutdown(ctx)
--- a/stream/norace.go
+++ b/stream/norace.go
@@ -2,10 +2,11 @@
 
 package stream
 
-// Built without the race detector, netpoll finds a connection by its pointer, and that it says the peer closed is to be believed.
+// Without the race detector, netpoll finds the connection of an event by pointer, so its reports that a peer has closed are
+// reliable, and the workarounds in race.go are not needed.
 
-// mostFalseEnds is how many times a dial is made again that netpoll says the peer closed.
-const mostFalseEnds = 0
+// maxFalseCloseRetries is how often a dial is retried if netpoll reports that the peer has closed.
+const maxFalseCloseRetries = 0
 
-// apart is where an accepted descriptor is moved to: it stays.
-func apart(fd int) int { return fd }
+// moveDescriptor returns an accepted descriptor unchanged.
+func moveDescriptor(fd int) int { return fd }
--- a/stream/race.go
+++ b/stream/race.go
@@ -9,23 +9,27 @@
 	"golang.org/x/sys/unix"
 )
 
-// Built with the race detector, netpoll finds a connection by its descriptor: an event of one that was closed since goes to the one
-// that has its descriptor now.
+// With the race detector, netpoll finds the connection of an event by descriptor: a late event of a connection that has been
+// closed is delivered to the connection that has reused its descriptor.
 
-// mostFalseEnds is how many times a dial is made again that netpoll says the peer closed.
-const mostFalseEnds = 3
+// maxFalseCloseRetries is how often a dial is retried if netpoll reports that the peer has closed, because the report may
+// belong to an earlier connection with the same descriptor.
+const maxFalseCloseRetries = 3
 
-// Descriptors of accepted connections, of which none is used again before all others were.
+// Range of the descriptors of accepted connections. They are used in turn, so that a descriptor is reused as late as
+// possible.
 const (
-	firstAccepted = 1 << 13
-	mostAccepted  = 1 << 12
+	firstAcceptedDescriptor = 1 << 13
+	acceptedDescriptors     = 1 << 12
 )
 
-var acceptedSoFar atomic.Int64
+// acceptedCount counts the accepted connections of the process.
+var acceptedCount atomic.Int64
 
-// apart moves an accepted descriptor to a number that none had lately; where the process may not have so many it stays.
-func apart(fd int) int {
-	least := firstAccepted + int(acceptedSoFar.Add(1)%mostAccepted)
+// moveDescriptor moves an accepted descriptor to a number that was not used recently. It returns the descriptor unchanged if
+// the limit of open files does not allow such a number.
+func moveDescriptor(fd int) int {
+	least := firstAcceptedDescriptor + int(acceptedCount.Add(1)%acceptedDescriptors)
 	moved, err := unix.FcntlInt(uintptr(fd), unix.F_DUPFD_CLOEXEC, least)
 	if err != nil {
 		return fd
--- a/stream/refuse_test.go
+++ b/stream/refuse_test.go
@@ -15,20 +15,22 @@
 	"github.com/cloudwego/netpoll"
 )
 
-// TestRefuseBesideDials guards against a server that goes on accepting for as long as clients dial: it was told to refuse, waited for
-// the moment in which nobody waits to be accepted, and with dials that come faster than it accepts there is none. Seen in a trace of
-// serve.TestStopAnswersWhatComes: told at 26 ms it refused at 7,069 ms, after 36,480 connections, when those made before had been
-// closed as idle for 5 s. Here each connection takes a millisecond to accept. Those made before are answered all the same.
-func TestRefuseBesideDials(t *testing.T) {
-	t.Run("tcp", func(t *testing.T) { refuseBesideDials(t, "127.0.0.1:0") })
-	t.Run("unix", func(t *testing.T) { refuseBesideDials(t, "unix:"+filepath.Join(t.TempDir(), "socket")) })
+// TestRefuseDuringDials guards against a server that goes on accepting for as long as clients dial: Refuse waited until no
+// connection was waiting to be accepted, which never happens if dials come faster than the server accepts. A trace of
+// serve.TestStopAnswersWhatComes showed it: called at 26 ms, Refuse took effect at 7,069 ms, after 36,480 connections, when
+// the earlier connections had already been closed as idle for 5 s. Here each connection takes a millisecond to accept; the
+// connections made before Refuse must still be answered.
+func TestRefuseDuringDials(t *testing.T) {
+	t.Run("tcp", func(t *testing.T) { refuseDuringDials(t, "127.0.0.1:0") })
+	t.Run("unix", func(t *testing.T) { refuseDuringDials(t, "unix:"+filepath.Join(t.TempDir(), "socket")) })
 }
 
-func refuseBesideDials(t *testing.T, address string) {
+// refuseDuringDials calls Refuse on a listener at an address while clients dial it.
+func refuseDuringDials(t *testing.T, address string) {
 	const connections, clients, dials = 100, 4, 200
 	l, err := Listen(nil, address, func(*Conn) Handler {
 		time.Sleep(time.Millisecond)
-		return answering{}
+		return echo{}
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -55,25 +57,26 @@
 	select {
 	case <-refused:
 	case <-time.After(20 * time.Second):
-		t.Errorf("after 20 s and %d dials it does not refuse", made.Load())
+		t.Errorf("Refuse has not returned after 20 s and %d dials", made.Load())
 	}
 	cancel()
 	dialling.Wait()
 	if late, err := dialWithin(l.Address(), time.Second); err == nil {
 		late.Close()
-		t.Error("it accepts after it was told to refuse")
+		t.Error("the listener accepts a connection after Refuse has returned")
 	}
 	for i, c := range before {
 		_ = c.SetDeadline(time.Now().Add(20 * time.Second))
 		_, _ = io.WriteString(c, "call")
 		if _, err := io.ReadFull(c, make([]byte, 4)); err != nil {
-			t.Fatalf("connection %d of those made before: %v", i, err)
+			t.Fatalf("connection %d of those made before Refuse: %v", i, err)
 		}
 	}
 }
 
-// TestRefuseWithoutDescriptors guards against a stop that keeps connections to itself: those that it took over before descriptors ran
-// out are handed on while others still wait, for their ends give descriptors back.
+// TestRefuseWithoutDescriptors guards against a stop that withholds connections when descriptors run out: Accept must return
+// those that refuse has already accepted while others still wait, because descriptors become free only when connections
+// close.
 func TestRefuseWithoutDescriptors(t *testing.T) {
 	const clients = 2
 	ln, err := NewListener("tcp", "127.0.0.1:0")
@@ -93,7 +96,7 @@
 	if err != nil || first == nil {
 		t.Fatalf("%v %v", first, err)
 	}
-	l.rest = append(l.rest, first) // as taken over just before descriptors ran out
+	l.pending = append(l.pending, first) // as if refuse had accepted it just before descriptors ran out
 	var refused bool
 	var returned net.Conn
 	withoutDescriptors(t, func() {
@@ -101,30 +104,32 @@
 		returned, err = ln.Accept()
 	})
 	if refused || returned != first || err != nil {
-		t.Errorf("without descriptors it refuses: %v; Accept returns %v, %v", refused, returned, err)
+		t.Errorf("without descriptors refuse returned %v, and Accept returned %v, %v", refused, returned, err)
 	}
 	if !l.refuse(context.Background()) {
-		t.Error("it does not refuse once there are descriptors")
+		t.Error("refuse returned false once there were descriptors again")
 	}
 	second, err := ln.Accept()
 	if err != nil || second == nil {
-		t.Fatalf("the second: %v %v", second, err)
+		t.Fatalf("Accept of the second connection: %v %v", second, err)
 	}
 	if none, err := ln.Accept(); none != nil || err != nil {
-		t.Errorf("with none left: %v %v", none, err)
+		t.Errorf("Accept with no connection left: %v %v", none, err)
 	}
 	if _, err := ln.Accept(); !errors.Is(err, net.ErrClosed) {
-		t.Errorf("after that: %v", err)
+		t.Errorf("Accept after it reported that no connection is left: %v", err)
 	}
 	_ = errors.Join(syscall.Close(first.(netpoll.Conn).Fd()), syscall.Close(second.(netpoll.Conn).Fd()))
 }
 
+// dialWithin dials an address, unix:PATH or HOST:PORT, with a timeout.
 func dialWithin(address string, timeout time.Duration) (net.Conn, error) {
 	n, a := network(address)
 	return net.DialTimeout(n, a, timeout)
 }
 
-// dialUntilRefused makes connections one after another, and closes each, until they are refused; it counts them.
+// dialUntilRefused makes and closes connections one after another until one is refused or the context ends. It counts them
+// in made.
 func dialUntilRefused(ctx context.Context, address string, made *atomic.Int64) {
 	for ctx.Err() == nil {
 		c, err := dialWithin(address, 50*time.Millisecond)
--- a/stream/stream.go
+++ b/stream/stream.go
@@ -1,6 +1,6 @@
-// Package stream is the thin layer between netpoll and the parsers: bytes that came go to one function, one call at a
-// time a connection; bytes to be sent are taken at once and written by another goroutine, within a bound. Whoever owns a
-// connection is told once that it has ended.
+// Package stream is a thin layer between netpoll and the protocol parsers. Received bytes are passed to a Handler, with one
+// call at a time per connection. Bytes to be sent are queued without blocking, up to a limit, and written by another
+// goroutine. The Handler is notified exactly once when its connection has closed.
 package stream
 
 import (
@@ -19,36 +19,37 @@
 	"github.com/cloudwego/netpoll"
 )
 
-// Handler takes what happens to a connection. Data's bytes hold only for the call. Closed comes once, after which there
-// is at most one call of Data still under way.
+// Handler receives the events of a connection. The bytes passed to Data are valid only during the call. Closed is called
+// once; at most one call of Data may still be running after it.
 type Handler interface {
 	Data(c *Conn, b []byte)
 	Closed(c *Conn)
 }
 
-// mostPending bounds the bytes that may wait to be written to a peer that does not read; past it the connection ends.
-const mostPending = 32 << 20
+// maxPendingBytes limits the bytes queued for a peer that does not read. Beyond it the connection is closed.
+const maxPendingBytes = 32 << 20
 
-// mostAhead bounds the bytes that a peer may have sent ahead of what the handler has taken.
-const mostAhead = 64 << 20
+// maxUnreadBytes limits the bytes received from a peer that the handler has not consumed yet. Beyond it the connection is
+// closed.
+const maxUnreadBytes = 64 << 20
 
-// ErrSlowPeer says that the peer read too little of what was sent to it.
-var ErrSlowPeer = errors.New("stream: the peer does not read")
+// ErrSlowPeer is returned by Conn.Send if the peer reads so slowly that too many bytes wait to be written to it.
+var ErrSlowPeer = errors.New("stream: too many bytes wait for a peer that reads too slowly")
 
-// Conn is one connection.
+// Conn is a connection that was dialled, or accepted by a Listener.
 type Conn struct {
 	nc       netpoll.Connection
 	handler  Handler
 	mu       sync.Mutex
-	out      []byte
-	flushing bool
-	ending   bool // close once what is pending is written
+	pending  []byte // not written yet
+	flushing bool   // a goroutine is writing pending
+	ending   bool   // Send is refused; the connection closes once pending is written
 	once     sync.Once
-	closing  atomic.Bool // by Close: what still comes is not taken
+	closing  atomic.Bool // Close was called: bytes received from now on are not passed to the handler
 	guard    *Guard
 }
 
-// network splits an address: unix:PATH, or HOST:PORT.
+// network splits an address of the form unix:PATH or HOST:PORT into a network and an address for package net.
 func network(address string) (net, addr string) {
 	if path, ok := strings.CutPrefix(address, "unix:"); ok {
 		return "unix", path
@@ -56,40 +57,42 @@
 	return "tcp", address
 }
 
-// Dial connects over a net; nil: sockets. No data comes to the handler before something was sent.
-func Dial(over Net, address string, timeout time.Duration, h Handler) (*Conn, error) {
+// Dial connects to an address, unix:PATH or HOST:PORT, over a Net; a nil Net stands for sockets. The handler can be called
+// before Dial returns if the peer sends or closes at once.
+func Dial(transport Net, address string, timeout time.Duration, h Handler) (*Conn, error) {
 	n, a := network(address)
-	nc, err := NetOrSockets(over).Dial(n, a, timeout)
+	nc, err := NetOrSockets(transport).Dial(n, a, timeout)
 	if err != nil {
 		return nil, fmt.Errorf("dial %s: %w", address, err)
 	}
 	c := &Conn{nc: nc, handler: h, guard: NewGuard(nc)}
 	c.guard.Register()
-	// The callback comes first: once there is a request handler netpoll may end the connection at any time.
-	err = nc.AddCloseCallback(func(netpoll.Connection) error { c.finish(); return nil })
+	// The close callback is set first: once there is a request handler, netpoll may close the connection at any time.
+	err = nc.AddCloseCallback(func(netpoll.Connection) error { c.onClosed(); return nil })
 	if err == nil {
-		err = nc.SetOnRequest(func(context.Context, netpoll.Connection) error { c.read(); return nil })
+		err = nc.SetOnRequest(func(context.Context, netpoll.Connection) error { c.deliver(); return nil })
 	}
 	if err != nil {
 		nc.Close()
 		return nil, err
 	}
 	if _, socket := nc.(netpoll.Conn); socket && !nc.IsActive() {
-		// The peer has left, and where it did so before there was a request handler netpoll leaves the rest to the owner.
+		// The peer has closed. If it did so before the request handler was set, netpoll leaves closing to the owner.
 		go nc.Close()
 	}
 	return c, nil
 }
 
-// finish takes what netpoll has read and not handed on, which it may keep at the end, and tells the handler that there is no more.
-func (c *Conn) finish() {
+// onClosed delivers the bytes that netpoll has read but not passed on, which it may still hold when the connection closes,
+// and then notifies the handler that the connection has closed.
+func (c *Conn) onClosed() {
 	c.guard.Release()
-	c.read()
-	c.ended()
+	c.deliver()
+	c.notifyClosed()
 }
 
-// ended tells the handler, if it is known, that the connection is over.
-func (c *Conn) ended() {
+// notifyClosed notifies the handler, if there is one yet, that the connection has closed.
+func (c *Conn) notifyClosed() {
 	c.mu.Lock()
 	handler := c.handler
 	c.mu.Unlock()
@@ -98,21 +101,21 @@
 	}
 }
 
-// request takes what has come on an accepted connection.
-func (c *Conn) request() error {
+// onRequest delivers the bytes received on an accepted connection. netpoll calls it while there are unread bytes.
+func (c *Conn) onRequest() error {
 	c.guard.Register()
-	c.read()
+	c.deliver()
 	if c.closing.Load() {
-		return c.nc.Close() // else netpoll would call for what is left without end
+		return c.nc.Close() // otherwise netpoll would call again and again for the unread bytes
 	}
 	return nil
 }
 
-// read hands what has come to the handler.
-func (c *Conn) read() {
+// deliver passes the received bytes to the handler.
+func (c *Conn) deliver() {
 	r := c.nc.Reader()
 	for n := r.Len(); n > 0 && !c.closing.Load(); n = r.Len() {
-		if n > mostAhead {
+		if n > maxUnreadBytes {
 			c.Close()
 			return
 		}
@@ -125,7 +128,7 @@
 	}
 }
 
-// RemoteAddress is the peer's address.
+// RemoteAddress returns the peer's address, or an empty string if it is unknown.
 func (c *Conn) RemoteAddress() string {
 	if a := c.nc.RemoteAddr(); a != nil {
 		return a.String()
@@ -133,19 +136,20 @@
 	return ""
 }
 
-// Send takes bytes to be written; it never waits.
+// Send queues bytes to be written and never blocks. It returns net.ErrClosed if the connection is closed or closing, and
+// ErrSlowPeer, after which the connection closes, if too many bytes are queued.
 func (c *Conn) Send(b []byte) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.ending || !c.nc.IsActive() {
 		return net.ErrClosed
 	}
-	if len(c.out)+len(b) > mostPending {
-		c.ending, c.out = true, nil
+	if len(c.pending)+len(b) > maxPendingBytes {
+		c.ending, c.pending = true, nil
 		go c.Close()
 		return ErrSlowPeer
 	}
-	c.out = append(c.out, b...)
+	c.pending = append(c.pending, b...)
 	if !c.flushing {
 		c.flushing = true
 		go c.flush()
@@ -153,10 +157,11 @@
 	return nil
 }
 
+// flush writes the queued bytes until none are left or a write fails.
 func (c *Conn) flush() {
 	for {
 		c.mu.Lock()
-		b := c.out
+		b := c.pending
 		if len(b) == 0 {
 			c.flushing = false
 			ending := c.ending
@@ -168,46 +173,47 @@
 		}
 		c.mu.Unlock()
 		part := b[:min(len(b), 256<<10)]
-		// Write, not Writer: netpoll gives its buffers back when a connection closes, and only Write is safe beside that.
+		// Write is used instead of Writer: netpoll recycles its buffers when a connection closes, and only Write is safe
+		// concurrently with that.
 		if _, err := c.nc.Write(part); err == nil {
 			c.mu.Lock()
-			if len(c.out) > len(part) { // it is none where the peer was found too slow meanwhile
-				c.out = c.out[len(part):]
+			if len(c.pending) > len(part) { // pending is nil if Send has found the peer too slow meanwhile
+				c.pending = c.pending[len(part):]
 			} else {
-				c.out = nil
+				c.pending = nil
 			}
 			c.mu.Unlock()
 			continue
 		}
 		c.mu.Lock()
-		c.out, c.flushing = nil, false
+		c.pending, c.flushing = nil, false
 		c.mu.Unlock()
 		c.Close()
 		return
 	}
 }
 
-// endWithin is how long a peer has to take what was sent before the end.
-const endWithin = 5 * time.Second
+// closeTimeout is how long a peer has to read the queued bytes before a graceful close becomes an immediate one.
+const closeTimeout = 5 * time.Second
 
-// CloseGracefully closes the connection once all that was sent is written, or the peer has not taken it in time.
+// CloseGracefully closes the connection once all queued bytes are written, or after closeTimeout. It does not block.
 func (c *Conn) CloseGracefully() {
 	c.mu.Lock()
 	c.ending = true
 	flushing := c.flushing
 	c.mu.Unlock()
 	if flushing {
-		time.AfterFunc(endWithin, c.Close)
+		time.AfterFunc(closeTimeout, c.Close)
 	} else {
 		c.Close()
 	}
 }
 
-// Close closes the connection at once. The handler is told.
+// Close closes the connection at once, without writing queued bytes, and notifies the handler.
 func (c *Conn) Close() {
 	c.closing.Store(true)
 	c.guard.Close()
-	c.ended()
+	c.notifyClosed()
 }
 
 // Listener accepts connections.
@@ -215,18 +221,19 @@
 	address string
 	server  Server
 	mu      sync.Mutex
-	conns   map[*Conn]bool
-	path    string
+	conns   map[*Conn]bool // open connections; nil once Close was called
+	path    string         // of the Unix socket; empty for TCP
 }
 
+// connKey is the key of a *Conn in the context of its netpoll connection.
 type connKey struct{}
 
-// Listen accepts connections over a net (nil: sockets) on an address, unix:PATH or HOST:PORT (port 0: any that is free),
-// until Close. accept returns who handles a new one; nil refuses it.
-func Listen(over Net, address string, accept func(c *Conn) Handler) (*Listener, error) {
+// Listen accepts connections over a Net (nil stands for sockets) on an address, unix:PATH or HOST:PORT, until Close is
+// called. Port 0 selects any free port. accept returns the Handler of a new connection; nil refuses the connection.
+func Listen(transport Net, address string, accept func(c *Conn) Handler) (*Listener, error) {
 	n, a := network(address)
 	if n == "unix" {
-		if err := dropStale(a); err != nil {
+		if err := removeStaleSocket(a); err != nil {
 			return nil, err
 		}
 	}
@@ -252,22 +259,22 @@
 			l.mu.Lock()
 			delete(l.conns, c)
 			l.mu.Unlock()
-			c.finish()
+			c.onClosed()
 			return nil
 		})
-		if closed || err != nil || c.closing.Load() { // it may have been closed before its handler was known
+		if closed || err != nil || c.closing.Load() { // c may have been closed before its handler was set
 			c.Close()
 		}
 		return context.WithValue(context.Background(), connKey{}, c)
 	}
-	request := func(ctx context.Context, nc netpoll.Connection) error {
+	onRequest := func(ctx context.Context, nc netpoll.Connection) error {
 		if c, ok := ctx.Value(connKey{}).(*Conn); ok {
-			return c.request()
+			return c.onRequest()
 		}
 		return nc.Close()
 	}
 	var err error
-	if l.server, err = NetOrSockets(over).Serve(n, a, Hooks{Prepare: prepare, Request: request}); err != nil {
+	if l.server, err = NetOrSockets(transport).Serve(n, a, Hooks{Prepare: prepare, Request: onRequest}); err != nil {
 		return nil, err
 	}
 	if n == "tcp" {
@@ -278,55 +285,56 @@
 	return l, nil
 }
 
-// dropStale removes a Unix socket that nobody listens on any more.
-func dropStale(path string) error {
+// removeStaleSocket removes a Unix socket that no process listens on any more. It returns an error if a process still listens
+// there, or if the path is not a socket.
+func removeStaleSocket(path string) error {
 	info, err := os.Lstat(path)
 	if err != nil {
 		return nil
 	}
 	if info.Mode()&os.ModeSocket == 0 {
-		return fmt.Errorf("listen on unix:%s: there is something else at that path", path)
+		return fmt.Errorf("listen on unix:%s: the path exists and is not a socket", path)
 	}
 	if c, err := net.DialTimeout("unix", path, time.Second); err == nil {
 		c.Close()
-		return fmt.Errorf("listen on unix:%s: somebody listens there", path)
+		return fmt.Errorf("listen on unix:%s: another process listens there", path)
 	}
 	return os.Remove(path)
 }
 
-// Address is where it listens.
+// Address returns the address on which the listener accepts connections, in the form that Listen takes.
 func (l *Listener) Address() string { return l.address }
 
-// Refuse takes no more connections. Those there are go on, those included that waited to be accepted and could be by the end
-// of the context.
+// Refuse makes the listener refuse new connections. Open connections stay open; connections that are waiting to be accepted
+// are still accepted, as long as this is possible before the context ends.
 func (l *Listener) Refuse(ctx context.Context) { l.server.Refuse(ctx) }
 
-// refuseWithin bounds the time in which those that wait are accepted at a stop.
-const refuseWithin = time.Second
+// refuseTimeout limits how long Stop accepts the connections that were waiting to be accepted.
+const refuseTimeout = time.Second
 
-// Stop takes no more connections and ends each there is once what was sent to it is written, or its peer has not taken that
-// in time; then it closes.
+// Stop refuses new connections, closes each open one once its queued bytes are written or closeTimeout has passed, and then
+// closes the listener.
 func (l *Listener) Stop() {
-	ctx, cancel := context.WithTimeout(context.Background(), refuseWithin)
+	ctx, cancel := context.WithTimeout(context.Background(), refuseTimeout)
 	defer cancel()
 	l.Refuse(ctx)
-	for _, c := range l.open() {
+	for _, c := range l.openConns() {
 		c.CloseGracefully()
 	}
-	for end := time.Now().Add(endWithin); len(l.open()) > 0 && time.Now().Before(end); {
+	for end := time.Now().Add(closeTimeout); len(l.openConns()) > 0 && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
 	l.Close()
 }
 
-// open are its connections.
-func (l *Listener) open() []*Conn {
+// openConns returns the open connections.
+func (l *Listener) openConns() []*Conn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return slices.Collect(maps.Keys(l.conns))
 }
 
-// Close stops listening and closes all its connections.
+// Close stops listening and closes all connections at once.
 func (l *Listener) Close() {
 	l.mu.Lock()
 	conns := l.conns
--- a/stream/stream_test.go
+++ b/stream/stream_test.go
@@ -15,16 +15,16 @@
 
 func TestMain(m *testing.M) { leak.Main(m) }
 
-// told is a handler that says when its connection ended.
-type told chan bool
+// closeSignal is a handler, a channel that is closed when its connection closes.
+type closeSignal chan bool
 
-func (t told) Data(*Conn, []byte) {}
-func (t told) Closed(*Conn)       { close(t) }
+func (t closeSignal) Data(*Conn, []byte) {}
+func (t closeSignal) Closed(*Conn)       { close(t) }
 
-// meet returns a connection of a listener and the peer that dialled it.
-func meet(t *testing.T) (*Conn, told, net.Conn) {
+// connect returns an accepted connection, the signal of its close, and the peer that has dialled it.
+func connect(t *testing.T) (*Conn, closeSignal, net.Conn) {
 	t.Helper()
-	conns, closed := make(chan *Conn, 1), make(told)
+	conns, closed := make(chan *Conn, 1), make(closeSignal)
 	l, err := Listen(nil, "127.0.0.1:0", func(c *Conn) Handler { conns <- c; return closed })
 	if err != nil {
 		t.Fatal(err)
@@ -38,28 +38,29 @@
 	return <-conns, closed, peer
 }
 
-func (t told) within(test *testing.T, what string) {
+// await fails the test unless the connection, which what describes, closes within 20 s.
+func (t closeSignal) await(test *testing.T, what string) {
 	test.Helper()
 	select {
 	case <-t:
 	case <-time.After(20 * time.Second):
-		test.Errorf("never ended: %s", what)
+		test.Errorf("not closed within 20 s: %s", what)
 	}
 }
 
-// A connection that is to end does so by a deadline, also where its peer stands half open and reads nothing.
-func TestEndHasADeadline(t *testing.T) {
-	c, closed, _ := meet(t)
+// A graceful close ends by a deadline, even if the peer stays connected and reads nothing.
+func TestCloseGracefullyHasADeadline(t *testing.T) {
+	c, closed, _ := connect(t)
 	if err := c.Send(make([]byte, 16<<20)); err != nil {
 		t.Fatal(err)
 	}
 	c.CloseGracefully()
-	closed.within(t, "one whose peer does not read")
+	closed.await(t, "a gracefully closed connection whose peer does not read")
 }
 
-// A peer that reads nothing is cut off once too much waits for it.
+// A peer that reads nothing is disconnected once too many bytes are queued for it.
 func TestSlowPeer(t *testing.T) {
-	c, closed, _ := meet(t)
+	c, closed, _ := connect(t)
 	var err error
 	for range 5 {
 		if err = c.Send(make([]byte, 8<<20)); err != nil {
@@ -69,20 +70,20 @@
 	if err != ErrSlowPeer || c.Send([]byte("x")) == nil {
 		t.Errorf("%v", err)
 	}
-	closed.within(t, "one whose peer is too slow")
+	closed.await(t, "a connection whose peer reads nothing")
 }
 
-// A peer that is found too slow while it takes a part after all ends its connection, not the program.
+// A Send that finds the peer too slow while another goroutine writes queued bytes closes the connection, and does not panic.
 func TestSlowPeerReads(t *testing.T) {
-	c, closed, peer := meet(t)
+	c, closed, peer := connect(t)
 	go func() { _, _ = io.Copy(io.Discard, peer) }()
 	for c.Send(make([]byte, 20<<20)) == nil {
 	}
-	closed.within(t, "one whose peer is too slow")
+	closed.await(t, "a connection whose peer reads too slowly")
 }
 
-// Out of descriptors, Accept says so by the bare number that netpoll knows, which then waits; of any other error it knows
-// nothing and asks again at once, without end.
+// When descriptors have run out, Accept must return the bare errno, which makes netpoll wait. After any other error netpoll
+// would call Accept again at once, in an endless loop.
 func TestOutOfDescriptors(t *testing.T) {
 	l, err := NewListener("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -106,16 +107,16 @@
 	_ = syscall.Close(c.(netpoll.Conn).Fd())
 }
 
-// withoutDescriptors calls a function while the process has no descriptor left.
+// withoutDescriptors calls a function while the process has no free descriptor.
 func withoutDescriptors(t *testing.T, call func()) {
 	t.Helper()
-	var was syscall.Rlimit
-	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &was); err != nil {
+	var old syscall.Rlimit
+	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &old); err != nil {
 		t.Fatal(err)
 	}
-	least := was
-	least.Cur = 64
-	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &least); err != nil {
+	lowered := old
+	lowered.Cur = 64
+	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &lowered); err != nil {
 		t.Fatal(err)
 	}
 	var held []*os.File
@@ -126,7 +127,7 @@
 	for _, f := range held {
 		f.Close()
 	}
-	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &was); err != nil {
+	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &old); err != nil {
 		t.Fatal(err)
 	}
 }
--- a/stream/workers.go
+++ b/stream/workers.go
@@ -8,16 +8,18 @@
 	"github.com/cloudwego/netpoll"
 )
 
-// netpoll's own workers end as soon as nothing waits for them, so that each op grows a new stack. Ours stay for a while:
-// a task goes to one that waits, and only without one to a new goroutine.
+// netpoll's own workers exit as soon as they have no task, so that the stack grows anew for each op. The workers here stay
+// for a while: a task goes to an idle worker, and to a new goroutine only if no worker is idle.
 
-// stay is how long a worker waits for its next task.
-const stay = 5 * time.Second
+// workerIdleTimeout is how long a worker waits for its next task before it exits.
+const workerIdleTimeout = 5 * time.Second
 
+// tasks passes tasks to idle workers.
 var tasks = make(chan func())
 
-// netpoll logs little but closing twice what is closed, and reads connections that others change as it does; to nowhere it
-// formats nothing.
+// init replaces netpoll's workers and discards its log. netpoll logs hardly anything but repeated closes, and formatting
+// these reads fields of connections that other goroutines write at the same time; with io.Discard as output it formats
+// nothing.
 func init() {
 	err := netpoll.Configure(netpoll.Config{LoggerOutput: io.Discard, Runner: func(_ context.Context, f func()) {
 		select {
@@ -27,16 +29,17 @@
 		}
 	}})
 	if err != nil {
-		panic(err) // only of numbers that are not given
+		panic(err) // Configure checks only numeric settings, and none is set here
 	}
 }
 
+// work runs a task and then further ones, until none has come for workerIdleTimeout.
 func work(f func()) {
-	t := time.NewTimer(stay)
+	t := time.NewTimer(workerIdleTimeout)
 	defer t.Stop()
 	for {
 		f()
-		t.Reset(stay)
+		t.Reset(workerIdleTimeout)
 		select {
 		case f = <-tasks:
 		case <-t.C:
