--- a/serve/conn.go
+++ b/serve/conn.go
@@ -14,33 +14,33 @@
 
 // Conn is a client's connection.
 type Conn struct {
-	Data    any // the handler's own
-	nc      netpoll.Connection
-	parser  *http1.Parser
-	server  *Server
-	mu      sync.Mutex
-	onGone  func()
-	gone    bool
-	closing bool         // its answer under way is the last one
-	last    atomic.Int64 // when it last did something, Unix nanoseconds
-	state   atomic.Int32
-	dropped atomic.Bool // what still comes is not answered
-	guard   *stream.Guard
+	Data         any // for use by the handler
+	nc           netpoll.Connection
+	parser       *http1.Parser
+	server       *Server
+	mu           sync.Mutex
+	onDisconnect func()
+	disconnected bool
+	closing      bool         // the answer to the current request is the last one
+	lastActivity atomic.Int64 // Unix nanoseconds
+	state        atomic.Int32
+	dropped      atomic.Bool // Drop was called: later requests are not answered
+	guard        *stream.Guard
 }
 
 // States of a connection.
 const (
-	idle      int32 = iota // no request is under way
-	active                 // one is
-	lingering              // it is closed towards the client; what still comes is passed over
+	idle      int32 = iota // no request is in progress
+	active                 // a request is in progress
+	lingering              // closed in the write direction; received bytes are discarded
 )
 
-// ended tells, once, that the connection is gone.
-func (c *Conn) ended() {
+// notifyClosed removes the connection from its server and calls, once, the callbacks for its end.
+func (c *Conn) notifyClosed() {
 	c.guard.Release()
 	c.mu.Lock()
-	was, f := c.gone, c.onGone
-	c.gone, c.onGone = true, nil
+	was, f := c.disconnected, c.onDisconnect
+	c.disconnected, c.onDisconnect = true, nil
 	c.mu.Unlock()
 	if was {
 		return
@@ -56,25 +56,26 @@
 	}
 }
 
-// OnDisconnect has f called once if the client goes away before the next call of OnDisconnect; nil ends that. If it is gone already
-// f is called at once.
+// OnDisconnect sets a function that is called once if the client disconnects; it replaces the one set before, and nil sets
+// none. If the client has already disconnected, f is called at once.
 func (c *Conn) OnDisconnect(f func()) {
 	c.mu.Lock()
-	gone := c.gone
-	if !gone {
-		c.onGone = f
+	disconnected := c.disconnected
+	if !disconnected {
+		c.onDisconnect = f
 	}
 	c.mu.Unlock()
-	if gone && f != nil {
+	if disconnected && f != nil {
 		f()
 	}
 }
 
-// RemoteAddress is the client's address.
+// RemoteAddress returns the client's address.
 func (c *Conn) RemoteAddress() string { return c.nc.RemoteAddr().String() }
 
-// Answer sends a whole final answer. Where it is the connection's last, because the client or the handler wants it so or
-// the server stops, the answer says so: a client that reads no such word may send its next request, which nobody would take.
+// Answer sends a complete final answer. If it is the last one of the connection, because the client or the handler has asked
+// for that or the server is stopping, it gets a "Connection: close" field: without one the client might send another
+// request, which would not be answered.
 func (c *Conn) Answer(b []byte) error {
 	if c.server.stopping.Load() != 0 {
 		c.closing = true
@@ -86,32 +87,32 @@
 	return err
 }
 
-// CloseAfterAnswer ends the connection once the answer under way is written, if there is one.
+// CloseAfterAnswer makes the answer to the current request the last one; the connection is closed once it is written.
 func (c *Conn) CloseAfterAnswer() { c.closing = true }
 
-// finish closes a connection that was idle or active towards the client, and leaves the rest to the client or to the sweep;
-// false if it is in another state by now.
+// finish closes the write direction of a connection that is in state was, idle or active, and leaves the full close to the
+// client or to the sweep. It returns false if the connection is in another state by now.
 func (c *Conn) finish(was int32) bool {
 	if !c.state.CompareAndSwap(was, lingering) {
 		return false
 	}
-	c.last.Store(time.Now().UnixNano())
+	c.lastActivity.Store(time.Now().UnixNano())
 	if !c.guard.ShutWrite() {
 		_ = c.nc.Close()
 	}
 	return true
 }
 
-// Drop ends the connection at once, in the midst of whatever is under way. netpoll reads on while a request is in hand,
-// even from a connection that was closed, so the socket is shut down first.
+// Drop closes the connection at once, even while a request is in progress. netpoll goes on reading while a request is
+// handled, even from a closed connection, so the socket is shut down first.
 func (c *Conn) Drop() {
 	c.dropped.Store(true)
 	c.guard.Abort()
-	c.ended()
+	c.notifyClosed()
 }
 
-// passOver takes what comes on a connection that was answered for the last time.
-func (c *Conn) passOver() error {
+// discardInput discards the bytes received after the last answer.
+func (c *Conn) discardInput() error {
 	r := c.nc.Reader()
 	for n := r.Len(); n > 0; n = r.Len() {
 		if r.Skip(n) != nil || r.Release() != nil {
@@ -121,10 +122,11 @@
 	return nil
 }
 
-// one reads and answers one request; false ends the connection, after its last answer if closing is set.
-func (c *Conn) one(s *Server) bool {
+// serveRequest reads and answers one request. It returns false if the connection is to be closed; if closing is set, its
+// last answer was sent.
+func (c *Conn) serveRequest(s *Server) bool {
 	r := c.nc.Reader()
-	started, told := time.Now(), false
+	started, continueSent := time.Now(), false
 	for {
 		n := r.Len()
 		b, err := r.Peek(n)
@@ -147,8 +149,8 @@
 			c.refuse(bad.Status, bad.Reason)
 			return false
 		}
-		if !told && c.parser.Expects() {
-			told = true
+		if !continueSent && c.parser.Expects() {
+			continueSent = true
 			if _, err := c.nc.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n")); err != nil {
 				return false
 			}
@@ -168,7 +170,7 @@
 	}
 }
 
-// refuse answers a request that cannot be read, as the connection's last.
+// refuse answers a malformed or slow request with an error, as the last answer of the connection.
 func (c *Conn) refuse(status int, text string) {
 	c.closing = true
 	_ = c.Answer(PlainText(status, text))
--- a/serve/ends_test.go
+++ b/serve/ends_test.go
@@ -12,15 +12,17 @@
 	"vetchdoor/serve"
 )
 
-// TestEndWhileAccepting guards against a connection that outlives its server: one that is accepted as the server ends at once is
-// closed by it too, and told of once.
+// TestEndWhileAccepting guards against a connection that outlives its server: one that is accepted while the server is being
+// closed must be closed too, and Closed must be called once for it.
 func TestEndWhileAccepting(t *testing.T) {
 	const servers, clients = 1000, 8
 	gone, cancel := context.WithCancel(context.Background())
 	cancel()
 	for n := range servers {
 		var opened, closed atomic.Int64
-		s := &serve.Server{Handle: ok, Accept: func(*serve.Conn) bool { opened.Add(1); return true }, Closed: func(*serve.Conn) { closed.Add(1) }}
+		s := &serve.Server{Handle: ok,
+			Accept: func(*serve.Conn) bool { opened.Add(1); return true },
+			Closed: func(*serve.Conn) { closed.Add(1) }}
 		tr := traceServer(s)
 		if err := s.Start("127.0.0.1:0"); err != nil {
 			t.Fatal(err)
@@ -49,11 +51,12 @@
 	}
 }
 
-// TestOpenedAfterTheEnd guards against the same in the order that shows it: the server ends while it asks whether to take a connection.
-func TestOpenedAfterTheEnd(t *testing.T) {
-	asked, ended, closed := make(chan struct{}), make(chan struct{}), make(chan struct{})
+// TestAcceptWhileServerCloses guards against a connection that outlives its server, in the order of events that causes it:
+// the server is closed while Accept decides about the connection.
+func TestAcceptWhileServerCloses(t *testing.T) {
+	asked, serverClosed, closed := make(chan struct{}), make(chan struct{}), make(chan struct{})
 	s := &serve.Server{Handle: ok,
-		Accept: func(*serve.Conn) bool { close(asked); <-ended; return true },
+		Accept: func(*serve.Conn) bool { close(asked); <-serverClosed; return true },
 		Closed: func(*serve.Conn) { close(closed) }}
 	if err := s.Start("127.0.0.1:0"); err != nil {
 		t.Fatal(err)
@@ -63,14 +66,14 @@
 	gone, cancel := context.WithCancel(context.Background())
 	cancel()
 	s.Stop(gone)
-	close(ended)
+	close(serverClosed)
 	_ = c.SetDeadline(time.Now().Add(5 * time.Second))
 	if _, err := c.Read(make([]byte, 1)); errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Error("a connection outlives its server")
+		t.Error("the connection stays open after its server was closed")
 	}
 	select {
 	case <-closed:
 	case <-time.After(5 * time.Second):
-		t.Error("nobody was told that it is closed")
+		t.Error("Closed was not called within 5 s")
 	}
 }
--- a/serve/finish_test.go
+++ b/serve/finish_test.go
@@ -15,9 +15,9 @@
 	"vetchdoor/http1"
 )
 
-// TestFinishAfterEnd guards against a connection of another client that is shut down in place of one that ended: the sweep found it
-// idle for too long, its client closed it, and its descriptor is another's by the time it is to be finished.
-func TestFinishAfterEnd(t *testing.T) {
+// TestFinishAfterClose guards against the shutdown of another client's connection: the sweep has found a connection idle for
+// too long, its client closes it, and another connection has got its descriptor by the time the sweep calls finish.
+func TestFinishAfterClose(t *testing.T) {
 	opened, closed := make(chan *Conn, 2), make(chan *Conn, 2)
 	s := &Server{Handle: func(c *Conn, m *http1.Message) { _ = c.Answer(PlainText(200, "well")) },
 		Accept: func(c *Conn) bool { opened <- c; return true },
@@ -25,7 +25,7 @@
 	if err := s.Start("127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
-	defer s.end()
+	defer s.closeAll()
 	first, err := net.Dial("tcp", s.Address())
 	if err != nil {
 		t.Fatal(err)
@@ -42,11 +42,11 @@
 	var stat syscall.Stat_t
 	for end := time.Now().Add(5 * time.Second); syscall.Fstat(fd, &stat) != syscall.EBADF; {
 		if time.Now().After(end) {
-			t.Fatal("its descriptor stays open")
+			t.Fatal("the descriptor of the closed connection is still open after 5 s")
 		}
 		time.Sleep(time.Millisecond)
 	}
-	take(t, other.(*net.TCPConn), fd)
+	duplicateTo(t, other.(*net.TCPConn), fd)
 	defer syscall.Close(fd)
 	c.finish(idle)
 	_ = other.SetDeadline(time.Now().Add(5 * time.Second))
@@ -60,8 +60,8 @@
 	answer.Body.Close()
 }
 
-// take has a descriptor stand for a connection too.
-func take(t *testing.T, c *net.TCPConn, fd int) {
+// duplicateTo makes the descriptor fd a duplicate of the descriptor of c.
+func duplicateTo(t *testing.T, c *net.TCPConn, fd int) {
 	t.Helper()
 	raw, err := c.SyscallConn()
 	if err != nil {
@@ -74,13 +74,13 @@
 	}
 }
 
-// TestDroppedWhileOpening guards against a connection that is kept for good: whoever is asked whether to take it drops it.
-func TestDroppedWhileOpening(t *testing.T) {
+// TestDropInAccept guards against a connection that stays open forever because Accept itself drops it.
+func TestDropInAccept(t *testing.T) {
 	s := &Server{Handle: func(*Conn, *http1.Message) {}, Accept: func(c *Conn) bool { c.Drop(); return true }}
 	if err := s.Start("127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
-	defer s.end()
+	defer s.closeAll()
 	client, err := net.Dial("tcp", s.Address())
 	if err != nil {
 		t.Fatal(err)
@@ -88,11 +88,11 @@
 	defer client.Close()
 	_ = client.SetDeadline(time.Now().Add(5 * time.Second))
 	if _, err := client.Read(make([]byte, 1)); !errors.Is(err, io.EOF) && !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("it is not closed: %v", err)
+		t.Errorf("the dropped connection is not closed: %v", err)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.conns) > 0 {
-		t.Errorf("%d connections are kept", len(s.conns))
+		t.Errorf("the server still holds %d connections", len(s.conns))
 	}
 }
--- a/serve/serve.go
+++ b/serve/serve.go
@@ -1,5 +1,6 @@
-// Package serve is an HTTP/1.1 server over netpoll with the project's own parser. Each request of a connection is handed
-// to one function, in order; what a peer sends ahead is bounded by a sweep, for netpoll itself reads without end.
+// Package serve is an HTTP/1.1 server over netpoll that uses the parser of package http1. The requests of a connection are
+// passed to one function, in order. netpoll itself reads without limit, so a periodic sweep closes connections whose clients
+// send too much ahead of the answers.
 package serve
 
 import (
@@ -14,36 +15,37 @@
 	"vetchdoor/stream"
 )
 
-// sweepEvery is how often connections are looked over for peers that send ahead without bound.
-const sweepEvery = 50 * time.Millisecond
+// sweepInterval is how often the server looks for connections that have too many unread bytes or have been idle for too long.
+const sweepInterval = 50 * time.Millisecond
 
-// lingerFor is how long a connection whose last answer was sent is read, and what comes passed over, until its client
-// closes. Closed at once with unread bytes, a socket is reset, and the reset can overtake the answer.
-const lingerFor = time.Second
+// lingerTimeout is how long the server reads and discards bytes on a connection after its last answer, until the client
+// closes it. A socket that is closed at once with unread bytes is reset, and the reset can overtake the answer.
+const lingerTimeout = time.Second
 
-// Server answers requests. Its fields are set before Start.
+// Server answers HTTP/1.1 requests. Its exported fields must not change after Start.
 type Server struct {
-	Bounds         http1.Bounds
-	Handle         func(c *Conn, m *http1.Message) // answers by c.Write; m holds for the call
-	Accept         func(c *Conn) bool              // optional; false refuses the connection
-	Closed         func(c *Conn)                   // optional
-	IdleTimeout    time.Duration                   // a connection without a request for so long is closed; 0: a minute
-	DrainTimeout   time.Duration                   // the same while the server stops, since Stop; 0: until the end of its context
-	RequestTimeout time.Duration                   // a request must be whole this long after its first byte; 0: ten seconds
-
-	Net stream.Net // nil: sockets
-
-	server   stream.Server
-	mu       sync.Mutex
-	conns    map[*Conn]bool
-	stopping atomic.Int64  // when Stop was called, Unix nanoseconds; 0: not yet
-	ending   sync.Once     // of the last step of Stop
-	stop     chan struct{} // closed by it
+	Bounds         http1.Bounds                    // of a request; the zero value stands for http1.Usual
+	Handle         func(c *Conn, m *http1.Message) // answers by c.Answer; m is valid only during the call
+	Accept         func(c *Conn) bool              // optional, called for each new connection; false refuses it
+	Closed         func(c *Conn)                   // optional, called once when a connection has closed
+	IdleTimeout    time.Duration                   // an idle connection is closed after this time; 0: one minute
+	DrainTimeout   time.Duration                   // the same during Stop, from Stop at the earliest; 0: until its context ends
+	RequestTimeout time.Duration                   // from the first byte of a request to its last; 0: ten seconds
+
+	Net stream.Net // nil stands for sockets
+
+	server    stream.Server
+	mu        sync.Mutex
+	conns     map[*Conn]bool
+	stopping  atomic.Int64  // when Stop was called, in Unix nanoseconds; 0 before that
+	closeOnce sync.Once     // guards closeAll
+	done      chan struct{} // closed by closeAll
 }
 
-type key struct{}
+// connKey is the key of a *Conn in the context of its netpoll connection.
+type connKey struct{}
 
-// Start listens on HOST:PORT; port 0 takes any that is free.
+// Start listens on HOST:PORT and serves in the background until Stop. Port 0 selects any free port.
 func (s *Server) Start(address string) error {
 	if s.Bounds == (http1.Bounds{}) {
 		s.Bounds = http1.Usual
@@ -54,12 +56,12 @@
 	if s.RequestTimeout <= 0 {
 		s.RequestTimeout = 10 * time.Second
 	}
-	s.conns, s.stop = map[*Conn]bool{}, make(chan struct{})
+	s.conns, s.done = map[*Conn]bool{}, make(chan struct{})
 	var err error
 	s.server, err = stream.NetOrSockets(s.Net).Serve("tcp", address, stream.Hooks{Prepare: s.prepare, Request: s.request,
 		Disconnected: func(ctx context.Context) {
-			if c, ok := ctx.Value(key{}).(*Conn); ok { // the close callback would wait for the request under way
-				c.ended()
+			if c, ok := ctx.Value(connKey{}).(*Conn); ok { // the close callback would wait for the request in progress
+				c.notifyClosed()
 			}
 		}})
 	if err != nil {
@@ -69,40 +71,43 @@
 	return nil
 }
 
-// Address is where it listens.
+// Address returns the address on which the server listens.
 func (s *Server) Address() string { return s.server.Address() }
 
+// prepare sets a new connection up, or closes it if the server has stopped or Accept refuses it.
 func (s *Server) prepare(nc netpoll.Connection) context.Context {
 	c := &Conn{nc: nc, server: s, parser: http1.Requests(s.Bounds), guard: stream.NewGuard(nc)}
-	c.last.Store(time.Now().UnixNano())
-	if s.ended() || s.Accept != nil && !s.Accept(c) {
+	c.lastActivity.Store(time.Now().UnixNano())
+	if s.isClosed() || s.Accept != nil && !s.Accept(c) {
 		_ = nc.Close()
 		return context.Background()
 	}
-	err := nc.AddCloseCallback(func(netpoll.Connection) error { c.ended(); return nil })
+	err := nc.AddCloseCallback(func(netpoll.Connection) error { c.notifyClosed(); return nil })
 	if !s.add(c) || err != nil {
 		_ = nc.Close()
-		c.ended()
+		c.notifyClosed()
 	}
-	return context.WithValue(context.Background(), key{}, c)
+	return context.WithValue(context.Background(), connKey{}, c)
 }
 
-// add counts a connection among those that end closes; false if it has been called, or the connection is gone.
+// add registers a connection to be closed by closeAll. It returns false if closeAll was called already or the connection has
+// closed.
 func (s *Server) add(c *Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c.mu.Lock()
-	gone := c.gone
+	disconnected := c.disconnected
 	c.mu.Unlock()
-	if s.ended() || gone {
+	if s.isClosed() || disconnected {
 		return false
 	}
 	s.conns[c] = true
 	return true
 }
 
+// request serves the requests received on a connection. netpoll calls it while there are unread bytes.
 func (s *Server) request(ctx context.Context, nc netpoll.Connection) error {
-	c, ok := ctx.Value(key{}).(*Conn)
+	c, ok := ctx.Value(connKey{}).(*Conn)
 	if !ok {
 		return nc.Close()
 	}
@@ -111,67 +116,68 @@
 		return nc.Close()
 	}
 	if !c.state.CompareAndSwap(idle, active) {
-		return c.passOver()
+		return c.discardInput()
 	}
 	for nc.Reader().Len() > 0 {
-		if c.one(s) {
+		if c.serveRequest(s) {
 			continue
 		}
 		if !c.closing || !nc.IsActive() {
 			return nc.Close()
 		}
 		c.finish(active)
-		return c.passOver()
+		return c.discardInput()
 	}
-	c.last.Store(time.Now().UnixNano())
+	c.lastActivity.Store(time.Now().UnixNano())
 	c.state.Store(idle)
 	return nil
 }
 
-// PlainText is a short answer with a line of text.
+// PlainText returns an answer with a status code and one line of text as its body.
 func PlainText(status int, text string) []byte {
 	b := http1.AppendStatus(make([]byte, 0, 160+len(text)), status)
 	b = http1.AppendField(b, "Content-Type", "text/plain; charset=utf-8")
 	return http1.AppendBody(b, append([]byte(text), '\n'))
 }
 
-// stale tells whether a connection has stood without a request for longer than it may.
-func (s *Server) stale(c *Conn, now int64) bool {
+// idleTooLong reports whether a connection has been idle for longer than IdleTimeout, or DrainTimeout during Stop. now is in
+// Unix nanoseconds.
+func (s *Server) idleTooLong(c *Conn, now int64) bool {
 	if c.state.Load() != idle || c.nc.Reader().Len() > 0 {
 		return false
 	}
-	if now-c.last.Load() > int64(s.IdleTimeout) {
+	if now-c.lastActivity.Load() > int64(s.IdleTimeout) {
 		return true
 	}
 	began := s.stopping.Load()
-	return began != 0 && s.DrainTimeout > 0 && now-max(began, c.last.Load()) > int64(s.DrainTimeout)
+	return began != 0 && s.DrainTimeout > 0 && now-max(began, c.lastActivity.Load()) > int64(s.DrainTimeout)
 }
 
-// sweep closes connections that sent too much ahead or stand idle.
+// sweep closes, until the server is closed, the connections that have too many unread bytes or have been idle for too long.
 func (s *Server) sweep() {
-	t := time.NewTicker(sweepEvery)
+	t := time.NewTicker(sweepInterval)
 	defer t.Stop()
 	for {
 		select {
-		case <-s.stop:
+		case <-s.done:
 			return
 		case now := <-t.C:
-			s.look(now.UnixNano())
+			s.sweepOnce(now.UnixNano())
 		}
 	}
 }
 
-// look does so once. An idle connection is closed towards its client first, as one that was answered for the last time is:
-// its next request may be on the way.
-func (s *Server) look(now int64) {
-	most := 2*(s.Bounds.Head+s.Bounds.Body) + 64<<10
+// sweepOnce is one round of sweep; now is in Unix nanoseconds. Like a connection after its last answer, an idle connection
+// is first closed in the write direction only, because the client's next request may already be on its way.
+func (s *Server) sweepOnce(now int64) {
+	maxUnread := 2*(s.Bounds.Head+s.Bounds.Body) + 64<<10
 	var drop, finish []*Conn
 	s.mu.Lock()
 	for c := range s.conns {
 		switch {
-		case c.nc.Reader().Len() > most, c.state.Load() == lingering && now-c.last.Load() > int64(lingerFor):
+		case c.nc.Reader().Len() > maxUnread, c.state.Load() == lingering && now-c.lastActivity.Load() > int64(lingerTimeout):
 			drop = append(drop, c)
-		case s.stale(c, now):
+		case s.idleTooLong(c, now):
 			finish = append(finish, c)
 		}
 	}
@@ -184,44 +190,45 @@
 	}
 }
 
-// Stop stops accepting and answers what comes on open connections, each with the word that it was the last there, until
-// the clients have gone or the context ends. Then it closes what is left. It may be called again, to end sooner.
+// Stop refuses new connections and goes on answering requests on open ones, each with "Connection: close", until all clients
+// have disconnected or the context ends. Then it closes the remaining connections. It may be called again while it runs,
+// with a context that ends earlier.
 func (s *Server) Stop(ctx context.Context) {
-	if s.server == nil { // it does not listen
+	if s.server == nil { // not started
 		return
 	}
 	if s.stopping.CompareAndSwap(0, time.Now().UnixNano()) && ctx.Err() == nil {
 		s.server.Refuse(ctx)
 	}
-	for s.open() > 0 && ctx.Err() == nil && !s.ended() {
+	for s.openConns() > 0 && ctx.Err() == nil && !s.isClosed() {
 		time.Sleep(2 * time.Millisecond)
 	}
-	s.ending.Do(s.end)
+	s.closeOnce.Do(s.closeAll)
 }
 
-// open is how many connections there are.
-func (s *Server) open() int {
+// openConns returns the number of open connections.
+func (s *Server) openConns() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
 }
 
-// ended tells whether connections are not even answered any more.
-func (s *Server) ended() bool {
+// isClosed reports whether closeAll was called, after which requests are not answered any more.
+func (s *Server) isClosed() bool {
 	select {
-	case <-s.stop:
+	case <-s.done:
 		return true
 	default:
 		return false
 	}
 }
 
-// end closes everything at once.
-func (s *Server) end() {
-	close(s.stop)
-	gone, cancel := context.WithCancel(context.Background())
+// closeAll closes the listener and all connections at once.
+func (s *Server) closeAll() {
+	close(s.done)
+	ended, cancel := context.WithCancel(context.Background())
 	cancel()
-	s.server.Stop(gone)
+	s.server.Stop(ended)
 	s.mu.Lock()
 	var left []*Conn
 	for c := range s.conns {
--- a/serve/serve_test.go
+++ b/serve/serve_test.go
@@ -21,6 +21,7 @@
 
 func TestMain(m *testing.M) { leak.Main(m) }
 
+// start starts a server that is traced, and stopped at the end of the test.
 func start(t *testing.T, s *serve.Server) *serve.Server {
 	traced(t, s)
 	if err := s.Start("127.0.0.1:0"); err != nil {
@@ -48,11 +49,12 @@
 
 const get = "GET /a HTTP/1.1\r\nHost: h\r\n\r\n"
 
-// A peer that sends ahead without end is cut off while its first request is still in hand; one that sends too slowly is
-// told so; one that stands idle is closed.
-func TestPeers(t *testing.T) {
+// A client that sends requests without end is disconnected while its first request is still being handled; one that sends a
+// request too slowly gets status 408; an idle connection is closed.
+func TestMisbehavingClients(t *testing.T) {
 	release := make(chan struct{})
-	s := start(t, &serve.Server{Bounds: http1.Bounds{Line: 1000, Head: 2000, Body: 1000}, RequestTimeout: 100 * time.Millisecond, IdleTimeout: 150 * time.Millisecond,
+	s := start(t, &serve.Server{Bounds: http1.Bounds{Line: 1000, Head: 2000, Body: 1000},
+		RequestTimeout: 100 * time.Millisecond, IdleTimeout: 150 * time.Millisecond,
 		Handle: func(c *serve.Conn, m *http1.Message) { <-release; ok(c, m) }})
 	c := dial(t, s)
 	sent := 0
@@ -63,7 +65,7 @@
 		sent += n
 	}
 	if err == nil || errors.Is(err, context.DeadlineExceeded) {
-		t.Errorf("%d MiB were taken ahead: %v", sent>>20, err)
+		t.Errorf("the server read %d MiB ahead of its answers: %v", sent>>20, err)
 	}
 	close(release)
 	slow := dial(t, s)
@@ -78,7 +80,7 @@
 	}
 }
 
-// Stop lets what is in hand be answered, and no longer than its context.
+// Stop waits until the request in progress is answered, and the server does not listen afterwards.
 func TestStop(t *testing.T) {
 	in, release := make(chan struct{}), make(chan struct{})
 	s := &serve.Server{Handle: func(c *serve.Conn, m *http1.Message) { close(in); <-release; ok(c, m) }}
@@ -100,11 +102,11 @@
 	}
 }
 
-// While a server stops, what comes on open connections is answered and told that its connection closes: a request whose
-// second half comes after Stop, one written on a connection that was made but not accepted before, one behind another. An
-// idle connection is closed after its time.
+// While a server stops, requests on open connections are answered with "Connection: close": a request whose second half
+// arrives after Stop, a request on a connection that was waiting to be accepted at Stop, and the first of two pipelined
+// requests. An idle connection is closed after DrainTimeout.
 func TestStopAnswersWhatComes(t *testing.T) {
-	const drain = 2 * time.Second // for all that is written below, on a busy machine
+	const drain = 2 * time.Second // enough for all writes below, even on a busy machine
 	began, release := make(chan struct{}, 10), make(chan struct{})
 	s := start(t, &serve.Server{DrainTimeout: drain, Handle: func(c *serve.Conn, m *http1.Message) {
 		if string(m.Target) == "/held" {
@@ -130,7 +132,7 @@
 	}
 	stopped, begin := make(chan struct{}), time.Now()
 	go func() { s.Stop(context.Background()); close(stopped) }()
-	for { // until it refuses
+	for { // until the server refuses connections
 		c, err := net.DialTimeout("tcp", s.Address(), 50*time.Millisecond)
 		if err != nil {
 			break
@@ -148,7 +150,8 @@
 		t.Errorf("a request in halves: %q, %v", b, err)
 	}
 	close(release)
-	if b, err := io.ReadAll(held); strings.Count(string(b), "HTTP/1.1 ") != 1 || !strings.Contains(string(b), "Connection: close\r\n") || !strings.HasSuffix(string(b), "/held\n") {
+	if b, err := io.ReadAll(held); strings.Count(string(b), "HTTP/1.1 ") != 1 ||
+		!strings.Contains(string(b), "Connection: close\r\n") || !strings.HasSuffix(string(b), "/held\n") {
 		t.Errorf("one behind another: %q, %v", b, err)
 	}
 	if b, err := io.ReadAll(answer); err != nil || len(b) > 0 {
@@ -162,8 +165,8 @@
 	<-stopped
 }
 
-// A stop that waits for its clients ends at once where it is told to once more, with a context that is over.
-func TestStopSooner(t *testing.T) {
+// A Stop that waits for clients returns at once when Stop is called again with a context that has ended.
+func TestStopAgainWithEndedContext(t *testing.T) {
 	s := start(t, &serve.Server{Handle: ok})
 	c := dial(t, s)
 	_, _ = io.WriteString(c, get)
@@ -175,11 +178,12 @@
 	<-stopped
 }
 
-// A request that goes without an answer says whether it may have run: not where no connection was had, yes where it was
-// cut off; a call given up ends, and its server learns of it. It is given up once its server has it in hand: given up between its
-// connection and its request, of which no server learns, it failed once beside load ('1 servers learnt of it, 0 connections are left').
+// The failure of a request without an answer reports whether the request may have run: no if there was no connection, yes if
+// the connection was cut off. A call that is given up ends, and its server is notified. The test gives calls up only once
+// their server handles them: under load a call was once given up between its connection and its request, of which the server
+// is not notified.
 func TestUpstream(t *testing.T) {
-	var waiting, gone atomic.Int64 // calls that are given up: in hand, and learnt of
+	var received, disconnected atomic.Int64 // calls to /hang: received by the server, and reported to it as disconnected
 	hang := make(chan struct{})
 	s := start(t, &serve.Server{Handle: func(c *serve.Conn, m *http1.Message) {
 		switch string(m.Target) {
@@ -189,8 +193,8 @@
 			<-hang
 		case "/hang":
 			away := make(chan struct{})
-			c.OnDisconnect(func() { gone.Add(1); close(away) })
-			waiting.Add(1)
+			c.OnDisconnect(func() { disconnected.Add(1); close(away) })
+			received.Add(1)
 			select {
 			case <-away:
 			case <-hang:
@@ -219,7 +223,8 @@
 	if _, f := p.Send(&upstream.Call{}, "127.0.0.1:1", req("/x"), late(20*time.Second), false); f == nil || !f.Unrun {
 		t.Errorf("nobody there: %+v", f)
 	}
-	if _, f := p.Send(&upstream.Call{}, s.Address(), req("/late"), late(30*time.Millisecond), false); f == nil || !f.Timeout || f.Unrun {
+	if _, f := p.Send(&upstream.Call{}, s.Address(), req("/late"), late(30*time.Millisecond), false); f == nil ||
+		!f.Timeout || f.Unrun {
 		t.Errorf("too late: %+v", f)
 	}
 	calls := []*upstream.Call{{}, {}}
@@ -230,7 +235,7 @@
 			done <- f
 		}()
 	}
-	for end := late(20 * time.Second); waiting.Load() < 2 && time.Now().Before(end); {
+	for end := late(20 * time.Second); received.Load() < 2 && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
 	if _, f := p.Send(&upstream.Call{}, s.Address(), req("/x"), late(20*time.Second), false); f == nil || !f.Unrun {
@@ -242,11 +247,11 @@
 			t.Errorf("given up: %+v", f)
 		}
 	}
-	for end := late(20 * time.Second); (gone.Load() < 2 || p.Open() > 0) && time.Now().Before(end); {
+	for end := late(20 * time.Second); (disconnected.Load() < 2 || p.Open() > 0) && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
-	if gone.Load() < 2 || p.Open() != 0 {
-		t.Errorf("%d servers learnt of it, %d connections are left", gone.Load(), p.Open())
+	if disconnected.Load() < 2 || p.Open() != 0 {
+		t.Errorf("%d of 2 disconnects were reported to the server, %d connections are left", disconnected.Load(), p.Open())
 	}
 	close(hang)
 }
--- a/serve/stall_test.go
+++ b/serve/stall_test.go
@@ -11,7 +11,8 @@
 	"vetchdoor/serve"
 )
 
-// TestStopWithClientThatDoesNotRead guards against a stop that waits, past its context, for a client that takes nothing of its answer.
+// TestStopWithClientThatDoesNotRead guards against a Stop that waits beyond the end of its context for a client that does
+// not read its answer.
 func TestStopWithClientThatDoesNotRead(t *testing.T) {
 	began := make(chan struct{}, 1)
 	long := http1.AppendBody(http1.AppendStatus(nil, 200), bytes.Repeat([]byte("x"), 64<<20))
@@ -31,6 +32,6 @@
 	select {
 	case <-stopped:
 	case <-time.After(10 * time.Second):
-		t.Fatal("it waits for the client")
+		t.Fatal("Stop still waits for the client 10 s after its context ended")
 	}
 }
--- a/serve/trace_test.go
+++ b/serve/trace_test.go
@@ -15,21 +15,22 @@
 	"vetchdoor/stream"
 )
 
-// trace keeps what happened to a server's connections and when.
+// trace records the events of a server and its connections, with their times.
 type trace struct {
-	began  time.Time
-	ended  chan struct{} // closed by stop
-	mu     sync.Mutex
-	events []string
+	began   time.Time
+	stopped chan struct{} // closed by stop
+	mu      sync.Mutex
+	events  []string
 }
 
-// heartbeat is how often the trace looks whether goroutines are scheduled in time; a gap over mostGap is an event.
+// The trace checks every scheduleCheckInterval whether goroutines are scheduled in time. A gap over maxScheduleGap is an
+// event.
 const (
-	heartbeat = 5 * time.Millisecond
-	mostGap   = 50 * time.Millisecond
+	scheduleCheckInterval = 5 * time.Millisecond
+	maxScheduleGap        = 50 * time.Millisecond
 )
 
-// traced has a server that a test starts tell a trace, which is printed if the test fails.
+// traced traces a server that is to be started by a test, and prints the trace if the test fails.
 func traced(t *testing.T, s *serve.Server) {
 	tr := traceServer(s)
 	t.Cleanup(func() {
@@ -40,10 +41,10 @@
 	})
 }
 
-// traceServer has a server tell of each connection: when it was accepted, registered, read and answered, and when its end was told of;
-// also of when the server was told to refuse and to stop, and had done so. The trace is to be stopped.
+// traceServer traces a server that is to be started: when each connection was accepted, registered, read, answered and
+// closed, and when calls of Refuse and Stop began and returned. The caller must stop the trace.
 func traceServer(s *serve.Server) *trace {
-	tr := &trace{began: time.Now(), ended: make(chan struct{})}
+	tr := &trace{began: time.Now(), stopped: make(chan struct{})}
 	handle := s.Handle
 	s.Handle = func(c *serve.Conn, m *http1.Message) {
 		tr.note("%s read", c.RemoteAddress())
@@ -51,13 +52,14 @@
 		tr.note("%s answered", c.RemoteAddress())
 	}
 	s.Net = tracedNet{stream.NetOrSockets(s.Net), tr}
-	go tr.beat()
+	go tr.checkScheduling()
 	return tr
 }
 
-// stop ends the look at how goroutines are scheduled.
-func (tr *trace) stop() { close(tr.ended) }
+// stop ends the goroutine that checks the scheduling of goroutines.
+func (tr *trace) stop() { close(tr.stopped) }
 
+// note records an event with the time since the trace began.
 func (tr *trace) note(format string, values ...any) {
 	since := time.Since(tr.began)
 	line := fmt.Sprintf("%10.3fms ", float64(since.Microseconds())/1000) + fmt.Sprintf(format, values...)
@@ -72,35 +74,36 @@
 	return strings.Join(tr.events, "\n")
 }
 
-// beat notes when goroutines were not scheduled for long.
-func (tr *trace) beat() {
-	ticks := time.NewTicker(heartbeat)
+// checkScheduling records when no goroutine was scheduled for longer than maxScheduleGap, until the trace is stopped.
+func (tr *trace) checkScheduling() {
+	ticks := time.NewTicker(scheduleCheckInterval)
 	defer ticks.Stop()
 	for last := time.Now(); ; {
 		select {
-		case <-tr.ended:
+		case <-tr.stopped:
 			return
 		case <-ticks.C:
 		}
-		if gap := time.Since(last); gap > mostGap {
+		if gap := time.Since(last); gap > maxScheduleGap {
 			tr.note("no goroutine was scheduled for %v", gap)
 		}
 		last = time.Now()
 	}
 }
 
-// tracedNet tells a trace of what its servers are told.
+// tracedNet is a Net that traces the connections and the calls of its servers.
 type tracedNet struct {
 	stream.Net
 	trace *trace
 }
 
-// tracedConn is a connection as its trace knows it; it goes with the connection's context.
+// tracedConn is what the trace stores about a connection, in the connection's context.
 type tracedConn struct {
 	remote     string
-	registered bool // netpoll has called for its requests
+	registered bool // netpoll has called Request for the connection
 }
 
+// tracedKey is the key of a *tracedConn in the context of its connection.
 type tracedKey struct{}
 
 func (n tracedNet) Serve(network, address string, h stream.Hooks) (stream.Server, error) {
@@ -132,6 +135,7 @@
 	return tracedServer{server, n.trace}, err
 }
 
+// tracedServer is a Server that traces the calls of Refuse and Stop.
 type tracedServer struct {
 	stream.Server
 	trace *trace
