--- a/runtime/block.go
+++ b/runtime/block.go
@@ -7,23 +7,24 @@
 	"strings"
 )
 
-// What a proxy sends to its pilot, and a pilot to a peer, are blocks: lines ended by an empty one, as replies are in HAProxy's
-// socket. The first word tells the kind. A pilot answers with commands.
+// A proxy sends blocks to its pilot, and a pilot sends blocks to its peers. A block is a sequence of lines that ends with an
+// empty line, like a reply on HAProxy's socket; its first word is its kind. A pilot answers with commands.
 
-// BlockReader cuts bytes into blocks.
+// BlockReader splits a stream of bytes into blocks.
 type BlockReader struct {
 	buf      []byte
-	scanned  int // bytes of buf, known to hold no end of a block
-	maxBytes int // of a block
+	scanned  int // bytes at the start of buf that contain no end of a block
+	maxBytes int // limit on the length of a block
 }
 
 // NewBlockReader returns a reader of blocks of at most maxBytes each.
 func NewBlockReader(maxBytes int) *BlockReader { return &BlockReader{maxBytes: maxBytes} }
 
-// Feed takes bytes in.
+// Feed appends received bytes.
 func (r *BlockReader) Feed(b []byte) { r.buf = append(r.buf, b...) }
 
-// Next returns the lines of the next whole block; ok is false until there is one.
+// Next returns the lines of the next complete block. ok is false while there is none. The error is ErrTooLong if the block
+// exceeds the limit.
 func (r *BlockReader) Next() (lines []string, ok bool, err error) {
 	end := bytes.Index(r.buf[r.scanned:], []byte("\n\n"))
 	if end < 0 || r.scanned+end > r.maxBytes {
@@ -41,7 +42,8 @@
 	return lines, true, nil
 }
 
-// ParseBlock reads a block: *Hello, RoomProbe, *Holding, InForce, Refused, *Sums or Note.
+// ParseBlock parses the lines of a block. It returns a *Hello, RoomProbe, *TableContents, Confirmation, Refused, *Sums or
+// Note.
 func ParseBlock(lines []string) (any, error) {
 	w, err := readLine(lines[0])
 	if err != nil {
@@ -58,7 +60,7 @@
 	return block, w.end()
 }
 
-// block reads a block of a kind: the rest of its first line, and the lines below.
+// block parses a block of a kind: the rest of its first line, and the lines below it.
 func (w *wordReader) block(kind string, below []string) (any, error) {
 	switch kind {
 	case "hello":
@@ -66,9 +68,9 @@
 	case "knock":
 		return w.roomProbe(), nil
 	case "table":
-		return w.holding(below)
+		return w.tableContents(below)
 	case "in-force":
-		return w.inForce(), nil
+		return w.confirmation(), nil
 	case "refused":
 		return w.refused(), nil
 	case "sums":
@@ -79,9 +81,9 @@
 	return nil, fmt.Errorf("%q is no kind of block", kind)
 }
 
-// readLine reads a line of a block, which holds one command.
+// readLine splits a line of a block into words. The line must have the form of a single command.
 func readLine(line string) (*wordReader, error) {
-	c, ok, err := splitOne(line)
+	c, ok, err := splitSingleCommand(line)
 	if err != nil {
 		return nil, err
 	}
@@ -91,11 +93,11 @@
 	return &wordReader{words: c.Words}, nil
 }
 
-// Confirmation confirms a message.
+// Confirmation is the block by which a proxy confirms that it has applied a message.
 type Confirmation struct {
 	Run, Number uint64
-	Checkpoint  int // below 0: none
-	Duplicate   bool
+	Checkpoint  int  // the message's checkpoint; negative if it has none
+	Duplicate   bool // the message had been applied before
 }
 
 // Append appends the block.
@@ -110,9 +112,9 @@
 	return append(b, "\n\n"...)
 }
 
-func (w *wordReader) inForce() Confirmation {
+func (w *wordReader) confirmation() Confirmation {
 	f := Confirmation{Run: w.uint("run", math.MaxUint64), Number: w.uint("number", math.MaxUint64), Checkpoint: -1}
-	if w.next("checkpoint") {
+	if w.nextIs("checkpoint") {
 		w.take()
 		f.Checkpoint = int(w.uint("checkpoint", math.MaxUint16))
 	}
@@ -123,7 +125,7 @@
 	return f
 }
 
-// Refused says that a message was not applied, nothing of it, and why.
+// Refused is the block by which a proxy reports that it has applied no part of a message, and why.
 type Refused struct {
 	Run, Number uint64
 	Reason      string
--- a/runtime/change.go
+++ b/runtime/change.go
@@ -8,76 +8,79 @@
 	"vetchdoor/tenancy"
 )
 
-// Verb is what a change does.
+// Verb is the kind of a Change. The comments of the verbs name the fields of Change that they use where that is not obvious.
 type Verb byte
 
 const (
-	AddServer     Verb = iota + 1 // a line of a table, with all that is needed to send there
-	SetWeight                     // the weight of a line that is there
-	DelServer                     // a line goes
-	SetState                      // a server out of all tables, or back in; Out
-	ClearState                    // all servers back in
-	SetMap                        // op types to a table
-	ClearTable                    // all lines and levels of a table go
-	SetLevel                      // how much of op types is let in, and how tries are repeated
-	SetTenant                     // what a tenant may use: Rate, Tries, Fenced
-	SetBinding                    // where a tenant is: Number, Seat, Held
-	AdoptTable                    // a table begins as the one with Digest that an op type goes by
-	ClearBindings                 // bindings of other pilots, and those up to Number, go
+	AddServer     Verb = iota + 1 // adds a server to a table, with all that a proxy needs to send ops to it
+	SetWeight                     // sets the weight of a server that is in a table
+	DelServer                     // removes a server from a table
+	SetState                      // takes a server out of all tables, or puts it back: Drained
+	ClearState                    // puts all servers back that SetState has taken out
+	SetMap                        // maps op types to a table
+	ClearTable                    // removes all servers and levels of a table
+	SetLevel                      // sets the level and the retry policy of op types
+	SetTenant                     // sets the limit of a tenant: Rate, RetriesPerOp, Fenced, MaxInFlight, SubsetFactor
+	SetBinding                    // binds a tenant to pods: Number, Seat, Held
+	AdoptTable                    // makes a table a copy of the one with Digest that an op type is mapped to
+	ClearBindings                 // removes the bindings of other pilots, and this pilot's bindings up to Number
 )
 
 // Change is one line of a pilot's message.
 type Change struct {
 	Verb         Verb
-	Table        control.TableID // control.Everywhere for all, with SetLevel
+	Table        control.TableID // control.Everywhere stands for all tables in a SetLevel
 	Endpoint     control.EndpointID
-	Server       Server // AddServer
+	Server       Server // the server that AddServer adds
 	Weight       float64
-	Drained      bool   // SetState
-	OpTypes      uint16 // a bit for each; 0: all
+	Drained      bool   // SetState takes the server out of all tables; false: puts it back
+	OpTypes      uint16 // one bit for each op type; 0: all
 	Level        float64
 	RetryPolicy  control.Again
 	Tenant       string
-	Rate         float64 // ops a second at this proxy; below 0: no limit
-	RetriesPerOp float64 // beyond the first, for each op
-	Fenced       bool    // to one pod of its subset alone
-	MaxInFlight  float64 // ops in hand at this proxy at a time; below 0: no limit
-	SubsetFactor float64 // times the pods that its subset has by itself
-	Digest       uint64
-	Number       uint64 // of a binding, among those of its pilot
+	Rate         float64 // ops per second at this proxy; negative: no limit
+	RetriesPerOp float64 // budget of tries beyond the first, as an average per op
+	Fenced       bool    // the tenant is restricted to one pod of its subset
+	MaxInFlight  float64 // ops in progress at this proxy at a time; negative: no limit
+	SubsetFactor float64 // factor on the number of pods in the tenant's subset; at least 1
+	Digest       uint64  // of the table that AdoptTable copies
+	Number       uint64  // sequence number of a binding, among those of its pilot
 	Seat         tenancy.Seat
-	Held         bool // writes are refused with a time to come back
+	Held         bool // writes are refused, with a time after which to retry
 }
 
-// Server is what a proxy must know of an endpoint to send ops there and to try them again safely.
+// Server is what a proxy needs in order to send ops to an endpoint and to retry them safely.
 type Server struct {
 	Address netip.AddrPort
 	Zone    int
 	Pack    int
 }
 
-var agains = [...]string{control.Never: "never", control.IfUnrun: "if-unrun", control.OnceMore: "once",
+// retryNames are the names of the retry policies in the protocol.
+var retryNames = [...]string{control.Never: "never", control.IfUnrun: "if-unrun", control.OnceMore: "once",
 	control.TwiceMore: "twice"}
 
-// SetTenantChange is the change that says a tenant's limit.
+// SetTenantChange returns the SetTenant change for a tenant's limit.
 func SetTenantChange(l tenancy.Limit) Change {
-	return Change{Verb: SetTenant, Tenant: l.Tenant, Rate: l.Rate, RetriesPerOp: l.Tries, MaxInFlight: l.Hand, Fenced: l.Fenced, SubsetFactor: l.Room}
+	return Change{Verb: SetTenant, Tenant: l.Tenant, Rate: l.Rate, RetriesPerOp: l.Tries, MaxInFlight: l.Hand,
+		Fenced: l.Fenced, SubsetFactor: l.Room}
 }
 
-// Limit is what a SetTenant says.
+// Limit returns the limit that a SetTenant sets.
 func (c Change) Limit() tenancy.Limit {
-	return tenancy.Limit{Tenant: c.Tenant, Rate: c.Rate, Tries: c.RetriesPerOp, Hand: c.MaxInFlight, Fenced: c.Fenced, Room: c.SubsetFactor}
+	return tenancy.Limit{Tenant: c.Tenant, Rate: c.Rate, Tries: c.RetriesPerOp, Hand: c.MaxInFlight,
+		Fenced: c.Fenced, Room: c.SubsetFactor}
 }
 
-// Append appends the change as a line, without its end.
+// Append appends the change as a line, without a line feed.
 func (c Change) Append(b []byte) []byte {
 	switch c.Verb {
 	case AddServer:
 		return c.appendAddServer(b)
 	case SetWeight:
-		return number(append(c.server(append(b, "set server "...)), " weight "...), c.Weight)
+		return appendFloat(append(c.appendServer(append(b, "set server "...)), " weight "...), c.Weight)
 	case DelServer:
-		return c.server(append(b, "del server "...))
+		return c.appendServer(append(b, "del server "...))
 	case SetState:
 		return c.appendSetState(b)
 	case ClearState:
@@ -103,9 +106,9 @@
 }
 
 func (c Change) appendAddServer(b []byte) []byte {
-	b = c.server(append(b, "add server "...))
+	b = c.appendServer(append(b, "add server "...))
 	b = c.Server.Address.AppendTo(append(b, ' '))
-	b = number(append(b, " weight "...), c.Weight)
+	b = appendFloat(append(b, " weight "...), c.Weight)
 	b = strconv.AppendInt(append(b, " zone "...), int64(c.Server.Zone), 10)
 	return strconv.AppendInt(append(b, " pack "...), int64(c.Server.Pack), 10)
 }
@@ -121,17 +124,17 @@
 func (c Change) appendSetLevel(b []byte) []byte {
 	b = appendTable(append(b, "set level "...), c.Table)
 	b = appendTypes(append(b, ' '), c.OpTypes)
-	b = number(append(b, ' '), c.Level)
-	return append(append(b, " again "...), agains[c.RetryPolicy]...)
+	b = appendFloat(append(b, ' '), c.Level)
+	return append(append(b, " again "...), retryNames[c.RetryPolicy]...)
 }
 
 func (c Change) appendSetTenant(b []byte) []byte {
 	b = appendTenant(append(b, "set tenant "...), c.Tenant)
 	b = appendLimit(append(b, " rate "...), c.Rate)
-	b = number(append(b, " tries "...), c.RetriesPerOp)
+	b = appendFloat(append(b, " tries "...), c.RetriesPerOp)
 	b = appendOnOff(append(b, " fence "...), c.Fenced)
 	b = appendLimit(append(b, " hand "...), c.MaxInFlight)
-	return number(append(b, " room "...), c.SubsetFactor)
+	return appendFloat(append(b, " room "...), c.SubsetFactor)
 }
 
 func (c Change) appendSetBinding(b []byte) []byte {
@@ -143,12 +146,15 @@
 
 func (c Change) String() string { return string(c.Append(nil)) }
 
-func (c Change) server(b []byte) []byte {
+// appendServer appends the table and the server, as TABLE/SERVER.
+func (c Change) appendServer(b []byte) []byte {
 	return strconv.AppendUint(append(appendTable(b, c.Table), "/e"...), uint64(c.Endpoint), 10)
 }
 
-func number(b []byte, x float64) []byte { return strconv.AppendFloat(b, x, 'g', -1, 64) }
+// appendFloat appends a number in the shortest form that is read back exactly.
+func appendFloat(b []byte, x float64) []byte { return strconv.AppendFloat(b, x, 'g', -1, 64) }
 
+// appendTable appends a table as tN, or * for control.Everywhere.
 func appendTable(b []byte, t control.TableID) []byte {
 	if t == control.Everywhere {
 		return append(b, '*')
@@ -156,17 +162,17 @@
 	return strconv.AppendUint(append(b, 't'), uint64(t), 10)
 }
 
-// appendTenant appends a tenant's name, which a sign goes before, so that the name of nobody is a word too.
+// appendTenant appends a tenant's name with an equals sign before it, so that an empty name is a word too.
 func appendTenant(b []byte, name string) []byte {
 	return append(b, Quote("="+name)...)
 }
 
-// appendLimit appends a number; * for one below 0, which is no limit.
+// appendLimit appends a limit; a negative number, which stands for no limit, is written as *.
 func appendLimit(b []byte, x float64) []byte {
 	if x < 0 {
 		return append(b, '*')
 	}
-	return number(b, x)
+	return appendFloat(b, x)
 }
 
 func appendOnOff(b []byte, on bool) []byte {
@@ -176,6 +182,7 @@
 	return append(b, "off"...)
 }
 
+// appendTypes appends the op types of a mask as N,N…; * for all, which is 0.
 func appendTypes(b []byte, mask uint16) []byte {
 	if mask == 0 {
 		return append(b, '*')
--- a/runtime/digest.go
+++ b/runtime/digest.go
@@ -10,23 +10,24 @@
 	"vetchdoor/control"
 )
 
-// Line is a server in a table, with all that a proxy knows of it.
+// Line is a server in a table, with all that a proxy stores about it.
 type Line struct {
 	Endpoint control.EndpointID
 	Server
 	Weight float64
 }
 
-// Append appends the line as a block bears it, without its end.
+// Append appends the line as it is written in a block, without a line feed.
 func (l Line) Append(b []byte) []byte {
 	b = strconv.AppendUint(append(b, "server e"...), uint64(l.Endpoint), 10)
 	b = l.Address.AppendTo(append(b, ' '))
-	b = number(append(b, " weight "...), l.Weight)
+	b = appendFloat(append(b, " weight "...), l.Weight)
 	b = strconv.AppendInt(append(b, " zone "...), int64(l.Zone), 10)
 	return strconv.AppendInt(append(b, " pack "...), int64(l.Pack), 10)
 }
 
-// Digest tells tables apart by what they hold, whatever they are called; lines are by endpoint. It is never 0.
+// Digest returns a hash of a table's lines, which must be sorted by endpoint. It does not depend on the table's name, and is
+// never 0, which stands for the standing table.
 func Digest(lines []Line) uint64 {
 	h := xxhash.New()
 	var b []byte
@@ -37,7 +38,7 @@
 	return max(h.Sum64(), 1)
 }
 
-// TableRequest is a pilot's command that asks for the lines of tables by their digests.
+// TableRequest is the command by which a pilot requests the lines of the tables with these digests.
 type TableRequest []uint64
 
 // Append appends the command.
@@ -45,8 +46,9 @@
 	return append(appendDigests(append(b, "send tables "...), a), '\n')
 }
 
-func appendDigests(b []byte, all []uint64) []byte {
-	for i, d := range all {
+// appendDigests appends digests in hexadecimal, with commas between.
+func appendDigests(b []byte, digests []uint64) []byte {
+	for i, d := range digests {
 		if i > 0 {
 			b = append(b, ',')
 		}
@@ -55,7 +57,7 @@
 	return b
 }
 
-// ParseTableRequest reads one.
+// ParseTableRequest parses the words of a TableRequest.
 func ParseTableRequest(c Command) (TableRequest, error) {
 	w := &wordReader{words: c.Words}
 	w.expect("send")
@@ -63,9 +65,10 @@
 	return w.digests(), w.err
 }
 
-// maxDigests bounds what a hello or an ask names.
+// maxDigests limits the digests in a Hello or a TableRequest.
 const maxDigests = 16
 
+// digests reads a list of digests in hexadecimal, with commas between.
 func (w *wordReader) digests() (out []uint64) {
 	for part := range strings.SplitSeq(w.take(), ",") {
 		d, err := strconv.ParseUint(part, 16, 64)
@@ -78,7 +81,7 @@
 	return out
 }
 
-// TableContents is a table that a proxy has, as the answer to an Ask.
+// TableContents is the block by which a proxy sends a table that it holds, in answer to a TableRequest.
 type TableContents struct {
 	Digest uint64
 	Lines  []Line
@@ -93,23 +96,23 @@
 	return append(b, '\n')
 }
 
-// holding reads the rest of a block that is a table.
-func (w *wordReader) holding(lines []string) (*TableContents, error) {
+// tableContents parses the rest of a table block.
+func (w *wordReader) tableContents(lines []string) (*TableContents, error) {
 	t := &TableContents{Digest: w.digest()}
-	for _, line := range lines {
-		l, err := readLine(line)
+	for _, tableLine := range lines {
+		l, err := readLine(tableLine)
 		if err == nil {
-			err = l.line(t)
+			err = l.tableLine(t)
 		}
 		if err != nil {
-			return nil, fmt.Errorf("%.60q: %w", line, err)
+			return nil, fmt.Errorf("%.60q: %w", tableLine, err)
 		}
 	}
 	return t, nil
 }
 
-// line reads a line of a holding.
-func (w *wordReader) line(t *TableContents) error {
+// tableLine parses a line of a table block and appends it to the table. Lines must be sorted by endpoint.
+func (w *wordReader) tableLine(t *TableContents) error {
 	var l Line
 	w.expect("server")
 	l.Endpoint = w.endpoint()
--- a/runtime/grammar.go
+++ b/runtime/grammar.go
@@ -1,6 +1,7 @@
-// Package runtime is the runtime API: the grammar that HAProxy's management guide publishes for its socket, the changes
-// that a pilot orders in it, and the blocks that a proxy sends back. It has no sockets; docs/runtime-api.md lists the
-// commands. A Scanner takes bytes in and hands out whole requests; nothing of a request that is cut off is ever seen.
+// Package runtime implements the text protocol of the runtime API: the command grammar that HAProxy's management guide
+// documents for its socket, the changes that a pilot sends as commands, and the blocks that a proxy sends back. It does no
+// network I/O. docs/runtime-api.md lists the commands. A Scanner turns bytes into complete requests; it returns no part of a
+// truncated one.
 package runtime
 
 import (
@@ -9,22 +10,22 @@
 	"strings"
 )
 
-// Bounds limit what one request may hold. A request past one of them ends the session: what follows cannot be told from
-// its rest.
+// Bounds limit the size of one request. A request that exceeds one of them ends the session, because the bytes that follow
+// could belong to the same request.
 type Bounds struct {
-	Line     int // bytes of a command line or a payload line
-	Words    int // of a command
-	Commands int // of a line
-	Payload  int // bytes of a payload
+	Line     int // bytes in a command line or a payload line
+	Words    int // words in a command
+	Commands int // commands in a line
+	Payload  int // bytes in a payload
 }
 
-// SessionBounds are the bounds of a session with a person or a script, StreamBounds those of a pilot's stream.
+// SessionBounds are the bounds of an admin session with a person or a script; StreamBounds are those of a pilot's stream.
 var (
 	SessionBounds = Bounds{Line: 16 << 10, Words: 64, Commands: 64, Payload: 1 << 20}
 	StreamBounds  = Bounds{Line: 16 << 10, Words: 64, Commands: 1, Payload: 16 << 20}
 )
 
-// Command is one command: its words, and the lines of its payload if it had one.
+// Command is one command: its words, and the lines of its payload if it has one.
 type Command struct {
 	Words      []string
 	Payload    []string
@@ -33,7 +34,7 @@
 
 func (c Command) String() string { return strings.Join(c.Words, " ") }
 
-// HasPrefix tells whether the command begins with these words.
+// HasPrefix reports whether the command begins with these words.
 func (c Command) HasPrefix(words ...string) bool {
 	if len(c.Words) < len(words) {
 		return false
@@ -46,43 +47,43 @@
 	return true
 }
 
-// ErrTooLong says that a request went past its bounds.
+// ErrTooLong is the error for a request or a block that exceeds its limits.
 var ErrTooLong = errors.New("runtime: request past its bounds")
 
-// Scanner cuts bytes into requests.
+// Scanner splits a stream of bytes into requests.
 type Scanner struct {
-	bounds  Bounds
-	buf     []byte
-	scanned int // bytes of buf, known to hold no line end
-	line    []Command
-	end     string // the pattern that ends the payload
-	size    int    // of the payload so far
-	payload bool   // a payload is being read
-	err     error
+	bounds      Bounds
+	buf         []byte
+	scanned     int       // bytes at the start of buf that contain no line feed
+	line        []Command // the commands of the line whose payload is being read
+	endLine     string    // the line that ends the payload
+	payloadSize int       // bytes of the payload read so far
+	inPayload   bool      // a payload is being read
+	err         error     // returned by every further call of Next
 }
 
-// NewScanner returns a scanner with these bounds.
+// NewScanner returns a Scanner whose requests are limited by b.
 func NewScanner(b Bounds) *Scanner { return &Scanner{bounds: b} }
 
-// Feed takes bytes in. The scanner keeps no more than one unfinished line and what was fed after it.
+// Feed appends received bytes. The scanner buffers at most one incomplete line and the bytes fed after it.
 func (s *Scanner) Feed(b []byte) {
 	if s.err == nil {
 		s.buf = append(s.buf, b...)
 	}
 }
 
-// ReadingPayload tells whether a payload is being read, as an interactive session shows by its prompt.
-func (s *Scanner) ReadingPayload() bool { return s.payload }
+// ReadingPayload reports whether a payload is being read; an interactive session shows this by its prompt.
+func (s *Scanner) ReadingPayload() bool { return s.inPayload }
 
-// Next returns the commands of the next whole line, with its payload; ok is false until there is one. After an error it
-// returns that error for good.
+// Next returns the commands of the next complete line, with its payload. ok is false while there is none. Once it has
+// returned an error, every further call returns the same error.
 func (s *Scanner) Next() (line []Command, ok bool, err error) {
 	for s.err == nil {
 		text, whole := s.nextLine()
 		if !whole {
 			break
 		}
-		if s.payload {
+		if s.inPayload {
 			line, ok = s.payloadLine(text)
 		} else {
 			line, ok = s.commandLine(text)
@@ -94,7 +95,8 @@
 	return nil, false, s.err
 }
 
-// nextLine takes a whole line out of the buffer; false if there is none, or one past the bounds, which is an error.
+// nextLine removes a complete line from the buffer. It returns false if there is none, and sets the scanner's error if the
+// line exceeds its limit.
 func (s *Scanner) nextLine() (text string, whole bool) {
 	end := bytes.IndexByte(s.buf[s.scanned:], '\n')
 	if end < 0 {
@@ -117,14 +119,14 @@
 	return text, true
 }
 
-// payloadLine takes a line of a payload, or its end, with which the commands are whole.
+// payloadLine handles a line of a payload, or the line that ends it, which completes the commands and returns them.
 func (s *Scanner) payloadLine(text string) (line []Command, whole bool) {
-	if text == s.end {
+	if text == s.endLine {
 		line = s.line
-		s.line, s.payload, s.size = nil, false, 0
+		s.line, s.inPayload, s.payloadSize = nil, false, 0
 		return line, true
 	}
-	if s.size += len(text) + 1; s.size > s.bounds.Payload {
+	if s.payloadSize += len(text) + 1; s.payloadSize > s.bounds.Payload {
 		s.err = ErrTooLong
 		return nil, false
 	}
@@ -133,7 +135,7 @@
 	return nil, false
 }
 
-// commandLine takes a line of commands, which are whole unless a payload follows or there are none.
+// commandLine handles a line of commands. They are complete, and returned, unless a payload follows or the line has none.
 func (s *Scanner) commandLine(text string) (line []Command, whole bool) {
 	l, err := splitLine(text, s.bounds)
 	if err != nil {
@@ -141,14 +143,15 @@
 		return nil, false
 	}
 	if l.opensPayload {
-		s.line, s.end, s.payload = l.commands, l.payloadEnd, true
+		s.line, s.endLine, s.inPayload = l.commands, l.payloadEnd, true
 		s.line[len(s.line)-1].HasPayload = true
 		return nil, false
 	}
 	return l.commands, len(l.commands) > 0
 }
 
-// Quote writes a word so that splitLine reads it back as it is. Line ends cannot be written and become blanks.
+// Quote escapes a word so that splitLine reads it back unchanged, except that carriage returns and line feeds, which cannot
+// be escaped, become spaces.
 func Quote(w string) string {
 	if !strings.ContainsAny(w, " \t;\\\r\n") && !strings.HasPrefix(w, payloadMark) {
 		return w
--- a/runtime/handshake.go
+++ b/runtime/handshake.go
@@ -9,33 +9,34 @@
 	"vetchdoor/control"
 )
 
-// WireVersion is the version of what pilots and proxies speak. What a later one adds to a hello, a welcome or a stream's commands
-// an earlier one passes over; a pilot sends a proxy no change that its version does not know.
+// WireVersion is the version of the protocol between pilots and proxies. An earlier version ignores what a later one adds to
+// a hello, a welcome or a stream's commands. A pilot sends a proxy only changes that the proxy's version includes.
 const WireVersion = 1
 
-// Hello is how a proxy opens its stream.
+// Hello is the block by which a proxy opens its stream to a pilot.
 type Hello struct {
 	Proxy          control.ProxyID
-	WireVersion    int    // what it speaks; 0: it does not say
-	Token          string // drawn at the proxy's start; tells it from another that takes its number
+	WireVersion    int    // the proxy's protocol version; 0 if the proxy does not send it
+	Token          string // random, chosen at the proxy's start; distinguishes it from another proxy with the same number
 	Zone           int
-	Rate           float64 // ops a second it usually gets
-	Pilot          string  // whose run it last applied a message of, or NoPilot
-	Run            uint64
-	Number         uint64               // the last message applied, of that run
-	Window         int                  // lines that may be on their way to it, not confirmed
-	Standing       []control.EndpointID // its standing table
-	Digests        []uint64             // of the tables that op types go by; 0: a standing one. Empty: the proxy does not say
-	BindingsPilot  string               // the pilot whose bindings of tenants it has; empty: none's
-	BindingsNumber uint64               // it has all of them up to this number
+	Rate           float64              // ops per second that the proxy usually gets
+	Pilot          string               // the pilot whose message was applied last, or NoPilot
+	Run            uint64               // the run of Pilot that sent this message
+	Number         uint64               // number of the last message applied, within that run
+	Window         int                  // the most lines that the pilot may send ahead of their confirmation
+	Standing       []control.EndpointID // the servers of the proxy's standing table
+	Digests        []uint64             // digests of the tables that op types use; 0: the standing table. Empty: not sent
+	BindingsPilot  string               // the pilot whose bindings of tenants the proxy has; empty: none
+	BindingsNumber uint64               // the proxy has all these bindings up to this number
 }
 
-// NoPilot stands in a hello for the pilot of a proxy that has applied no message yet.
+// NoPilot is the Pilot in the Hello of a proxy that has applied no message yet.
 const NoPilot = "-"
 
 // Append appends the block.
 func (h *Hello) Append(b []byte) []byte {
-	b = fmt.Appendf(b, "hello %d wire %d token %s zone %d rate %s holds %s %d %d window %d standing ", h.Proxy, h.WireVersion, Quote(h.Token), h.Zone,
+	b = fmt.Appendf(b, "hello %d wire %d token %s zone %d rate %s holds %s %d %d window %d standing ",
+		h.Proxy, h.WireVersion, Quote(h.Token), h.Zone,
 		strconv.FormatFloat(h.Rate, 'g', -1, 64), Quote(h.Pilot), h.Run, h.Number, h.Window)
 	b = appendStanding(b, h.Standing)
 	if len(h.Digests) > 0 {
@@ -47,6 +48,7 @@
 	return append(b, "\n\n"...)
 }
 
+// appendStanding appends the servers of a standing table as E,E…; - for none.
 func appendStanding(b []byte, endpoints []control.EndpointID) []byte {
 	if len(endpoints) == 0 {
 		return append(b, '-')
@@ -60,12 +62,12 @@
 	return b
 }
 
-// maxRate bounds the ops a second that a proxy may say it usually gets, as its file does.
+// maxRate limits the ops per second in a Hello; the proxy's settings file has the same limit.
 const maxRate = 1e9
 
 func (w *wordReader) hello() *Hello {
 	h := &Hello{Proxy: control.ProxyID(w.uint("proxy", math.MaxUint16))}
-	if w.next("wire") {
+	if w.nextIs("wire") {
 		w.take()
 		h.WireVersion = int(w.uint("wire", math.MaxUint16))
 	}
@@ -82,7 +84,7 @@
 	h.Window = int(w.uint("window", math.MaxInt32))
 	w.expect("standing")
 	h.Standing = w.standing()
-	if w.next("digests") {
+	if w.nextIs("digests") {
 		w.take()
 		h.Digests = w.digests()
 	}
@@ -90,13 +92,13 @@
 		w.expect("bound")
 		h.BindingsPilot, h.BindingsNumber = w.take(), w.uint("number", math.MaxUint64)
 	}
-	if h.WireVersion > WireVersion { // a later one's: what it says beyond is passed over
+	if h.WireVersion > WireVersion { // fields that a later version has added are ignored
 		w.words = nil
 	}
 	return h
 }
 
-// standing reads the standing table, E,E…; - for none.
+// standing reads the servers of a standing table, E,E…; - for none.
 func (w *wordReader) standing() (endpoints []control.EndpointID) {
 	list := w.take()
 	if list == "-" {
@@ -113,12 +115,12 @@
 	return endpoints
 }
 
-// Welcome is the pilot's answer to a hello, a command line of its own.
+// Welcome is the command by which a pilot accepts a Hello. It is on a line of its own.
 type Welcome struct {
 	Pilot       string
 	Run         uint64
-	WireVersion int  // what the pilot speaks; 0: it does not say
-	Resumed     bool // the session goes on: what was not confirmed comes again
+	WireVersion int  // the pilot's protocol version; 0 if the pilot does not send it
+	Resumed     bool // the earlier session continues; unconfirmed messages are sent again
 }
 
 // Append appends the command.
@@ -130,7 +132,7 @@
 	return fmt.Appendf(b, "welcome %s %d %s wire %d\n", Quote(m.Pilot), m.Run, how, m.WireVersion)
 }
 
-// ParseWelcome reads a welcome.
+// ParseWelcome parses a Welcome.
 func ParseWelcome(c Command) (Welcome, error) {
 	w := &wordReader{words: c.Words}
 	w.expect("welcome")
@@ -149,11 +151,11 @@
 	return m, w.err
 }
 
-// GoAway is a pilot's command to a proxy that it does not admit, or keeps no longer.
+// GoAway is the command by which a pilot rejects a proxy, or dismisses one that has joined.
 type GoAway struct {
-	Joined   bool   // it was admitted before
-	Reason   string // why it is not admitted; empty if Joined
-	Redirect string // the address of another pilot; empty: none is known
+	Joined   bool   // the proxy had joined
+	Reason   string // why the proxy is rejected; empty if Joined
+	Redirect string // the address of another pilot to try; empty if none is known
 }
 
 // Append appends the command.
@@ -167,7 +169,7 @@
 	return append(b, '\n')
 }
 
-// ParseGoAway reads one.
+// ParseGoAway parses a GoAway.
 func ParseGoAway(c Command) (GoAway, error) {
 	w := &wordReader{words: c.Words}
 	g := GoAway{Joined: c.HasPrefix("away")}
@@ -181,7 +183,8 @@
 	return g, w.end()
 }
 
-// RoomProbe asks a pilot whether it would admit a proxy, on a stream of its own; Room or a GoAway answers it.
+// RoomProbe is the block that asks a pilot, on a separate stream, whether it would admit a proxy. The answer is Room or a
+// GoAway.
 type RoomProbe struct{ Proxy control.ProxyID }
 
 // Append appends the block.
@@ -191,5 +194,5 @@
 	return RoomProbe{Proxy: control.ProxyID(w.uint("proxy", math.MaxUint16))}
 }
 
-// Room is the command that answers a RoomProbe where there is room.
+// Room is the command that answers a RoomProbe if the pilot would admit the proxy.
 const Room = "room"
--- a/runtime/message.go
+++ b/runtime/message.go
@@ -8,18 +8,18 @@
 	"time"
 )
 
-// Message is what a pilot orders of one proxy at one time; it is applied whole or not at all.
+// Message is a set of changes that a pilot sends to a proxy. The proxy applies all of them or none.
 type Message struct {
 	Pilot      string
-	Run        uint64 // of the pilot; a later start has a higher one
-	Number     uint64 // within the run and the proxy's session, from 1 up
-	CreatedAt  time.Duration
-	Lines      int // what it costs the channel, its head included
-	Checkpoint int // below 0: none
+	Run        uint64        // number of the pilot's run, which increases with each start
+	Number     uint64        // sequence number within the run and the proxy's session, from 1
+	CreatedAt  time.Duration // when the pilot made the message, on its own clock
+	Lines      int           // lines of the message, its head included, that count against the limit of the pilot's channel
+	Checkpoint int           // a number that the proxy repeats in its Confirmation; negative: none
 	Changes    []Change
 }
 
-// AppendHead appends the command line that opens a message; the changes' lines and an empty one follow.
+// AppendHead appends the command line that opens a message. The lines of the changes and an empty line must follow.
 func (m *Message) AppendHead(b []byte) []byte {
 	b = append(append(b, "apply "...), Quote(m.Pilot)...)
 	b = strconv.AppendUint(append(b, ' '), m.Run, 10)
@@ -41,7 +41,7 @@
 	return append(b, '\n')
 }
 
-// ParseMessage reads an apply command with its payload. One bad line refuses the whole.
+// ParseMessage parses an apply command with its payload. It returns an error if any line is invalid.
 func ParseMessage(c Command) (*Message, error) {
 	w := &wordReader{words: c.Words}
 	w.expect("apply")
@@ -72,9 +72,9 @@
 	return m, nil
 }
 
-// parseLine reads a change from a line of a message.
+// parseLine parses a line of a message as a change.
 func parseLine(line string) (Change, error) {
-	c, ok, err := splitOne(line)
+	c, ok, err := splitSingleCommand(line)
 	if err != nil {
 		return Change{}, err
 	}
--- a/runtime/note.go
+++ b/runtime/note.go
@@ -6,13 +6,13 @@
 	"math"
 )
 
-// Note is what one pilot writes to another, on a stream of its own.
+// Note is the block by which a pilot sends data to another pilot, on a separate stream.
 type Note struct {
-	From int
-	Data []byte
+	From int    // the sending pilot's instance number
+	Data []byte // at most MaxNoteBytes
 }
 
-// MaxNoteBytes bounds a note's data, in bytes.
+// MaxNoteBytes limits the length of a note's data.
 const MaxNoteBytes = 256
 
 // Append appends the block.
--- a/runtime/parse_change.go
+++ b/runtime/parse_change.go
@@ -8,10 +8,10 @@
 	"vetchdoor/control"
 )
 
-// ErrNoChange says that a command is none of the changes; it may be one for people.
+// ErrNoChange is returned by ParseChange for a command that is not a change; it may be an admin command.
 var ErrNoChange = errors.New("not a change")
 
-// ParseChange reads a change from the words of a command.
+// ParseChange parses the words of a command as a change.
 func ParseChange(words []string) (c Change, err error) {
 	w := &wordReader{words: words}
 	if err := w.change(w.take()+" "+w.take(), &c); err != nil {
@@ -20,7 +20,7 @@
 	return c, w.end()
 }
 
-// change reads what follows the first two words of a change.
+// change parses the words that follow the first two words of a change, which command holds.
 func (w *wordReader) change(command string, c *Change) error {
 	switch command {
 	case "add server":
@@ -78,7 +78,7 @@
 	c.Weight = w.weight()
 }
 
-// setState reads the rest of set server */E state S, or */* for all.
+// setState parses the rest of "set server */eN state STATE"; */* stands for all servers.
 func (w *wordReader) setState(c *Change) {
 	c.Verb = SetState
 	name := strings.TrimPrefix(w.take(), "*/")
@@ -105,13 +105,13 @@
 		w.fail("level %v is below 0", c.Level)
 	}
 	w.expect("again")
-	c.RetryPolicy = w.again()
+	c.RetryPolicy = w.retryPolicy()
 }
 
-// again reads when a try may be repeated.
-func (w *wordReader) again() control.Again {
+// retryPolicy reads the name of a retry policy.
+func (w *wordReader) retryPolicy() control.Again {
 	word := w.take()
-	for i, name := range agains {
+	for i, name := range retryNames {
 		if word == name {
 			return control.Again(i)
 		}
--- a/runtime/runtime_test.go
+++ b/runtime/runtime_test.go
@@ -13,7 +13,8 @@
 	"vetchdoor/tenancy"
 )
 
-// scan feeds a text in pieces of a size and returns the requests it holds, words joined by |, payload lines by /.
+// scan feeds a text to a scanner in pieces of size bytes and returns its requests: words joined by |, payload lines by /,
+// commands by ;.
 func scan(text string, size int, b Bounds) (out []string, err error) {
 	s := NewScanner(b)
 	for len(text) > 0 {
@@ -42,7 +43,7 @@
 	return out, nil
 }
 
-// The grammar as the management guide has it.
+// The scanner must follow the grammar in HAProxy's management guide, whatever the pieces in which the bytes arrive.
 func TestScanner(t *testing.T) {
 	for _, c := range []struct{ in, want string }{
 		{"show info\n", "show|info"},
@@ -65,12 +66,13 @@
 	}
 }
 
-// No request grows past its bounds, and after one that tried nothing more is taken.
+// A request that exceeds its bounds is an error, after which the scanner accepts nothing more.
 func TestBounds(t *testing.T) {
 	b := Bounds{Line: 20, Words: 3, Commands: 2, Payload: 10}
-	for _, in := range []string{strings.Repeat("a", 21), "a b c d\n", "a;b;c\n", "a <<\n" + strings.Repeat("k\n", 6), "a <<12345678\n"} {
+	for _, in := range []string{strings.Repeat("a", 21), "a b c d\n", "a;b;c\n",
+		"a <<\n" + strings.Repeat("k\n", 6), "a <<12345678\n"} {
 		if got, err := scan(in, 4, b); err == nil {
-			t.Errorf("%q was taken: %q", in, got)
+			t.Errorf("%q was accepted: %q", in, got)
 		}
 	}
 	s := NewScanner(b)
@@ -80,13 +82,15 @@
 	}
 	s.Feed([]byte("help\n"))
 	if _, ok, err := s.Next(); ok || err == nil {
-		t.Fatal("taken after an error")
+		t.Fatal("a request was accepted after an error")
 	}
 }
 
+// changes returns valid changes of every kind.
 func changes() []Change {
 	return []Change{
-		{Verb: AddServer, Table: 3, Endpoint: 17, Weight: 1.5, Server: Server{Address: netip.MustParseAddrPort("127.0.0.1:8001"), Zone: 1, Pack: 4}},
+		{Verb: AddServer, Table: 3, Endpoint: 17, Weight: 1.5,
+			Server: Server{Address: netip.MustParseAddrPort("127.0.0.1:8001"), Zone: 1, Pack: 4}},
 		{Verb: AddServer, Table: 3, Endpoint: 18, Weight: 1e-3, Server: Server{Address: netip.MustParseAddrPort("[::1]:8001")}},
 		{Verb: SetWeight, Table: 3, Endpoint: 17, Weight: 0.25},
 		{Verb: DelServer, Table: 3, Endpoint: 4294967295},
@@ -100,16 +104,18 @@
 		{Verb: SetLevel, Table: 9, Level: 0, RetryPolicy: control.TwiceMore},
 		{Verb: SetTenant, Tenant: "a b;", Rate: -1, RetriesPerOp: 0.2, MaxInFlight: -1, SubsetFactor: 1},
 		{Verb: SetTenant, Tenant: "", Rate: 0.5, Fenced: true, MaxInFlight: 2.5, SubsetFactor: 1.5},
-		{Verb: SetBinding, Tenant: "a <<", Number: 1 << 63, Seat: tenancy.Seat{Draw: 3, Size: 2, Pods: []tenancy.PodID{1<<16 | 7, 9}}, Held: true},
+		{Verb: SetBinding, Tenant: "a <<", Number: 1 << 63,
+			Seat: tenancy.Seat{Draw: 3, Size: 2, Pods: []tenancy.PodID{1<<16 | 7, 9}}, Held: true},
 		{Verb: SetBinding, Tenant: "", Number: 1},
 		{Verb: ClearBindings, Number: 12},
 		{Verb: AdoptTable, Table: 4, Digest: 1<<63 + 5},
 	}
 }
 
-// What is written is read back as it was.
+// A message that is written and parsed again must be unchanged.
 func TestMessage(t *testing.T) {
-	m := &Message{Pilot: "a b;c", Run: 1 << 60, Number: 7, CreatedAt: 1234567 * time.Microsecond, Lines: 12, Checkpoint: 65535, Changes: changes()}
+	m := &Message{Pilot: "a b;c", Run: 1 << 60, Number: 7, CreatedAt: 1234567 * time.Microsecond, Lines: 12,
+		Checkpoint: 65535, Changes: changes()}
 	s := NewScanner(StreamBounds)
 	s.Feed(m.Append(nil))
 	line, ok, err := s.Next()
@@ -122,26 +128,32 @@
 	}
 }
 
-// One bad line refuses the whole message.
+// One invalid line makes the whole message invalid.
 func TestBadChanges(t *testing.T) {
-	for _, line := range []string{"add server t1/e1 127.0.0.1:80 weight 0 zone 0 pack 0", "add server t1/e1 127.0.0.1 weight 1 zone 0 pack 0",
+	for _, line := range []string{"add server t1/e1 127.0.0.1:80 weight 0 zone 0 pack 0",
+		"add server t1/e1 127.0.0.1 weight 1 zone 0 pack 0",
 		"add server t1/e1 127.0.0.1:0 weight 1 zone 0 pack 0", "add server t1/e1 127.0.0.1:80 weight NaN zone 0 pack 0",
 		"add server t1/e1 127.0.0.1:80 weight 1 zone 256 pack 0", "add server t1 127.0.0.1:80 weight 1 zone 0 pack 0",
 		"add server t65535/e1 127.0.0.1:80 weight 1 zone 0 pack 0", "set server t1/e1 weight -1", "set server t1/e1 weight 1 more",
 		"set server t1/e1 weight +Inf", "set server */e1 state maint", "set server */* state drain", "set map op-types 16 t1",
-		"set map op-types 0 *", "set level * 0 -1 again never", "set level * 0 1 again always", "set level * 0 1", "set tenant delo rate 1 tries 0 fence on", "set tenant =delo rate -1 tries 0 fence on", "set tenant =a rate 1 tries 0 fence maybe", "clear table *",
+		"set map op-types 0 *", "set level * 0 -1 again never", "set level * 0 1 again always", "set level * 0 1",
+		"set tenant delo rate 1 tries 0 fence on", "set tenant =delo rate -1 tries 0 fence on",
+		"set tenant =a rate 1 tries 0 fence maybe", "clear table *",
 		"del server t1/e4294967296", "show info", "set server t1/e1 weight 1;del server t1/e1"} {
 		c := Command{Words: strings.Fields("apply p 1 1 at 0 lines 2"), HasPayload: true,
 			Payload: []string{"set server t1/e1 weight 2", line}}
 		if m, err := ParseMessage(c); err == nil {
-			t.Errorf("%q was taken: %+v", line, m.Changes[1])
+			t.Errorf("%q was accepted: %+v", line, m.Changes[1])
 		}
 	}
 }
 
+// Blocks that are written and parsed again must be unchanged; malformed and overlong blocks must be rejected.
 func TestBlocks(t *testing.T) {
-	hello := &Hello{Proxy: 9, Token: "x y", Zone: 2, Rate: 12.5, Pilot: "-", Window: 4096, Standing: []control.EndpointID{1, 4294967295}}
-	sums := &Sums{Window: time.Second, Types: []TypeSum{{1, 20, 3}}, Servers: []ServerSum{{7, 10, 1, 45 * time.Millisecond, []float64{0.5, 3}}, {8, 1, 1, 0, nil}},
+	hello := &Hello{Proxy: 9, Token: "x y", Zone: 2, Rate: 12.5, Pilot: "-", Window: 4096,
+		Standing: []control.EndpointID{1, 4294967295}}
+	sums := &Sums{Window: time.Second, Types: []TypeSum{{1, 20, 3}},
+		Servers: []ServerSum{{7, 10, 1, 45 * time.Millisecond, []float64{0.5, 3}}, {8, 1, 1, 0, nil}},
 		Tenants: []TenantSum{{"", 3, 4, 1, time.Second}, {"de lo", 1 << 31, 1, 0, 0}}}
 	want := []any{hello, Confirmation{5, 6, 7, true}, Confirmation{5, 6, -1, false}, Refused{1, 2, "not this"}, sums}
 	text := hello.Append(nil)
@@ -168,21 +180,23 @@
 	if !reflect.DeepEqual(got, want) {
 		t.Fatalf("%+v", got)
 	}
-	for _, bad := range []string{"hello 70000 token x zone 0 rate 1 holds - 0 0 window 1 standing -", "hello 1", "sums x", "sums 1000\nserver 1 2",
-		"sums 1000\ntype 0 -1 0", "hello 1 token t zone 0 rate 1e300 holds - 0 0 window 1 standing -", "sums 1000\nserver 1 2 3 4 NaN", "bye", "in-force 1 2 maybe", "in-force 1 2\nmore"} {
+	for _, bad := range []string{"hello 70000 token x zone 0 rate 1 holds - 0 0 window 1 standing -",
+		"hello 1", "sums x", "sums 1000\nserver 1 2",
+		"sums 1000\ntype 0 -1 0", "hello 1 token t zone 0 rate 1e300 holds - 0 0 window 1 standing -", "sums 1000\nserver 1 2 3 4 NaN",
+		"bye", "in-force 1 2 maybe", "in-force 1 2\nmore"} {
 		if b, err := ParseBlock(strings.Split(bad, "\n")); err == nil {
-			t.Errorf("%q was taken: %+v", bad, b)
+			t.Errorf("%q was accepted: %+v", bad, b)
 		}
 	}
 	r = NewBlockReader(10)
 	r.Feed([]byte("aaaaaaaaaaaaaaaaaaaaa"))
 	if _, _, err := r.Next(); err == nil {
-		t.Error("a block without end was taken")
+		t.Error("a block over the limit was accepted")
 	}
 }
 
-// FuzzScanner: no input crashes it or makes it hold more than it was fed; what comes out does not depend on the pieces;
-// what a change is written as is what it is read from.
+// FuzzScanner checks that no input makes the scanner panic, that its requests do not depend on the pieces in which the bytes
+// arrive, and that a message that is parsed and written can be parsed again, with the same result.
 func FuzzScanner(f *testing.F) {
 	f.Add([]byte("show info;set map a\\ b c\nadd map x <<\nk v\n\n"), 3)
 	f.Add((&Message{Pilot: "p", Run: 1, Number: 1, Checkpoint: -1, Changes: changes()}).Append(nil), 7)
@@ -210,16 +224,17 @@
 			s2.Feed(m.Append(nil))
 			line, ok, err = s2.Next()
 			if !ok || err != nil {
-				t.Fatalf("written again it cannot be read: %v", err)
+				t.Fatalf("a written message cannot be parsed: %v", err)
 			}
 			again, err := ParseMessage(line[0])
 			if err != nil || !reflect.DeepEqual(m, again) {
-				t.Fatalf("%+v is read back as %+v, %v", m, again, err)
+				t.Fatalf("%+v is parsed as %+v, %v after writing it", m, again, err)
 			}
 		}
 	})
 }
 
+// FuzzBlock checks that no input makes ParseBlock panic.
 func FuzzBlock(f *testing.F) {
 	f.Add("sums 1000\ntype 0 1 2\nserver 1 2 3 4 0.5")
 	f.Add("hello 1 token x zone 0 rate 1 holds - 0 0 window 1 standing 1,2")
--- a/runtime/seat.go
+++ b/runtime/seat.go
@@ -8,10 +8,12 @@
 	"vetchdoor/tenancy"
 )
 
-// TenantName reads a tenant's name as people write it: with or without the sign that names on the wire begin with.
+// TenantName returns the tenant's name in a word that a person typed, with or without the equals sign that precedes names in
+// the protocol.
 func TenantName(word string) string { return strings.TrimPrefix(word, "=") }
 
-// ParseSeat reads where a tenant is to be: any of draw N, size N and pods ZONE.PACK,…, in place of those of its seat.
+// ParseSeat parses the words that place a tenant, any of draw N, size N, pods ZONE.PACK,… and home. It returns the given
+// seat with the values of these words in place of its own; home resets the seat.
 func ParseSeat(words []string, seat tenancy.Seat) (tenancy.Seat, error) {
 	w := &wordReader{words: words}
 	if len(words) == 0 {
@@ -34,9 +36,10 @@
 	return seat, w.err
 }
 
-// maxPods bounds a subset.
+// maxPods limits the number of pods in a subset.
 const maxPods = 1000
 
+// seat reads a seat in the form that Seat.String writes.
 func (w *wordReader) seat() (s tenancy.Seat) {
 	w.expect("draw")
 	s.Draw = uint32(w.uint("draw", math.MaxUint32))
@@ -47,7 +50,7 @@
 	return s
 }
 
-// pods reads ZONE.PACK,…; * for none.
+// pods reads a list of pods, ZONE.PACK,ZONE.PACK…; * for none.
 func (w *wordReader) pods() (out []tenancy.PodID) {
 	list := w.take()
 	if list == "*" {
--- a/runtime/split.go
+++ b/runtime/split.go
@@ -5,26 +5,27 @@
 	"fmt"
 )
 
-// payloadMark begins the last word of a line that a payload follows; the rest of the word is the line that ends the payload.
+// payloadMark begins the last word of a line that is followed by a payload. The rest of the word is the line that ends the
+// payload.
 const payloadMark = "<<"
 
-// maxPayloadPattern bounds the line that ends a payload, in bytes.
+// maxPayloadPattern limits the length of the line that ends a payload, in bytes.
 const maxPayloadPattern = 7
 
-// splitText is a line cut into commands and words.
-type splitText struct {
+// splitResult is a line split into commands and words.
+type splitResult struct {
 	commands     []Command
-	opensPayload bool
+	opensPayload bool   // a payload follows the line
 	payloadEnd   string // the line that ends the payload
 }
 
-// splitLine cuts a line into commands at semicolons and into words at blanks; a backslash takes the next character as it is. A
-// last word that begins with << opens a payload.
-func splitLine(text string, bounds Bounds) (l splitText, err error) {
+// splitLine splits a line into commands at semicolons, and commands into words at spaces and tabs. A backslash escapes the
+// next character. A last word that begins with << opens a payload.
+func splitLine(text string, bounds Bounds) (l splitResult, err error) {
 	s := splitter{bounds: bounds}
 	for i := 0; i < len(text); i++ {
 		if err := s.add(text[i]); err != nil {
-			return splitText{}, err
+			return splitResult{}, err
 		}
 	}
 	if s.escaped {
@@ -33,19 +34,20 @@
 	if s.atPayloadMark() {
 		l.opensPayload, l.payloadEnd = true, string(s.word[len(payloadMark):])
 		if len(l.payloadEnd) > maxPayloadPattern {
-			return splitText{}, fmt.Errorf("runtime: payload pattern over %d characters", maxPayloadPattern)
+			return splitResult{}, fmt.Errorf("runtime: payload pattern over %d characters", maxPayloadPattern)
 		}
 		s.inWord = false
 	}
 	if err := s.endCommand(); err != nil {
-		return splitText{}, err
+		return splitResult{}, err
 	}
 	l.commands = s.commands
 	return l, nil
 }
 
-// splitOne cuts a line of a pilot's stream that holds one command without a payload; ok is false if it holds something else.
-func splitOne(text string) (c Command, ok bool, err error) {
+// splitSingleCommand splits a line of a pilot's stream that holds exactly one command without a payload. ok is false if the
+// line holds anything else.
+func splitSingleCommand(text string) (c Command, ok bool, err error) {
 	l, err := splitLine(text, StreamBounds)
 	if err != nil || len(l.commands) != 1 || l.opensPayload {
 		return Command{}, false, err
@@ -53,18 +55,18 @@
 	return l.commands[0], true, nil
 }
 
-// splitter is the state within a line.
+// splitter is the state of splitting a line.
 type splitter struct {
 	bounds   Bounds
-	commands []Command
-	words    []string // of the command under way
-	word     []byte   // under way, if inWord
+	commands []Command // complete commands of the line
+	words    []string  // complete words of the current command
+	word     []byte    // the current word, if inWord
 	inWord   bool
-	escaped  bool // the next character is taken as it is
-	quoted   bool // the word began with a backslash, so that it opens no payload
+	escaped  bool // the next character is literal
+	quoted   bool // the current word began with a backslash, so it does not open a payload
 }
 
-// add takes a character.
+// add processes the next character.
 func (s *splitter) add(c byte) error {
 	switch {
 	case s.escaped:
@@ -83,13 +85,14 @@
 	return nil
 }
 
-// beginWord begins a word unless one is under way.
+// beginWord begins a word unless the splitter is already in one.
 func (s *splitter) beginWord(quoted bool) {
 	if !s.inWord {
 		s.inWord, s.quoted = true, quoted
 	}
 }
 
+// endWord ends the current word, if any. It returns an error if the command has too many words.
 func (s *splitter) endWord() error {
 	if !s.inWord {
 		return nil
@@ -102,6 +105,7 @@
 	return nil
 }
 
+// endCommand ends the current command, if it has words. It returns an error if the line has too many commands.
 func (s *splitter) endCommand() error {
 	if err := s.endWord(); err != nil || len(s.words) == 0 {
 		return err
@@ -114,7 +118,7 @@
 	return nil
 }
 
-// atPayloadMark tells whether the word under way, which is not a command's first, opens a payload.
+// atPayloadMark reports whether the current word opens a payload; the first word of a command never does.
 func (s *splitter) atPayloadMark() bool {
 	return s.inWord && !s.quoted && len(s.words) > 0 && bytes.HasPrefix(s.word, []byte(payloadMark))
 }
--- a/runtime/sums.go
+++ b/runtime/sums.go
@@ -9,15 +9,16 @@
 	"vetchdoor/control"
 )
 
-// Sums are what a proxy met over a period.
+// Sums is the block by which a proxy reports what it counted over a period.
 type Sums struct {
-	Window  time.Duration
+	Window  time.Duration // length of the period
 	Types   []TypeSum
 	Servers []ServerSum
 	Tenants []TenantSum
 }
 
-// TenantSum is what was met of a tenant at a pod; Busy is the time that servers held its ops.
+// TenantSum is what a proxy counted for a tenant at a pod. Busy is the total time that the servers worked on the tenant's
+// ops.
 type TenantSum struct {
 	Tenant      string
 	Pod         uint32
@@ -25,10 +26,11 @@
 	Busy        time.Duration
 }
 
-// TypeSum is what came of one op type.
+// TypeSum is what a proxy counted for an op type.
 type TypeSum struct{ OpType, Ops, Unacked int }
 
-// ServerSum is what was met at one server; Latency is the mean of the good tries, Load the newest report.
+// ServerSum is what a proxy counted for a server. Latency is the mean latency of the successful tries, Load the latest load
+// report.
 type ServerSum struct {
 	Endpoint      control.EndpointID
 	Tries, Failed int
@@ -56,14 +58,14 @@
 	return append(b, '\n')
 }
 
-// Bounds of what a proxy may claim of one period.
+// Limits of the values that a proxy may report for one period.
 const (
 	maxCount        = 100_000_000
 	maxPeriodMicros = 3600e6
-	maxBusyMicros   = 1000 * maxPeriodMicros // servers hold many ops of a tenant at a time
+	maxBusyMicros   = 1000 * maxPeriodMicros // servers work on many ops of a tenant at a time
 )
 
-// sums reads the rest of a block of sums.
+// sums parses the rest of a sums block.
 func (w *wordReader) sums(lines []string) (*Sums, error) {
 	s := &Sums{Window: time.Duration(w.uint("window", maxPeriodMicros)) * time.Microsecond}
 	for _, line := range lines {
@@ -78,6 +80,7 @@
 	return s, nil
 }
 
+// sum parses a line of a sums block and adds its values to s.
 func (w *wordReader) sum(s *Sums) error {
 	switch kind := w.take(); kind {
 	case "type":
--- a/runtime/word_reader.go
+++ b/runtime/word_reader.go
@@ -10,26 +10,27 @@
 	"vetchdoor/control"
 )
 
-// Bounds of what words name.
+// Limits of the values that words stand for.
 const (
 	maxZone        = 255
 	maxOpType      = 15
-	maxTenantBytes = 256 // of a tenant's name
+	maxTenantBytes = 256 // of a tenant's name, without the equals sign
 )
 
-// wordReader takes words one by one and keeps the first error.
+// wordReader reads the words of a line one by one and stores the first error.
 type wordReader struct {
 	words []string
 	err   error
 }
 
+// fail stores an error unless there is one already.
 func (w *wordReader) fail(format string, args ...any) {
 	if w.err == nil {
 		w.err = fmt.Errorf(format, args...)
 	}
 }
 
-// take returns the next word.
+// take removes and returns the next word. It fails if none is left.
 func (w *wordReader) take() string {
 	if len(w.words) == 0 {
 		w.fail("the command ends too early")
@@ -40,12 +41,12 @@
 	return s
 }
 
-// next tells whether the next word is this one.
-func (w *wordReader) next(word string) bool {
+// nextIs reports whether the next word is the given one, and does not remove it.
+func (w *wordReader) nextIs(word string) bool {
 	return len(w.words) > 0 && w.words[0] == word
 }
 
-// end fails if words are left, and returns the first error.
+// end fails if words are left. It returns the first error.
 func (w *wordReader) end() error {
 	if w.err == nil && len(w.words) > 0 {
 		w.fail("%q is too much", w.words[0])
@@ -53,14 +54,14 @@
 	return w.err
 }
 
-// expect takes a word, which must be this one.
+// expect removes the next word and fails if it is not the given one.
 func (w *wordReader) expect(word string) {
 	if got := w.take(); got != word {
 		w.fail("%q where %q belongs", got, word)
 	}
 }
 
-// uint reads a whole number of at most limit; what names it in an error.
+// uint reads a whole number from 0 to limit. Errors call it by the name in what.
 func (w *wordReader) uint(what string, limit uint64) uint64 {
 	s := w.take()
 	n, err := strconv.ParseUint(s, 10, 64)
@@ -70,7 +71,7 @@
 	return n
 }
 
-// float reads a finite number; what names it in an error.
+// float reads a finite number. Errors call it by the name in what.
 func (w *wordReader) float(what string) float64 {
 	s := w.take()
 	x, err := strconv.ParseFloat(s, 64)
@@ -80,7 +81,7 @@
 	return x
 }
 
-// weight reads "weight" and a number above 0.
+// weight reads the word "weight" and a number above 0.
 func (w *wordReader) weight() float64 {
 	w.expect("weight")
 	weight := w.float("weight")
@@ -90,24 +91,24 @@
 	return weight
 }
 
-// zone reads "zone" and a number.
+// zone reads the word "zone" and a zone's number.
 func (w *wordReader) zone() int {
 	w.expect("zone")
 	return int(w.uint("zone", maxZone))
 }
 
-// pack reads "pack" and a number.
+// pack reads the word "pack" and a pack's number.
 func (w *wordReader) pack() int {
 	w.expect("pack")
 	return int(w.uint("pack", math.MaxUint16))
 }
 
-// table reads a table, tN.
+// table reads a table in the form tN.
 func (w *wordReader) table() control.TableID {
 	return w.parseTable(w.take())
 }
 
-// tableOrEverywhere reads a table; * for all.
+// tableOrEverywhere reads a table in the form tN, or * for control.Everywhere.
 func (w *wordReader) tableOrEverywhere() control.TableID {
 	name := w.take()
 	if name == "*" {
@@ -116,6 +117,7 @@
 	return w.parseTable(name)
 }
 
+// parseTable parses the name of a table, tN.
 func (w *wordReader) parseTable(name string) control.TableID {
 	digits, ok := strings.CutPrefix(name, "t")
 	n, err := strconv.ParseUint(digits, 10, 16)
@@ -125,11 +127,12 @@
 	return control.TableID(n)
 }
 
-// endpoint reads an endpoint, eN.
+// endpoint reads an endpoint in the form eN.
 func (w *wordReader) endpoint() control.EndpointID {
 	return w.parseEndpoint(w.take())
 }
 
+// parseEndpoint parses the name of an endpoint, eN.
 func (w *wordReader) parseEndpoint(name string) control.EndpointID {
 	digits, ok := strings.CutPrefix(name, "e")
 	n, err := strconv.ParseUint(digits, 10, 32)
@@ -139,7 +142,7 @@
 	return control.EndpointID(n)
 }
 
-// server reads TABLE/SERVER, tN/eN.
+// server reads a server in a table, TABLE/SERVER, in the form tN/eN.
 func (w *wordReader) server() (control.TableID, control.EndpointID) {
 	table, server, ok := strings.Cut(w.take(), "/")
 	if !ok {
@@ -149,6 +152,7 @@
 	return w.parseTable(table), w.parseEndpoint(server)
 }
 
+// address reads an IP address with a port other than 0.
 func (w *wordReader) address() netip.AddrPort {
 	word := w.take()
 	address, err := netip.ParseAddrPort(word)
@@ -158,7 +162,7 @@
 	return address
 }
 
-// opTypes reads a list of op types, N,N…, as a mask; * for all, which is 0.
+// opTypes reads a list of op types, N,N…, and returns it as a mask; * stands for all, which is the mask 0.
 func (w *wordReader) opTypes() (mask uint16) {
 	list := w.take()
 	if list == "*" {
@@ -175,7 +179,7 @@
 	return mask
 }
 
-// digest reads a table's digest, which is hexadecimal.
+// digest reads a table's digest in hexadecimal.
 func (w *wordReader) digest() uint64 {
 	digest, err := strconv.ParseUint(w.take(), 16, 64)
 	if err != nil {
@@ -184,10 +188,10 @@
 	return digest
 }
 
-// limit reads a word and a number of 0 or more behind it; * for none, which is below 0.
+// limit reads the word in what and a number that is not negative; * stands for no limit, which is returned as -1.
 func (w *wordReader) limit(what string) (x float64) {
 	w.expect(what)
-	if w.next("*") {
+	if w.nextIs("*") {
 		w.take()
 		return -1
 	}
@@ -197,7 +201,7 @@
 	return x
 }
 
-// onOff reads a word, and on or off behind it.
+// onOff reads the word in what, and then on or off.
 func (w *wordReader) onOff(what string) bool {
 	w.expect(what)
 	switch on := w.take(); on {
@@ -210,7 +214,7 @@
 	return false
 }
 
-// tenant reads a tenant's name, which a sign goes before, so that the name of nobody is a word too.
+// tenant reads a tenant's name with an equals sign before it, which makes an empty name a word too.
 func (w *wordReader) tenant() string {
 	name, ok := strings.CutPrefix(w.take(), "=")
 	if !ok || len(name) > maxTenantBytes {
