--- a/runtime/parse_change.go
+++ b/runtime/parse_change.go
@@ -8,8 +8,8 @@
 	"vetchdoor/control"
 )
 
-// ErrNoChange is returned by ParseChange for a command that is not a change; it may be an admin command.
-var ErrNoChange = errors.New("not a change")
+// ErrNotAChange is returned by ParseChange for a command that is not a change; it may be an admin command.
+var ErrNotAChange = errors.New("not a change")
 
 // ParseChange parses the words of a command as a change.
 func ParseChange(words []string) (c Change, err error) {
@@ -58,7 +58,7 @@
 		w.expect("up-to")
 		c.Number = w.uint("number", math.MaxUint64)
 	default:
-		return ErrNoChange
+		return ErrNotAChange
 	}
 	return nil
 }
