--- a/runtime/change.go
+++ b/runtime/change.go
@@ -33,9 +33,9 @@
 	Endpoint     control.EndpointID
 	Server       Server // the server that AddServer adds
 	Weight       float64
-	Drained      bool   // SetState takes the server out of all tables; false: puts it back
-	OpTypes      uint16 // one bit for each op type; 0: all
-	Level        float64
+	Drained      bool    // SetState takes the server out of all tables; false: puts it back
+	OpTypes      uint16  // one bit for each op type; 0: all
+	Level        float64 // share or rate of the op types that is admitted
 	RetryPolicy  control.Again
 	Tenant       string
 	Rate         float64 // ops per second at this proxy; negative: no limit
@@ -53,7 +53,7 @@
 type Server struct {
 	Address netip.AddrPort
 	Zone    int
-	Pack    int
+	Pack    int // group of servers within the zone
 }
 
 // retryNames are the names of the retry policies in the protocol.
--- a/serve/ends_test.go
+++ b/serve/ends_test.go
@@ -16,7 +16,7 @@
 // closed must be closed too, and Closed must be called once for it.
 func TestEndWhileAccepting(t *testing.T) {
 	const servers, clients = 1000, 8
-	gone, cancel := context.WithCancel(context.Background())
+	endedContext, cancel := context.WithCancel(context.Background())
 	cancel()
 	for n := range servers {
 		var opened, closed atomic.Int64
@@ -35,7 +35,7 @@
 			}()
 		}
 		time.Sleep(time.Duration(n%50) * 10 * time.Microsecond)
-		s.Stop(gone)
+		s.Stop(endedContext)
 		for end := time.Now().Add(time.Second); opened.Load() != closed.Load() && time.Now().Before(end); {
 			time.Sleep(time.Millisecond)
 		}
@@ -63,9 +63,9 @@
 	}
 	c := dial(t, s)
 	<-asked
-	gone, cancel := context.WithCancel(context.Background())
+	endedContext, cancel := context.WithCancel(context.Background())
 	cancel()
-	s.Stop(gone)
+	s.Stop(endedContext)
 	close(serverClosed)
 	_ = c.SetDeadline(time.Now().Add(5 * time.Second))
 	if _, err := c.Read(make([]byte, 1)); errors.Is(err, os.ErrDeadlineExceeded) {
--- a/serve/serve.go
+++ b/serve/serve.go
@@ -226,9 +226,9 @@
 // closeAll closes the listener and all connections at once.
 func (s *Server) closeAll() {
 	close(s.done)
-	ended, cancel := context.WithCancel(context.Background())
+	endedContext, cancel := context.WithCancel(context.Background())
 	cancel()
-	s.server.Stop(ended)
+	s.server.Stop(endedContext)
 	s.mu.Lock()
 	var left []*Conn
 	for c := range s.conns {
--- a/serve/serve_test.go
+++ b/serve/serve_test.go
@@ -71,12 +71,12 @@
 	slow := dial(t, s)
 	_, _ = io.WriteString(slow, "GET /")
 	if b, _ := io.ReadAll(slow); !strings.HasPrefix(string(b), "HTTP/1.1 408 ") {
-		t.Errorf("slow: %q", b)
+		t.Errorf("a request that is sent too slowly got %q", b)
 	}
 	idle := dial(t, s)
 	_, _ = io.WriteString(idle, get)
 	if b, _ := io.ReadAll(idle); !strings.Contains(string(b), "\r\n\r\n/a\n") {
-		t.Errorf("idle: %q", b)
+		t.Errorf("the answer before the idle timeout: %q", b)
 	}
 }
 
@@ -172,9 +172,9 @@
 	_, _ = io.WriteString(c, get)
 	stopped := make(chan struct{})
 	go func() { s.Stop(context.Background()); close(stopped) }()
-	gone, cancel := context.WithCancel(context.Background())
+	endedContext, cancel := context.WithCancel(context.Background())
 	cancel()
-	s.Stop(gone)
+	s.Stop(endedContext)
 	<-stopped
 }
 
@@ -218,14 +218,14 @@
 		t.Errorf("%d connections for ops one after another", p.Opened.Load())
 	}
 	if _, f := p.Send(&upstream.Call{}, s.Address(), req("/drop"), late(20*time.Second), false); f == nil || f.Unrun || f.Timeout {
-		t.Errorf("cut off: %+v", f)
+		t.Errorf("a request whose connection was cut off: %+v", f)
 	}
 	if _, f := p.Send(&upstream.Call{}, "127.0.0.1:1", req("/x"), late(20*time.Second), false); f == nil || !f.Unrun {
-		t.Errorf("nobody there: %+v", f)
+		t.Errorf("a request to an address on which no server listens: %+v", f)
 	}
 	if _, f := p.Send(&upstream.Call{}, s.Address(), req("/late"), late(30*time.Millisecond), false); f == nil ||
 		!f.Timeout || f.Unrun {
-		t.Errorf("too late: %+v", f)
+		t.Errorf("a request without an answer by its deadline: %+v", f)
 	}
 	calls := []*upstream.Call{{}, {}}
 	done := make(chan *upstream.Failure, 2)
@@ -239,12 +239,12 @@
 		time.Sleep(time.Millisecond)
 	}
 	if _, f := p.Send(&upstream.Call{}, s.Address(), req("/x"), late(20*time.Second), false); f == nil || !f.Unrun {
-		t.Errorf("past the cap: %+v", f)
+		t.Errorf("a request beyond the limit of connections: %+v", f)
 	}
 	for _, c := range calls {
 		c.GiveUp()
 		if f := <-done; f == nil || !f.Gone {
-			t.Errorf("given up: %+v", f)
+			t.Errorf("a call that was given up: %+v", f)
 		}
 	}
 	for end := late(20 * time.Second); (disconnected.Load() < 2 || p.Open() > 0) && time.Now().Before(end); {
--- a/serve/trace_test.go
+++ b/serve/trace_test.go
@@ -107,7 +107,7 @@
 type tracedKey struct{}
 
 func (n tracedNet) Serve(network, address string, h stream.Hooks) (stream.Server, error) {
-	prepare, request, gone := h.Prepare, h.Request, h.Disconnected
+	prepare, request, disconnected := h.Prepare, h.Request, h.Disconnected
 	h.Prepare = func(nc netpoll.Connection) context.Context {
 		c := &tracedConn{remote: nc.RemoteAddr().String()}
 		n.trace.note("%s accepted", c.remote)
@@ -129,7 +129,7 @@
 	}
 	h.Disconnected = func(ctx context.Context) {
 		n.trace.note("%s gone", ctx.Value(tracedKey{}).(*tracedConn).remote)
-		gone(ctx)
+		disconnected(ctx)
 	}
 	server, err := n.Net.Serve(network, address, h)
 	return tracedServer{server, n.trace}, err
--- a/stream/stream_test.go
+++ b/stream/stream_test.go
@@ -98,11 +98,11 @@
 	var full error
 	withoutDescriptors(t, func() { _, full = l.Accept() })
 	if no, ok := full.(syscall.Errno); !ok || no != syscall.EMFILE {
-		t.Errorf("%T %v", full, full)
+		t.Errorf("Accept without free descriptors returned %T %v, not the bare EMFILE", full, full)
 	}
 	c, err := l.Accept()
 	if err != nil || c == nil {
-		t.Fatalf("%v %v", c, err)
+		t.Fatalf("Accept once descriptors were free again: %v %v", c, err)
 	}
 	_ = syscall.Close(c.(netpoll.Conn).Fd())
 }
