--- a/serve/serve.go
+++ b/serve/serve.go
@@ -48,7 +48,7 @@
 // Start listens on HOST:PORT and serves in the background until Stop. Port 0 selects any free port.
 func (s *Server) Start(address string) error {
 	if s.Bounds == (http1.Bounds{}) {
-		s.Bounds = http1.Usual
+		s.Bounds = http1.DefaultBounds
 	}
 	if s.IdleTimeout <= 0 {
 		s.IdleTimeout = time.Minute
