--- a/http1/http1.go
+++ b/http1/http1.go
@@ -159,9 +159,9 @@
 	return m, nil
 }
 
-// Expects tells whether the head of the message under way has come and asks for a word before the body is sent
+// ExpectsContinue tells whether the head of the message under way has come and asks for a word before the body is sent
 // (Expect: 100-continue, RFC 9110, 10.1.1).
-func (p *Parser) Expects() bool {
+func (p *Parser) ExpectsContinue() bool {
 	return p.head > 0 && p.msg.Minor == 1 && equalFold(p.msg.Get("Expect"), "100-continue")
 }
 
--- a/serve/conn.go
+++ b/serve/conn.go
@@ -149,7 +149,7 @@
 			c.refuse(bad.Status, bad.Reason)
 			return false
 		}
-		if !continueSent && c.parser.Expects() {
+		if !continueSent && c.parser.ExpectsContinue() {
 			continueSent = true
 			if _, err := c.nc.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n")); err != nil {
 				return false
