--- a/lab/tenants.go
+++ b/lab/tenants.go
@@ -277,7 +277,7 @@
 	for p := range held {
 		for t := range d.Service.OpTypes {
 			pods[[2]int{p, t}] = podsOf(p, t)
-			for _, id := range (tenancy.Seat{}).Among(culprit, pods[[2]int{p, t}], c.Subset) {
+			for _, id := range (tenancy.Placement{}).Among(culprit, pods[[2]int{p, t}], c.Subset) {
 				bad[id] = true
 			}
 		}
@@ -287,7 +287,7 @@
 			return false
 		}
 		there := pods[[2]int{o.proxy, o.opType}]
-		return len(there) > 0 && !slices.ContainsFunc((tenancy.Seat{}).Among(newsroom(o.tenant), there, c.Subset), func(id tenancy.PodID) bool { return bad[id] })
+		return len(there) > 0 && !slices.ContainsFunc((tenancy.Placement{}).Among(newsroom(o.tenant), there, c.Subset), func(id tenancy.PodID) bool { return bad[id] })
 	}
 }
 
--- a/runtime/change.go
+++ b/runtime/change.go
@@ -45,7 +45,7 @@
 	SubsetFactor float64 // factor on the number of pods in the tenant's subset; at least 1
 	Digest       uint64  // of the table that AdoptTable copies
 	Number       uint64  // sequence number of a binding, among those of its pilot
-	Seat         tenancy.Seat
+	Seat         tenancy.Placement
 	Held         bool // writes are refused, with a time after which to retry
 }
 
--- a/runtime/seat.go
+++ b/runtime/seat.go
@@ -14,7 +14,7 @@
 
 // ParseSeat parses the words that place a tenant, any of draw N, size N, pods ZONE.PACK,… and home. It returns the given
 // seat with the values of these words in place of its own; home resets the seat.
-func ParseSeat(words []string, seat tenancy.Seat) (tenancy.Seat, error) {
+func ParseSeat(words []string, seat tenancy.Placement) (tenancy.Placement, error) {
 	w := &wordReader{words: words}
 	if len(words) == 0 {
 		w.fail("nothing is said of the seat: draw N, size N, pods ZONE.PACK,… or home")
@@ -22,7 +22,7 @@
 	for len(w.words) > 0 && w.err == nil {
 		switch kind := w.take(); kind {
 		case "home":
-			seat = tenancy.Seat{}
+			seat = tenancy.Placement{}
 		case "draw":
 			seat.Draw = uint32(w.uint("draw", math.MaxUint32))
 		case "size":
@@ -40,7 +40,7 @@
 const maxPods = 1000
 
 // seat reads a seat in the form that Seat.String writes.
-func (w *wordReader) seat() (s tenancy.Seat) {
+func (w *wordReader) seat() (s tenancy.Placement) {
 	w.expect("draw")
 	s.Draw = uint32(w.uint("draw", math.MaxUint32))
 	w.expect("size")
