--- a/serve/serve.go
+++ b/serve/serve.go
@@ -76,7 +76,7 @@
 
 // prepare sets a new connection up, or closes it if the server has stopped or Accept refuses it.
 func (s *Server) prepare(nc netpoll.Connection) context.Context {
-	c := &Conn{nc: nc, server: s, parser: http1.Requests(s.Bounds), guard: stream.NewGuard(nc)}
+	c := &Conn{nc: nc, server: s, parser: http1.NewRequestParser(s.Bounds), guard: stream.NewGuard(nc)}
 	c.lastActivity.Store(time.Now().UnixNano())
 	if s.isClosed() || s.Accept != nil && !s.Accept(c) {
 		_ = nc.Close()
