--- a/serve/conn.go
+++ b/serve/conn.go
@@ -138,7 +138,7 @@
 			size := m.Size
 			c.closing = m.Close
 			s.Handle(c, m)
-			c.parser.Next()
+			c.parser.Reset()
 			if r.Skip(size) != nil || r.Release() != nil {
 				return false
 			}
