--- a/http1/write.go
+++ b/http1/write.go
@@ -33,8 +33,8 @@
 	return append(append(b, target...), " HTTP/1.1\r\n"...)
 }
 
-// SayClose returns a response with a field that says that its connection closes after it.
-func SayClose(response []byte) []byte {
+// AddConnectionClose returns a response with a field that says that its connection closes after it.
+func AddConnectionClose(response []byte) []byte {
 	end := bytes.IndexByte(response, '\n') + 1
 	b := make([]byte, 0, len(response)+32)
 	b = append(b, response[:end]...)
--- a/serve/conn.go
+++ b/serve/conn.go
@@ -81,7 +81,7 @@
 		c.closing = true
 	}
 	if c.closing {
-		b = http1.SayClose(b)
+		b = http1.AddConnectionClose(b)
 	}
 	_, err := c.nc.Write(b)
 	return err
