--- a/pilot/host/host.go
+++ b/pilot/host/host.go
@@ -217,8 +217,8 @@
 	return h.module.Decide(now, events), nil
 }
 
-// Guard watches the module from beside the loop, for as long as that runs: an end waits for the loop too.
-func (h *Host) Guard() {
+// RunWatchdog watches the module from beside the loop, for as long as that runs: an end waits for the loop too.
+func (h *Host) RunWatchdog() {
 	t := time.NewTicker(max(h.Silent/40, time.Millisecond))
 	defer t.Stop()
 	for {
--- a/pilot/lifecycle.go
+++ b/pilot/lifecycle.go
@@ -67,7 +67,7 @@
 	}
 	p.done.Add(2)
 	go func() { defer p.done.Done(); p.source.Run(ctx) }()
-	go func() { defer p.done.Done(); p.host.Guard() }()
+	go func() { defer p.done.Done(); p.host.RunWatchdog() }()
 	p.log.Info("pilot runs", "listen", p.ln.Address(), "run", p.run, "list", len(p.list)) // before the loop owns the list
 	p.pace = p.host.After(time.Hour, p.pump)
 	p.host.Every(p.facts.ReportEvery, func() {
