--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -331,7 +331,7 @@
 	state := tries{opType: t.OpType, keyed: len(key) > 0}
 	var tried []*server
 	call := &upstream.Call{}
-	c.OnDisconnect(call.GiveUp)
+	c.OnDisconnect(call.Cancel)
 	defer c.OnDisconnect(nil)
 	var last *upstream.Failure
 	for {
--- a/serve/serve_test.go
+++ b/serve/serve_test.go
@@ -242,7 +242,7 @@
 		t.Errorf("a request beyond the limit of connections: %+v", f)
 	}
 	for _, c := range calls {
-		c.GiveUp()
+		c.Cancel()
 		if f := <-done; f == nil || !f.Gone {
 			t.Errorf("a call that was given up: %+v", f)
 		}
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -91,9 +91,9 @@
 	gone bool
 }
 
-// GiveUp ends the call: its connection ends, which is what tells the server. It is shut down, not closed: netpoll would
+// Cancel ends the call: its connection ends, which is what tells the server. It is shut down, not closed: netpoll would
 // take its buffers back while the caller still reads from them.
-func (c *Call) GiveUp() {
+func (c *Call) Cancel() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.gone = true
