--- a/serve/serve_test.go
+++ b/serve/serve_test.go
@@ -243,7 +243,7 @@
 	}
 	for _, c := range calls {
 		c.Cancel()
-		if f := <-done; f == nil || !f.Gone {
+		if f := <-done; f == nil || !f.Cancelled {
 			t.Errorf("a call that was given up: %+v", f)
 		}
 	}
