--- a/serve/serve_test.go
+++ b/serve/serve_test.go
@@ -217,14 +217,14 @@
 	if p.Opened.Load() != 1 {
 		t.Errorf("%d connections for ops one after another", p.Opened.Load())
 	}
-	if _, f := p.Send(&upstream.Call{}, s.Address(), req("/drop"), late(20*time.Second), false); f == nil || f.Unrun || f.Timeout {
+	if _, f := p.Send(&upstream.Call{}, s.Address(), req("/drop"), late(20*time.Second), false); f == nil || f.NotSent || f.Timeout {
 		t.Errorf("a request whose connection was cut off: %+v", f)
 	}
-	if _, f := p.Send(&upstream.Call{}, "127.0.0.1:1", req("/x"), late(20*time.Second), false); f == nil || !f.Unrun {
+	if _, f := p.Send(&upstream.Call{}, "127.0.0.1:1", req("/x"), late(20*time.Second), false); f == nil || !f.NotSent {
 		t.Errorf("a request to an address on which no server listens: %+v", f)
 	}
 	if _, f := p.Send(&upstream.Call{}, s.Address(), req("/late"), late(30*time.Millisecond), false); f == nil ||
-		!f.Timeout || f.Unrun {
+		!f.Timeout || f.NotSent {
 		t.Errorf("a request without an answer by its deadline: %+v", f)
 	}
 	calls := []*upstream.Call{{}, {}}
@@ -238,7 +238,7 @@
 	for end := late(20 * time.Second); received.Load() < 2 && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
-	if _, f := p.Send(&upstream.Call{}, s.Address(), req("/x"), late(20*time.Second), false); f == nil || !f.Unrun {
+	if _, f := p.Send(&upstream.Call{}, s.Address(), req("/x"), late(20*time.Second), false); f == nil || !f.NotSent {
 		t.Errorf("a request beyond the limit of connections: %+v", f)
 	}
 	for _, c := range calls {
