--- a/runtime/change.go
+++ b/runtime/change.go
@@ -36,7 +36,7 @@
 	Drained      bool    // SetState takes the server out of all tables; false: puts it back
 	OpTypes      uint16  // one bit for each op type; 0: all
 	Level        float64 // share or rate of the op types that is admitted
-	RetryPolicy  control.Again
+	RetryPolicy  control.RetryPolicy
 	Tenant       string
 	Rate         float64 // ops per second at this proxy; negative: no limit
 	RetriesPerOp float64 // budget of tries beyond the first, as an average per op
--- a/runtime/parse_change.go
+++ b/runtime/parse_change.go
@@ -109,11 +109,11 @@
 }
 
 // retryPolicy reads the name of a retry policy.
-func (w *wordReader) retryPolicy() control.Again {
+func (w *wordReader) retryPolicy() control.RetryPolicy {
 	word := w.take()
 	for i, name := range retryNames {
 		if word == name {
-			return control.Again(i)
+			return control.RetryPolicy(i)
 		}
 	}
 	w.fail("%q is no way of trying again", word)
