--- a/serve/serve_test.go
+++ b/serve/serve_test.go
@@ -247,11 +247,11 @@
 			t.Errorf("a call that was given up: %+v", f)
 		}
 	}
-	for end := late(20 * time.Second); (disconnected.Load() < 2 || p.Open() > 0) && time.Now().Before(end); {
+	for end := late(20 * time.Second); (disconnected.Load() < 2 || p.OpenConnections() > 0) && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
-	if disconnected.Load() < 2 || p.Open() != 0 {
-		t.Errorf("%d of 2 disconnects were reported to the server, %d connections are left", disconnected.Load(), p.Open())
+	if disconnected.Load() < 2 || p.OpenConnections() != 0 {
+		t.Errorf("%d of 2 disconnects were reported to the server, %d connections are left", disconnected.Load(), p.OpenConnections())
 	}
 	close(hang)
 }
