--- a/runtime/change.go
+++ b/runtime/change.go
@@ -57,7 +57,7 @@
 }
 
 // retryNames are the names of the retry policies in the protocol.
-var retryNames = [...]string{control.RetryNever: "never", control.RetryIfUnrun: "if-unrun", control.OnceMore: "once",
+var retryNames = [...]string{control.RetryNever: "never", control.RetryIfUnrun: "if-unrun", control.RetryOnce: "once",
 	control.TwiceMore: "twice"}
 
 // SetTenantChange returns the SetTenant change for a tenant's limit.
