--- a/runtime/change.go
+++ b/runtime/change.go
@@ -58,7 +58,7 @@
 
 // retryNames are the names of the retry policies in the protocol.
 var retryNames = [...]string{control.RetryNever: "never", control.RetryIfUnrun: "if-unrun", control.RetryOnce: "once",
-	control.TwiceMore: "twice"}
+	control.RetryTwice: "twice"}
 
 // SetTenantChange returns the SetTenant change for a tenant's limit.
 func SetTenantChange(l tenancy.Limit) Change {
--- a/runtime/runtime_test.go
+++ b/runtime/runtime_test.go
@@ -101,7 +101,7 @@
 		{Verb: SetMap, Table: 65534, OpTypes: 1<<15 | 5},
 		{Verb: ClearTable, Table: 0},
 		{Verb: SetLevel, Table: control.Everywhere, OpTypes: 2, Level: 0.86, RetryPolicy: control.RetryIfUnrun},
-		{Verb: SetLevel, Table: 9, Level: 0, RetryPolicy: control.TwiceMore},
+		{Verb: SetLevel, Table: 9, Level: 0, RetryPolicy: control.RetryTwice},
 		{Verb: SetTenant, Tenant: "a b;", Rate: -1, RetriesPerOp: 0.2, MaxInFlight: -1, SubsetFactor: 1},
 		{Verb: SetTenant, Tenant: "", Rate: 0.5, Fenced: true, MaxInFlight: 2.5, SubsetFactor: 1.5},
 		{Verb: SetBinding, Tenant: "a <<", Number: 1 << 63,
