--- a/lab/fleet.go
+++ b/lab/fleet.go
@@ -443,7 +443,7 @@
 	var all sync.WaitGroup
 	for _, at := range f.proxies {
 		if at.p != nil {
-			f.handshakes += int(at.p.Opened())
+			f.handshakes += int(at.p.ConnectionsOpened())
 			all.Go(at.p.Kill)
 		}
 	}
--- a/lab/trouble.go
+++ b/lab/trouble.go
@@ -437,7 +437,7 @@
 	p := at.p
 	at.p = nil
 	if p != nil {
-		f.handshakes += int(p.Opened())
+		f.handshakes += int(p.ConnectionsOpened())
 	}
 	f.mu.Unlock()
 	if p != nil {
