--- a/adapter/adapter_test.go
+++ b/adapter/adapter_test.go
@@ -78,7 +78,7 @@
 			"1c 0d000000 03000000 7500 0200 0000403f 01"},
 		{control.Bind{Table: 117, Proxy: 41}, "12 0a000000 03000000 7500 2900 0000"},
 		{control.PutLine{Table: 117, Endpoint: 0x2c9011f2, Weight: 0.75}, "10 0e000000 03000000 7500 f211902c 0000403f"},
-		{control.Note{Text: "two servers known"}, "14 17000000 03000000 1100 74776f2073657276657273206b6e6f776e"},
+		{control.LogMessage{Text: "two servers known"}, "14 17000000 03000000 1100 74776f2073657276657273206b6e6f776e"},
 		{control.Suspend{Endpoint: 0x2c9011f2, Out: true}, "15 09000000 03000000 01 f211902c"},
 		{control.Checkpoint{Number: 12}, "11 09000000 03000000 0c000000 00"},
 		{control.WatchList{On: true}, "18 05000000 03000000 01"},
--- a/adapter/wire.go
+++ b/adapter/wire.go
@@ -201,7 +201,7 @@
 		r.add(acListAll, who, nil)
 	case control.WatchList:
 		r.add(acTail, who, func(b []byte) []byte { return flag(b, o.On) })
-	case control.Note:
+	case control.LogMessage:
 		r.add(acRecord, who, func(b []byte) []byte { return text(b, o.Text) })
 	default:
 		return fmt.Errorf("no wire form for an order of type %T", o)
--- a/control/control.go
+++ b/control/control.go
@@ -325,9 +325,9 @@
 		To   int // below 0: to every peer
 		Data []byte
 	}
-	FetchList struct{}
-	WatchList struct{ On bool }
-	Note      struct{ Text string }
+	FetchList  struct{}
+	WatchList  struct{ On bool }
+	LogMessage struct{ Text string }
 )
 
 func (PutLine) order()    {}
@@ -341,4 +341,4 @@
 func (Publish) order()    {}
 func (FetchList) order()  {}
 func (WatchList) order()  {}
-func (Note) order()       {}
+func (LogMessage) order() {}
--- a/pilot/host/host_test.go
+++ b/pilot/host/host_test.go
@@ -81,7 +81,7 @@
 	s := &script{}
 	s.host = New(control.Facts{Tick: time.Millisecond}, 7, slog.New(slog.DiscardHandler))
 	s.host.Front, s.host.NewDecider = s, func() Decider { return s }
-	s.next = []control.Order{control.Wake{After: time.Millisecond, Label: 5}, control.Note{Text: "x"}}
+	s.next = []control.Order{control.Wake{After: time.Millisecond, Label: 5}, control.LogMessage{Text: "x"}}
 	go s.host.Run()
 	t.Cleanup(s.host.Stop)
 	return s
@@ -97,7 +97,7 @@
 	if start, ok := first[0].(control.Start); !ok || start.Seed != 7 || len(first) != 2 {
 		t.Errorf("%+v", first)
 	}
-	if len(s.carried) != 1 || s.carried[0] != control.Order(control.Note{Text: "x"}) {
+	if len(s.carried) != 1 || s.carried[0] != control.Order(control.LogMessage{Text: "x"}) {
 		t.Errorf("%+v", s.carried)
 	}
 }
--- a/pilot/pilot.go
+++ b/pilot/pilot.go
@@ -319,7 +319,7 @@
 		p.publish(o)
 	case control.FetchList:
 		p.source.Fetch()
-	case control.Note:
+	case control.LogMessage:
 		p.log.Info("note of the module", "text", o.Text)
 	case control.WatchList: // the list is always followed
 	default: // there is none today
--- a/pilot/records.go
+++ b/pilot/records.go
@@ -181,7 +181,7 @@
 			}
 			a := []slog.Attr{slog.String(record.Node, nodeName(o.Endpoint)), slog.Bool(record.Out, o.Out)}
 			r.write(slog.LevelWarn, record.Withdrawal, o.Why.Reason, text, slices.Concat(a, figures(o.Why), mark)...)
-		case control.Note:
+		case control.LogMessage:
 			r.write(slog.LevelInfo, record.Note, "", o.Text)
 		}
 	}
--- a/pilot/records_test.go
+++ b/pilot/records_test.go
@@ -53,7 +53,7 @@
 		control.PutLine{Table: 2, Endpoint: 17, Weight: 1.5, Why: control.Why{Reason: control.Eased, Value: 92.71, Limit: 89}},
 		control.Blank{Table: 2}, control.Bind{Table: 2, Proxy: 3, OpTypes: 2, Why: control.Why{Reason: control.Home}},
 		control.SetLevel{Table: control.Everywhere, OpTypes: 1, Level: 0.5, Why: control.Why{Reason: control.Distress, Value: 81, Limit: 80}},
-		control.Suspend{Endpoint: 17, Out: true, Why: control.Why{Reason: control.Sick, Value: 0.9, Limit: 0.3}}, control.Note{Text: "n"}, control.Checkpoint{Number: 5}}
+		control.Suspend{Endpoint: 17, Out: true, Why: control.Why{Reason: control.Sick, Value: 0.9, Limit: 0.3}}, control.LogMessage{Text: "n"}, control.Checkpoint{Number: 5}}
 	r.ordered(orders)
 	r.sent(orders, []outgoing{{proxy: 3, Message: message(5)}, {proxy: 4, Message: message(5)}})
 	r.inForce(3, 5, time.Second)
