--- a/proxy/tenants.go
+++ b/proxy/tenants.go
@@ -259,7 +259,7 @@
 	defer s.mu.Unlock()
 	if s.candidates == nil || now >= s.holds {
 		var holds time.Duration
-		if s.candidates, holds = s.pods.Draw(now); holds < math.MaxInt64-now {
+		if s.candidates, holds = s.pods.Candidates(now); holds < math.MaxInt64-now {
 			holds += now
 		}
 		s.holds = holds
--- a/tenancy/pods.go
+++ b/tenancy/pods.go
@@ -46,8 +46,8 @@
 	return n
 }
 
-// Draw returns the pods that subsets are drawn among now, and for how long that holds if no line changes.
-func (p *Pods) Draw(now time.Duration) (pods []Pod, holds time.Duration) {
+// Candidates returns the pods that subsets are drawn among now, and for how long that holds if no line changes.
+func (p *Pods) Candidates(now time.Duration) (pods []Pod, holds time.Duration) {
 	pods, holds = slices.Clone(p.live), math.MaxInt64
 	for _, g := range p.gone {
 		if left := Linger - (now - g.since); left > 0 {
--- a/tenancy/pods_test.go
+++ b/tenancy/pods_test.go
@@ -21,20 +21,20 @@
 	p := (*Pods)(nil).Update(0, all)
 	p = p.Update(time.Second, all[1:])
 	p = p.Update(31*time.Second, all[2:])
-	pods, holds := p.Draw(32 * time.Second)
+	pods, holds := p.Candidates(32 * time.Second)
 	if !slices.Equal(ids(pods), ids(all)) || holds != 29*time.Second {
 		t.Errorf("%v, %v", pods, holds)
 	}
-	if pods, holds = p.Draw(62 * time.Second); len(pods) != 8 || holds != 29*time.Second {
+	if pods, holds = p.Candidates(62 * time.Second); len(pods) != 8 || holds != 29*time.Second {
 		t.Errorf("%v, %v", pods, holds)
 	}
-	if pods, _ = p.Draw(92 * time.Second); len(pods) != 7 {
+	if pods, _ = p.Candidates(92 * time.Second); len(pods) != 7 {
 		t.Errorf("%v", pods)
 	}
-	if pods, _ = p.Update(40*time.Second, all).Draw(40 * time.Second); len(pods) != 9 {
+	if pods, _ = p.Update(40*time.Second, all).Candidates(40 * time.Second); len(pods) != 9 {
 		t.Errorf("back: %v", pods)
 	}
-	if pods, _ = p.Update(40*time.Second, []Pod{{ID: 50, Power: 1}}).Draw(40 * time.Second); len(pods) != 1 {
+	if pods, _ = p.Update(40*time.Second, []Pod{{ID: 50, Power: 1}}).Candidates(40 * time.Second); len(pods) != 1 {
 		t.Errorf("made anew: %v", pods)
 	}
 	subset := Place("delo", all, 3)
