--- a/pilot/lifecycle.go
+++ b/pilot/lifecycle.go
@@ -125,7 +125,7 @@
 // redirectProxies redirects the connected proxies to the pilot's peers in even batches, within the leave_within time of the
 // pilot's file.
 func (p *Pilot) redirectProxies() {
-	total := p.file.LeaveWithin.Span()
+	total := p.file.LeaveWithin.AsDuration()
 	if total <= 0 {
 		total = defaultLeaveWithin
 	}
--- a/pilot/moves.go
+++ b/pilot/moves.go
@@ -60,8 +60,8 @@
 		s.Close()
 		return err
 	}
-	waits := tenancy.MoveLimits{MaxHold: f.Most.Span(), MaxConcurrent: f.Abreast}
-	waits.WriteLifetime, waits.DedupWindow = tenancy.MoveDurations(p.facts.OpTypes, p.file.Service.WriteLife.Span())
+	waits := tenancy.MoveLimits{MaxHold: f.Most.AsDuration(), MaxConcurrent: f.Abreast}
+	waits.WriteLifetime, waits.DedupWindow = tenancy.MoveDurations(p.facts.OpTypes, p.file.Service.WriteLife.AsDuration())
 	if waits.MaxHold <= 0 {
 		waits.MaxHold = 10 * (waits.WriteLifetime + waits.DedupWindow)
 	}
--- a/proxy/pilot_client.go
+++ b/proxy/pilot_client.go
@@ -55,8 +55,8 @@
 
 // durationOr returns a duration of the settings, or fallback if it is not set.
 func durationOr(d files.Duration, fallback time.Duration) time.Duration {
-	if d.Span() > 0 {
-		return d.Span()
+	if d.AsDuration() > 0 {
+		return d.AsDuration()
 	}
 	return fallback
 }
--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -111,8 +111,8 @@
 		}
 	}
 	pool := settings.Pool
-	p.pool = &upstream.Pool{PerServer: pool.PerServer, IdleTimeout: pool.IdleClose.Span(),
-		ConnectTimeout: pool.ConnectTimeout.Span()}
+	p.pool = &upstream.Pool{PerServer: pool.PerServer, IdleTimeout: pool.IdleClose.AsDuration(),
+		ConnectTimeout: pool.ConnectTimeout.AsDuration()}
 	for i := range p.opTypes {
 		p.opTypes[i].rank = rank(types, i)
 	}
@@ -131,7 +131,7 @@
 			return nil, err
 		}
 		p.tenants.groups = p.groups
-		write, window := tenancy.MoveDurations(types, settings.Service.WriteLife.Span())
+		write, window := tenancy.MoveDurations(types, settings.Service.WriteLife.AsDuration())
 		if p.current.Load().bindings, p.bindingStore, err = openBindings(settings.Tenants.Bindings,
 			write+window, 0, p.log); err != nil {
 			return nil, err
@@ -393,7 +393,7 @@
 				c.CloseAfterAnswer()
 				return
 			}
-			target.recordTry(false, took, nil, p.settings.Service.OutlierAfter, p.settings.Service.OutlierFor.Span())
+			target.recordTry(false, took, nil, p.settings.Service.OutlierAfter, p.settings.Service.OutlierFor.AsDuration())
 			history.recordFailure(target, tryStart, failure.NotSent)
 		}
 		lastFailure = failure
@@ -461,7 +461,7 @@
 	took time.Duration, history *tryHistory, tryStart time.Time, retry control.RetryPolicy, deadline time.Time, isHead bool) bool {
 	good := response.Status < 500
 	target.recordTry(good, took, p.parseLoad(response.Get(http1.LoadHeader)), p.settings.Service.OutlierAfter,
-		p.settings.Service.OutlierFor.Span())
+		p.settings.Service.OutlierFor.AsDuration())
 	if !good {
 		history.recordFailure(target, tryStart, response.Status == 503 && len(response.Get(http1.UnrunHeader)) > 0)
 		if history.mayRetry(retry) && time.Now().Before(deadline) {
@@ -481,7 +481,7 @@
 }
 
 func (p *Proxy) retryAfter() time.Duration {
-	if d := p.settings.RetryAfter.Span(); d > 0 {
+	if d := p.settings.RetryAfter.AsDuration(); d > 0 {
 		return d
 	}
 	return time.Second
@@ -532,7 +532,7 @@
 
 // sendSumsPeriodically sends the collected sums to the pilot every report period until ctx ends.
 func (p *Proxy) sendSumsPeriodically(ctx context.Context) {
-	t := time.NewTicker(p.settings.Service.ReportEvery.Span())
+	t := time.NewTicker(p.settings.Service.ReportEvery.AsDuration())
 	defer t.Stop()
 	for {
 		select {
