--- a/proxy/bindings.go
+++ b/proxy/bindings.go
@@ -190,7 +190,7 @@
 		out = appendLine(out, storedLine{Tenant: &name, Binding: &binding})
 	}
 	s.lines = len(b.byTenant) + 1
-	return files.Replace(s.path, b.appendOwner(out))
+	return files.WriteFileAtomic(s.path, b.appendOwner(out))
 }
 
 // save queues changed bindings for writing, and waits for the write for at most maxSaveWait. all are the bindings after the
