--- a/pilot/list.go
+++ b/pilot/list.go
@@ -105,7 +105,7 @@
 func (p *Pilot) controlEntries(list []roster.Entry) []control.Entry {
 	out := make([]control.Entry, len(list))
 	for i, e := range list {
-		mode, _ := files.ModeOf(e.Mode) // validated when the list was read
+		mode, _ := files.ParseMode(e.Mode) // validated when the list was read
 		out[i] = control.Entry{Endpoint: e.Endpoint, Weight: e.Weight, Mode: mode, Started: control.LongAgo,
 			Machine: e.Machine, Zone: p.file.Service.ZoneIndex(e.Zone), Pack: e.Pack}
 		if e.Started > 0 {
