--- a/proxy/placement.go
+++ b/proxy/placement.go
@@ -93,7 +93,7 @@
 func (p *Proxy) placeWrite(typeIndex int, owner *tenant, key []byte, current *tables, limit tenancy.Limit,
 	sinceStart time.Duration) (placed *placement, known bool) {
 	t := &p.opTypes[typeIndex]
-	if !files.Grouped(t.OpType) {
+	if !files.HasWriteGroup(t.OpType) {
 		return nil, true
 	}
 	kind, write := kindOf(&t.OpType), tenancy.Write{}
