--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -123,7 +123,7 @@
 	p.current.Store(newTables(len(types), lines, p.rng))
 	p.servers.retain(p.current.Load())
 	p.groups = newWriteGroups(&settings.Service, p.zone)
-	if names := settings.Service.Unplaced(); len(names) > 0 {
+	if names := settings.Service.UnplaceableOpTypes(); len(names) > 0 {
 		p.log.Warn("rejecting writes that are deduplicated by pack: the settings name no write_packs", "op_types", names)
 	}
 	if settings.Tenants != nil {
