--- a/pilot/pilot.go
+++ b/pilot/pilot.go
@@ -104,7 +104,7 @@
 		list: map[control.EndpointID]roster.Entry{}, goneSince: map[control.EndpointID]time.Duration{}, keepGone: keepGoneFor,
 		connections:    map[*connection]bool{},
 		silenceTimeout: file.Silent.AsDuration(), resumeWithin: file.Resume.AsDuration(), probePool: &upstream.Pool{}}
-	p.host = host.New(file.Facts(), seed, p.log)
+	p.host = host.New(file.ControlConfig(), seed, p.log)
 	p.host.Callbacks, p.facts = p, p.host.Facts
 	if p.silenceTimeout <= 0 {
 		p.silenceTimeout = 10 * time.Second
