--- a/pilot/pilot.go
+++ b/pilot/pilot.go
@@ -124,7 +124,7 @@
 // Limits of tenants are kept.
 func (p *Pilot) InitialEvents() (events []control.Event) {
 	p.desired = newDesiredState(len(p.facts.OpTypes), int(p.facts.MessageOverheadLines), p.serverOf)
-	if p.desired.budget.maxLines = p.file.NoticeLines(); p.facts.MessageCap > 0 {
+	if p.desired.budget.maxLines = p.file.ReservedLines(); p.facts.MessageCap > 0 {
 		p.desired.budget.minInterval = p.facts.MessageCapWindow
 	}
 	p.channel = newChannel(p.facts.LinesPerSecond, float64(p.file.Channel.MostWaiting))
