--- a/proxy/admin.go
+++ b/proxy/admin.go
@@ -167,7 +167,7 @@
 func (p *Proxy) showLevels(w io.Writer, c runtime.Command) error {
 	t := p.current.Load()
 	for i := range p.opTypes {
-		lvl := t.level(i, p.settings.Service.Again())
+		lvl := t.level(i, p.settings.Service.DefaultRetryPolicy())
 		fmt.Fprintf(w, "%d %s %g %d\n", i, p.opTypes[i].name, lvl.share, lvl.retry)
 	}
 	return nil
--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -310,7 +310,7 @@
 	t.ops.Add(1)
 	p.counters.ops.Add(1)
 	current := p.current.Load()
-	opLevel := current.level(typeIndex, p.settings.Service.Again())
+	opLevel := current.level(typeIndex, p.settings.Service.DefaultRetryPolicy())
 	if !t.admit(opLevel.share) {
 		p.reject(c, buffers, "not let in")
 		return
@@ -403,7 +403,7 @@
 		}
 		p.counters.retried.Add(1)
 		current = p.current.Load() // reload, so that a server drained since the previous try is not used
-		opLevel = current.level(typeIndex, p.settings.Service.Again())
+		opLevel = current.level(typeIndex, p.settings.Service.DefaultRetryPolicy())
 		if owner != nil && current.bindings.holdsWrites(owner.name, &t.OpType, time.Since(p.started)) {
 			break // the tenant began to move after the op was admitted
 		}
