--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -131,7 +131,7 @@
 			return nil, err
 		}
 		p.tenants.groups = p.groups
-		write, window := tenancy.MoveDurations(types, settings.Service.WriteLife.AsDuration())
+		write, window := tenancy.MoveDurations(types, settings.Service.WriteLifetime.AsDuration())
 		if p.current.Load().bindings, p.bindingStore, err = openBindings(settings.Tenants.Bindings,
 			write+window, 0, p.log); err != nil {
 			return nil, err
--- a/proxy/proxy_test.go
+++ b/proxy/proxy_test.go
@@ -653,7 +653,7 @@
 	}
 	p := start(t, func(f *files.Proxy) {
 		f.Tenants = &files.Tenants{Header: "Newsroom", Subset: 1}
-		f.Service.WriteLife = files.Duration(300 * time.Millisecond)
+		f.Service.WriteLifetime = files.Duration(300 * time.Millisecond)
 		for i := range f.Servers {
 			f.Servers[i].Pack = i
 		}
