--- a/pilot/fleet_test.go
+++ b/pilot/fleet_test.go
@@ -100,7 +100,7 @@
 
 // A pilot that has its maximum of proxies redirects further ones to its peer, and every proxy joins one of the two.
 func TestPilotFull(t *testing.T) {
-	x := newPilotPair(t, func(i int, f *files.Pilot) { f.MostProxies = 6 })
+	x := newPilotPair(t, func(i int, f *files.Pilot) { f.MaxProxies = 6 })
 	x.proxies(12)
 	x.waitFor("six proxies at each pilot", x.joinedCounts(6, 6))
 }
--- a/pilot/hello.go
+++ b/pilot/hello.go
@@ -13,7 +13,7 @@
 // admission returns the admission policy in the pilot's present state. Without a server list the pilot admits proxies only if
 // it has no peers.
 func (p *Pilot) admission() *fleet.Admission {
-	a := &fleet.Admission{MaxProxies: p.file.MostProxies, Leaving: p.leaving, Ready: p.listOrigin != "" || len(p.file.Peers) == 0}
+	a := &fleet.Admission{MaxProxies: p.file.MaxProxies, Leaving: p.leaving, Ready: p.listOrigin != "" || len(p.file.Peers) == 0}
 	for _, peer := range p.file.Peers {
 		a.Peers = append(a.Peers, peer.Address)
 	}
