--- a/pilot/fleet_test.go
+++ b/pilot/fleet_test.go
@@ -236,7 +236,7 @@
 func newHungPilot(t *testing.T) (p *Pilot, release hangingModule, detected chan time.Time) {
 	t.Helper()
 	f := pilotFile("127.0.0.1:1")
-	f.Silent = files.Duration(200 * time.Millisecond)
+	f.SilenceTimeout = files.Duration(200 * time.Millisecond)
 	p, release, detected = newPilot(t, f), make(hangingModule), make(chan time.Time, 1)
 	p.OnStuck = func() { detected <- time.Now() }
 	return p, release, detected
