--- a/pilot/pilot_test.go
+++ b/pilot/pilot_test.go
@@ -230,8 +230,8 @@
 // proxyFile returns the file of a proxy that can use the given pilots.
 func proxyFile(id uint16, pilots ...string) *files.Proxy {
 	f := &files.Proxy{Kind: "proxy", ID: id, Zone: "z", Listen: "127.0.0.1:0", Redial: files.Duration(10 * time.Millisecond),
-		Service: service(),
-		Silent:  files.Duration(20 * time.Second)}
+		Service:        service(),
+		SilenceTimeout: files.Duration(20 * time.Second)}
 	for _, at := range pilots {
 		f.Pilots = append(f.Pilots, files.PilotAddress{Address: at, Zone: "z"})
 	}
--- a/proxy/pilot_client.go
+++ b/proxy/pilot_client.go
@@ -49,7 +49,7 @@
 		proxy:          p,
 		log:            p.log,
 		selector:       fleet.NewSelector(strconv.Itoa(int(p.settings.ID)), p.settings.Zone, pilots, redial, rng),
-		silenceTimeout: durationOr(p.settings.Silent, defaultSilenceTimeout),
+		silenceTimeout: durationOr(p.settings.SilenceTimeout, defaultSilenceTimeout),
 	}
 }
 
