--- a/pilot/pilot.go
+++ b/pilot/pilot.go
@@ -103,7 +103,7 @@
 	p := &Pilot{file: file, log: log.With("pilot", file.Name),
 		list: map[control.EndpointID]roster.Entry{}, goneSince: map[control.EndpointID]time.Duration{}, keepGone: keepGoneFor,
 		connections:    map[*connection]bool{},
-		silenceTimeout: file.SilenceTimeout.AsDuration(), resumeWithin: file.Resume.AsDuration(), probePool: &upstream.Pool{}}
+		silenceTimeout: file.SilenceTimeout.AsDuration(), resumeWithin: file.ResumeWindow.AsDuration(), probePool: &upstream.Pool{}}
 	p.host = host.New(file.ControlConfig(), seed, p.log)
 	p.host.Callbacks, p.facts = p, p.host.Facts
 	if p.silenceTimeout <= 0 {
