--- a/pilot/moves_test.go
+++ b/pilot/moves_test.go
@@ -32,7 +32,7 @@
 	r.rig = newRigWith(t, func(f *files.Pilot) {
 		f.Service = movesService()
 		f.ResumeWindow = files.Duration(20 * time.Millisecond)
-		f.Moves = &files.Moves{Store: filepath.Join(r.dir, "tenants.db"), Most: files.Duration(time.Minute)}
+		f.Moves = &files.Moves{Store: filepath.Join(r.dir, "tenants.db"), MaxHold: files.Duration(time.Minute)}
 		if change != nil {
 			change(f)
 		}
@@ -236,7 +236,7 @@
 
 // A move that holds a tenant's writes for longer than the configured maximum is cancelled.
 func TestMoveTimesOut(t *testing.T) {
-	r := newMovesRig(t, func(f *files.Pilot) { f.Moves.Most = files.Duration(300 * time.Millisecond) })
+	r := newMovesRig(t, func(f *files.Pilot) { f.Moves.MaxHold = files.Duration(300 * time.Millisecond) })
 	x, _, stall := r.twoProxies()
 	stall(time.Hour)
 	r.command("move tenant delo")
