--- a/pilot/moves.go
+++ b/pilot/moves.go
@@ -60,7 +60,7 @@
 		s.Close()
 		return err
 	}
-	waits := tenancy.MoveLimits{MaxHold: f.MaxHold.AsDuration(), MaxConcurrent: f.Abreast}
+	waits := tenancy.MoveLimits{MaxHold: f.MaxHold.AsDuration(), MaxConcurrent: f.MaxConcurrent}
 	waits.WriteLifetime, waits.DedupWindow = tenancy.MoveDurations(p.facts.OpTypes, p.file.Service.WriteLifetime.AsDuration())
 	if waits.MaxHold <= 0 {
 		waits.MaxHold = 10 * (waits.WriteLifetime + waits.DedupWindow)
