--- a/pilot/fleet_test.go
+++ b/pilot/fleet_test.go
@@ -164,7 +164,7 @@
 	module := &scriptedModule{}
 	start := func(name string, others ...string) *rig {
 		f := pilotFile("127.0.0.1:1")
-		f.Name, f.Members = name, &files.Members{Bind: gossip(), SeedAddresses: others, Keys: keys}
+		f.Name, f.Members = name, &files.Members{Bind: gossip(), SeedAddresses: others, KeyFile: keys}
 		r := &rig{t: t, module: module}
 		r.start(f)
 		t.Cleanup(r.p.Kill)
