--- a/pilot/fleet.go
+++ b/pilot/fleet.go
@@ -24,7 +24,7 @@
 		return err
 	}
 	p.updateAdvertised()
-	p.members, err = members.Start(members.Config{Name: p.file.Name, Bind: f.Bind, Peers: f.SeedAddresses, Keys: keys, Allow: f.Allow,
+	p.members, err = members.Start(members.Config{Name: p.file.Name, Bind: f.Bind, Peers: f.SeedAddresses, Keys: keys, Allow: f.AllowedNetworks,
 		Log: p.log, Status: func() members.PilotStatus { return *p.advertised.Load() }})
 	return err
 }
