--- a/pilot/pilot.go
+++ b/pilot/pilot.go
@@ -127,7 +127,7 @@
 	if p.desired.budget.maxLines = p.file.ReservedLines(); p.facts.MessageCap > 0 {
 		p.desired.budget.minInterval = p.facts.MessageCapWindow
 	}
-	p.channel = newChannel(p.facts.LinesPerSecond, float64(p.file.Channel.MostWaiting))
+	p.channel = newChannel(p.facts.LinesPerSecond, float64(p.file.Channel.MaxWaitingLines))
 	p.intake = newIntake(p.facts.ReportLinesPerSecond, len(p.facts.Measures))
 	p.intake.opTypeCount = len(p.facts.OpTypes)
 	p.intake.isKnown = func(id control.EndpointID) bool { _, ok := p.list[id]; return ok }
--- a/pilot/pilot_test.go
+++ b/pilot/pilot_test.go
@@ -116,7 +116,7 @@
 		Tick: files.Duration(200 * time.Microsecond), Roster: listAt,
 		Seed: 1, Service: service(), ResumeWindow: files.Duration(5 * time.Second), SilenceTimeout: files.Duration(20 * time.Second),
 		Limits: files.Limits{EmptyFor: 1, DrainGrace: 1}, Channel: files.Channel{LinesPerSecond: 1e6, MessageLines: 3,
-			MostWaiting: 8000, ReportLinesPerSecond: 1000}}
+			MaxWaitingLines: 8000, ReportLinesPerSecond: 1000}}
 }
 
 // newRig returns a rig whose relay forwards to the pilot; tests use it to break and delay the stream.
--- a/pilot/records_test.go
+++ b/pilot/records_test.go
@@ -172,7 +172,7 @@
 // period.
 func benchmarkDecide(b *testing.B, logging string, servers, proxies int) {
 	f := pilotFile("127.0.0.1:1")
-	f.Proxies, f.Service.Measures, f.Channel.MostWaiting = proxies, []string{"cpu_utilization"}, 1e6
+	f.Proxies, f.Service.Measures, f.Channel.MaxWaitingLines = proxies, []string{"cpu_utilization"}, 1e6
 	f.Service.ReportEvery, f.Service.Bootstrap = files.Duration(time.Second), 8
 	p := newPilot(b, f)
 	p.host.NewDecider = func() host.Decider { return &policy.Assigner{} }
