--- a/pilot/records.go
+++ b/pilot/records.go
@@ -177,7 +177,7 @@
 		case control.PutLine:
 			attrs := append(r.tableAttrs(o.Table, true), slog.String(record.Node, nodeName(o.Endpoint)),
 				slog.String(record.Weight, formatFigure(o.Weight)))
-			r.write(slog.LevelInfo, record.Line, o.Why.Reason, "table line set", slices.Concat(attrs, figureAttrs(o.Why), mark)...)
+			r.write(slog.LevelInfo, record.TableLine, o.Why.Reason, "table line set", slices.Concat(attrs, figureAttrs(o.Why), mark)...)
 		case control.ClearTable:
 			r.write(slog.LevelInfo, record.Blank, "", "table cleared", append(r.tableAttrs(o.Table, true), mark...)...)
 		case control.Bind:
