--- a/pilot/records.go
+++ b/pilot/records.go
@@ -179,7 +179,7 @@
 				slog.String(record.Weight, formatFigure(o.Weight)))
 			r.write(slog.LevelInfo, record.TableLine, o.Why.Reason, "table line set", slices.Concat(attrs, figureAttrs(o.Why), mark)...)
 		case control.ClearTable:
-			r.write(slog.LevelInfo, record.Blank, "", "table cleared", append(r.tableAttrs(o.Table, true), mark...)...)
+			r.write(slog.LevelInfo, record.TableCleared, "", "table cleared", append(r.tableAttrs(o.Table, true), mark...)...)
 		case control.Bind:
 			attrs := append(r.tableAttrs(o.Table, false), slog.String(record.Proxy, proxyName(o.Proxy)), r.opTypesAttr(o.OpTypes))
 			r.write(slog.LevelInfo, record.Bind, o.Why.Reason, "proxy bound to a table", slices.Concat(attrs, figureAttrs(o.Why), mark)...)
