--- a/pilot/records.go
+++ b/pilot/records.go
@@ -182,7 +182,7 @@
 			r.write(slog.LevelInfo, record.TableCleared, "", "table cleared", append(r.tableAttrs(o.Table, true), mark...)...)
 		case control.Bind:
 			attrs := append(r.tableAttrs(o.Table, false), slog.String(record.Proxy, proxyName(o.Proxy)), r.opTypesAttr(o.OpTypes))
-			r.write(slog.LevelInfo, record.Bind, o.Why.Reason, "proxy bound to a table", slices.Concat(attrs, figureAttrs(o.Why), mark)...)
+			r.write(slog.LevelInfo, record.TableAssigned, o.Why.Reason, "proxy bound to a table", slices.Concat(attrs, figureAttrs(o.Why), mark)...)
 		case control.SetLevel:
 			attrs := append(r.tableAttrs(o.Table, false), r.opTypesAttr(o.OpTypes), slog.String(record.Share, formatFigure(o.Level)))
 			r.write(slog.LevelInfo+2, record.Level, o.Why.Reason, "level changed", slices.Concat(attrs, figureAttrs(o.Why), mark)...)
