--- a/pilot/records.go
+++ b/pilot/records.go
@@ -280,7 +280,7 @@
 		attrs = append(attrs, slog.String(record.Missing, strings.Join(missing[:min(len(missing), maxListedProxies)], " ")))
 		level = slog.LevelWarn
 	}
-	r.write(level, record.InForce, "", "checkpoint", attrs...)
+	r.write(level, record.Confirmation, "", "checkpoint", attrs...)
 }
 
 // recordJoined records that a proxy joined, or resumed its session.
