--- a/pilot/records.go
+++ b/pilot/records.go
@@ -120,7 +120,7 @@
 	if w.Value == 0 && w.Limit == 0 {
 		return nil
 	}
-	return []slog.Attr{slog.String(record.Value, formatFigure(w.Value)), slog.String(record.Past, formatFigure(w.Limit))}
+	return []slog.Attr{slog.String(record.Value, formatFigure(w.Value)), slog.String(record.Threshold, formatFigure(w.Limit))}
 }
 
 // formatFigure formats a number with four significant digits.
