--- a/pilot/records.go
+++ b/pilot/records.go
@@ -266,7 +266,7 @@
 	c := r.openCheckpoints[i]
 	r.openCheckpoints = slices.Delete(r.openCheckpoints, i, i+1)
 	attrs := []slog.Attr{slog.Int(record.Checkpoint, c.number), slog.Int(record.ProxiesSent, len(c.sent)),
-		slog.Int(record.Confirmed, len(c.sent)-c.missing),
+		slog.Int(record.ProxiesConfirmed, len(c.sent)-c.missing),
 		slog.Int64(record.Slowest, c.slowest.Microseconds())}
 	level := slog.LevelInfo
 	if c.missing > 0 {
