--- a/pilot/records.go
+++ b/pilot/records.go
@@ -277,7 +277,7 @@
 			}
 		}
 		slices.Sort(missing)
-		attrs = append(attrs, slog.String(record.Missing, strings.Join(missing[:min(len(missing), maxListedProxies)], " ")))
+		attrs = append(attrs, slog.String(record.ProxiesUnconfirmed, strings.Join(missing[:min(len(missing), maxListedProxies)], " ")))
 		level = slog.LevelWarn
 	}
 	r.write(level, record.Confirmation, "", "checkpoint", attrs...)
