--- a/pilot/records.go
+++ b/pilot/records.go
@@ -191,7 +191,7 @@
 			if o.Out {
 				text = "server withdrawn"
 			}
-			attrs := []slog.Attr{slog.String(record.Node, nodeName(o.Endpoint)), slog.Bool(record.Out, o.Out)}
+			attrs := []slog.Attr{slog.String(record.Node, nodeName(o.Endpoint)), slog.Bool(record.Withdrawn, o.Out)}
 			r.write(slog.LevelWarn, record.Withdrawal, o.Why.Reason, text, slices.Concat(attrs, figureAttrs(o.Why), mark)...)
 		case control.LogMessage:
 			r.write(slog.LevelInfo, record.Note, "", o.Text)
