--- a/pilot/records.go
+++ b/pilot/records.go
@@ -287,7 +287,7 @@
 func (r *recorder) recordJoined(s *session, resumed bool) {
 	id := s.id
 	r.enqueue(1, func() {
-		r.write(slog.LevelInfo, record.Joined, "", "proxy joined", slog.String(record.Proxy, proxyName(id)),
+		r.write(slog.LevelInfo, record.ProxyJoined, "", "proxy joined", slog.String(record.Proxy, proxyName(id)),
 			slog.Bool("resumed", resumed))
 	})
 }
