--- a/pilot/records.go
+++ b/pilot/records.go
@@ -295,7 +295,7 @@
 // recordLeft records that a proxy's session ended.
 func (r *recorder) recordLeft(id control.ProxyID) {
 	r.enqueue(1, func() {
-		r.write(slog.LevelInfo+2, record.Left, "", "proxy left", slog.String(record.Proxy, proxyName(id)))
+		r.write(slog.LevelInfo+2, record.ProxyLeft, "", "proxy left", slog.String(record.Proxy, proxyName(id)))
 	})
 }
 
