--- a/pilot/records.go
+++ b/pilot/records.go
@@ -325,7 +325,7 @@
 // recordMoveRequest records that a move of a tenant was requested.
 func (r *recorder) recordMoveRequest(a tenancy.MoveRequest) {
 	r.enqueue(1, func() {
-		r.write(slog.LevelInfo+2, record.Move, "asked", "tenant move requested", slog.String(record.Tenant, a.Tenant),
+		r.write(slog.LevelInfo+2, record.TenantMove, "asked", "tenant move requested", slog.String(record.Tenant, a.Tenant),
 			slog.String("to", a.To.String()))
 	})
 }
@@ -337,7 +337,7 @@
 		reason = "moved"
 	}
 	r.enqueue(1, func() {
-		r.write(slog.LevelInfo+2, record.Move, reason, "tenant move ended", slog.String(record.Tenant, e.Tenant),
+		r.write(slog.LevelInfo+2, record.TenantMove, reason, "tenant move ended", slog.String(record.Tenant, e.Tenant),
 			slog.Int64("held", e.Held.Microseconds()))
 	})
 }
