--- a/pilot/records.go
+++ b/pilot/records.go
@@ -316,7 +316,7 @@
 // recordLimit records a changed limit of a tenant.
 func (r *recorder) recordLimit(l tenancy.Limit) {
 	r.enqueue(1, func() {
-		r.write(slog.LevelWarn, record.Limit, "", "tenant limit changed", slog.String(record.Tenant, l.Tenant),
+		r.write(slog.LevelWarn, record.TenantLimit, "", "tenant limit changed", slog.String(record.Tenant, l.Tenant),
 			slog.String("rate", formatFigure(l.Rate)),
 			slog.String("hand", formatFigure(l.Hand)), slog.Bool("fenced", l.Fenced), slog.String("room", formatFigure(l.Room)))
 	})
