--- a/syslog/sender.go
+++ b/syslog/sender.go
@@ -19,17 +19,17 @@
 
 // Config is where records go and what may wait on the way.
 type Config struct {
-	Network string // udp (RFC 5426), tcp (RFC 6587, octets counted), tls (RFC 5425), unixgram, or file: a line each
-	Address string
-	Buffer  int    // records in memory; 0: 4096
-	Spool   string // a directory for those that memory has no room for; empty: none
-	SpoolAt int64  // bytes in it at most; 0: 64 MiB
-	Longest int    // bytes of a message; 0: 1400 over udp and unixgram, else 8192
-	CA      string // PEM files, for tls; read anew for each connection
-	Cert    string
-	Key     string
-	Name    string        // the receiver's in its certificate; empty: the address's host
-	Patient time.Duration // how long a write may take; 0: 5 s
+	Network    string // udp (RFC 5426), tcp (RFC 6587, octets counted), tls (RFC 5425), unixgram, or file: a line each
+	Address    string
+	Buffer     int    // records in memory; 0: 4096
+	Spool      string // a directory for those that memory has no room for; empty: none
+	SpoolBytes int64  // bytes in it at most; 0: 64 MiB
+	Longest    int    // bytes of a message; 0: 1400 over udp and unixgram, else 8192
+	CA         string // PEM files, for tls; read anew for each connection
+	Cert       string
+	Key        string
+	Name       string        // the receiver's in its certificate; empty: the address's host
+	Patient    time.Duration // how long a write may take; 0: 5 s
 }
 
 // Bounds of the queue and the way back to a receiver.
@@ -95,8 +95,8 @@
 	if r.Buffer <= 0 {
 		r.Buffer = usualBuffer
 	}
-	if r.SpoolAt <= 0 {
-		r.SpoolAt = usualSpool
+	if r.SpoolBytes <= 0 {
+		r.SpoolBytes = usualSpool
 	}
 	if r.Patient <= 0 {
 		r.Patient = usualPatient
@@ -115,7 +115,7 @@
 	}
 	if r.Spool != "" {
 		var err error
-		if s.spool, err = openSpool(r.Spool, r.SpoolAt); err != nil {
+		if s.spool, err = openSpool(r.Spool, r.SpoolBytes); err != nil {
 			return nil, fmt.Errorf("syslog: the spool: %w", err)
 		}
 		s.restored = s.spool.held()
--- a/syslog/sender_test.go
+++ b/syslog/sender_test.go
@@ -217,7 +217,7 @@
 		}
 		route := Config{Network: "tcp", Address: r.Address(), Buffer: 20 + rng.IntN(200), Patient: 20 * time.Millisecond}
 		if rng.IntN(2) == 0 {
-			route.Spool, route.SpoolAt = t.TempDir(), int64(1+rng.IntN(60))<<10
+			route.Spool, route.SpoolBytes = t.TempDir(), int64(1+rng.IntN(60))<<10
 		}
 		number := 0
 		for range 1 + rng.IntN(3) {
@@ -268,7 +268,7 @@
 // was spooled comes first and in order once the receiver is there.
 func TestLongOutage(t *testing.T) {
 	address := net.JoinHostPort(loopback.Host(), "6514") // where nobody listens yet
-	s := begin(t, Config{Network: "tcp", Address: address, Buffer: 1000, Spool: t.TempDir(), SpoolAt: 4 << 20})
+	s := begin(t, Config{Network: "tcp", Address: address, Buffer: 1000, Spool: t.TempDir(), SpoolBytes: 4 << 20})
 	const all = 600_000
 	for i := range all {
 		s.Put(Informational, numbered(i, Informational))
