--- a/syslog/sender.go
+++ b/syslog/sender.go
@@ -19,17 +19,17 @@
 
 // Config is where records go and what may wait on the way.
 type Config struct {
-	Network    string // udp (RFC 5426), tcp (RFC 6587, octets counted), tls (RFC 5425), unixgram, or file: a line each
-	Address    string
-	Buffer     int    // records in memory; 0: 4096
-	Spool      string // a directory for those that memory has no room for; empty: none
-	SpoolBytes int64  // bytes in it at most; 0: 64 MiB
-	Longest    int    // bytes of a message; 0: 1400 over udp and unixgram, else 8192
-	CA         string // PEM files, for tls; read anew for each connection
-	Cert       string
-	Key        string
-	Name       string        // the receiver's in its certificate; empty: the address's host
-	Patient    time.Duration // how long a write may take; 0: 5 s
+	Network         string // udp (RFC 5426), tcp (RFC 6587, octets counted), tls (RFC 5425), unixgram, or file: a line each
+	Address         string
+	Buffer          int    // records in memory; 0: 4096
+	Spool           string // a directory for those that memory has no room for; empty: none
+	SpoolBytes      int64  // bytes in it at most; 0: 64 MiB
+	MaxMessageBytes int    // bytes of a message; 0: 1400 over udp and unixgram, else 8192
+	CA              string // PEM files, for tls; read anew for each connection
+	Cert            string
+	Key             string
+	Name            string        // the receiver's in its certificate; empty: the address's host
+	Patient         time.Duration // how long a write may take; 0: 5 s
 }
 
 // Bounds of the queue and the way back to a receiver.
@@ -101,9 +101,9 @@
 	if r.Patient <= 0 {
 		r.Patient = usualPatient
 	}
-	if r.Longest <= 0 {
-		if r.Longest = frame; r.datagrams() {
-			r.Longest = datagram
+	if r.MaxMessageBytes <= 0 {
+		if r.MaxMessageBytes = frame; r.datagrams() {
+			r.MaxMessageBytes = datagram
 		}
 	}
 	s := &Sender{route: r, log: log, queue: newQueue(r.Buffer, r.Buffer*bufferBytes), rng: rand.New(rand.NewPCG(seed, 11)),
@@ -132,7 +132,7 @@
 func (r *Config) framed() bool { return r.Network == "tcp" || r.Network == "tls" }
 
 // Longest is how many bytes a message may have.
-func (s *Sender) Longest() int { return s.route.Longest }
+func (s *Sender) Longest() int { return s.route.MaxMessageBytes }
 
 // Put takes a message in; it never waits. The text is the sender's from then on.
 func (s *Sender) Put(severity Severity, text []byte) { s.queue.put(min(severity, Debug), text) }
