--- a/pilot/records_test.go
+++ b/pilot/records_test.go
@@ -171,7 +171,7 @@
 				b.Fatal(err)
 			}
 			defer ln.Close()
-			route = syslog.Config{Network: "tcp", Address: ln.Addr().String(), Buffer: 1 << 12, Patient: 50 * time.Millisecond}
+			route = syslog.Config{Network: "tcp", Address: ln.Addr().String(), Buffer: 1 << 12, Timeout: 50 * time.Millisecond}
 		}
 		out, err := syslog.Start(route, slog.New(slog.DiscardHandler), 1, nil)
 		if err != nil {
--- a/syslog/sender.go
+++ b/syslog/sender.go
@@ -29,7 +29,7 @@
 	Cert            string
 	Key             string
 	Name            string        // the receiver's in its certificate; empty: the address's host
-	Patient         time.Duration // how long a write may take; 0: 5 s
+	Timeout         time.Duration // how long a write may take; 0: 5 s
 }
 
 // Bounds of the queue and the way back to a receiver.
@@ -98,8 +98,8 @@
 	if r.SpoolBytes <= 0 {
 		r.SpoolBytes = usualSpool
 	}
-	if r.Patient <= 0 {
-		r.Patient = usualPatient
+	if r.Timeout <= 0 {
+		r.Timeout = usualPatient
 	}
 	if r.MaxMessageBytes <= 0 {
 		if r.MaxMessageBytes = frame; r.datagrams() {
@@ -159,7 +159,7 @@
 // Close stops within a patience: what can be sent is, the rest is spooled, or dropped and counted.
 func (s *Sender) Close() {
 	s.ending.Do(func() {
-		for end := time.Now().Add(s.route.Patient); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
+		for end := time.Now().Add(s.route.Timeout); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 			if c := s.Counts(); c.Waiting == 0 {
 				break
 			}
@@ -236,7 +236,7 @@
 	if network == "tls" {
 		network = "tcp"
 	}
-	d := net.Dialer{Timeout: s.route.Patient}
+	d := net.Dialer{Timeout: s.route.Timeout}
 	c, err := d.DialContext(ctx, network, s.route.Address)
 	if err != nil {
 		return err
@@ -248,7 +248,7 @@
 			return err
 		}
 		t := tls.Client(c, conf)
-		_ = c.SetDeadline(time.Now().Add(s.route.Patient))
+		_ = c.SetDeadline(time.Now().Add(s.route.Timeout))
 		if err := t.HandshakeContext(ctx); err != nil {
 			c.Close()
 			return err
@@ -366,7 +366,7 @@
 			b = append(b, '\n')
 		}
 		if c, ok := s.conn.(net.Conn); ok {
-			_ = c.SetWriteDeadline(time.Now().Add(s.route.Patient))
+			_ = c.SetWriteDeadline(time.Now().Add(s.route.Timeout))
 		}
 		_, err := s.conn.Write(b)
 		s.done(r, spooled, err == nil)
--- a/syslog/sender_test.go
+++ b/syslog/sender_test.go
@@ -182,7 +182,7 @@
 			t.Parallel()
 			r := listen(t, "tcp", "127.0.0.1:0", nil)
 			r.Set(trouble)
-			s := begin(t, Config{Network: "tcp", Address: r.Address(), Buffer: 4000, Patient: 50 * time.Millisecond})
+			s := begin(t, Config{Network: "tcp", Address: r.Address(), Buffer: 4000, Timeout: 50 * time.Millisecond})
 			began := time.Now()
 			big := strings.Repeat("x", 800)
 			for i := range 3000 {
@@ -215,7 +215,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		route := Config{Network: "tcp", Address: r.Address(), Buffer: 20 + rng.IntN(200), Patient: 20 * time.Millisecond}
+		route := Config{Network: "tcp", Address: r.Address(), Buffer: 20 + rng.IntN(200), Timeout: 20 * time.Millisecond}
 		if rng.IntN(2) == 0 {
 			route.Spool, route.SpoolBytes = t.TempDir(), int64(1+rng.IntN(60))<<10
 		}
@@ -317,7 +317,7 @@
 	for cut := 1; cut <= 2*whole; cut++ {
 		r := listen(t, "tcp", "127.0.0.1:0", nil)
 		r.Set(receiver.Trouble{CutAt: cut})
-		s, err := Start(Config{Network: "tcp", Address: r.Address(), Patient: 50 * time.Millisecond}, quiet, uint64(cut), nil)
+		s, err := Start(Config{Network: "tcp", Address: r.Address(), Timeout: 50 * time.Millisecond}, quiet, uint64(cut), nil)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -391,7 +391,7 @@
 	refused := func(conf *tls.Config) (*receiver.Receiver, *Sender) {
 		t.Helper()
 		r := listen(t, "tls", "127.0.0.1:0", conf)
-		s := begin(t, Config{Network: "tls", Address: r.Address(), CA: ca.file, Name: "receiver.example", Patient: 100 * time.Millisecond})
+		s := begin(t, Config{Network: "tls", Address: r.Address(), CA: ca.file, Name: "receiver.example", Timeout: 100 * time.Millisecond})
 		s.Put(Error, numbered(1, Error))
 		until(t, "tried", func() bool { return s.Counts().Failures > 1 })
 		return r, s
