--- a/syslog/sender.go
+++ b/syslog/sender.go
@@ -28,7 +28,7 @@
 	CA              string // PEM files, for tls; read anew for each connection
 	Cert            string
 	Key             string
-	Name            string        // the receiver's in its certificate; empty: the address's host
+	ServerName      string        // the receiver's in its certificate; empty: the address's host
 	Timeout         time.Duration // how long a write may take; 0: 5 s
 }
 
@@ -275,7 +275,7 @@
 
 // credentials reads the files anew; material tells one reading from another.
 func (r *Config) credentials() (*tls.Config, string, error) {
-	conf := &tls.Config{ServerName: r.Name, MinVersion: tls.VersionTLS12}
+	conf := &tls.Config{ServerName: r.ServerName, MinVersion: tls.VersionTLS12}
 	if conf.ServerName == "" {
 		conf.ServerName, _, _ = net.SplitHostPort(r.Address)
 	}
