--- a/syslog/sender.go
+++ b/syslog/sender.go
@@ -131,8 +131,8 @@
 // framed tells whether octets are counted before each message.
 func (r *Config) framed() bool { return r.Network == "tcp" || r.Network == "tls" }
 
-// Longest is how many bytes a message may have.
-func (s *Sender) Longest() int { return s.route.MaxMessageBytes }
+// MaxMessageBytes is how many bytes a message may have.
+func (s *Sender) MaxMessageBytes() int { return s.route.MaxMessageBytes }
 
 // Put takes a message in; it never waits. The text is the sender's from then on.
 func (s *Sender) Put(severity Severity, text []byte) { s.queue.put(min(severity, Debug), text) }
