--- a/syslog/handler.go
+++ b/syslog/handler.go
@@ -182,7 +182,7 @@
 		}
 		m.Data[i].Params = append(m.Data[i].Params, p.Param)
 	}
-	h.sender.Put(s, m.Append(make([]byte, 0, 512), h.sender.MaxMessageBytes()))
+	h.sender.Enqueue(s, m.Append(make([]byte, 0, 512), h.sender.MaxMessageBytes()))
 }
 
 // Lost is what a Sender's announce does: a record of what was dropped, sent once records flow again.
--- a/syslog/sender.go
+++ b/syslog/sender.go
@@ -134,8 +134,8 @@
 // MaxMessageBytes is how many bytes a message may have.
 func (s *Sender) MaxMessageBytes() int { return s.route.MaxMessageBytes }
 
-// Put takes a message in; it never waits. The text is the sender's from then on.
-func (s *Sender) Put(severity Severity, text []byte) { s.queue.put(min(severity, Debug), text) }
+// Enqueue takes a message in; it never waits. The text is the sender's from then on.
+func (s *Sender) Enqueue(severity Severity, text []byte) { s.queue.put(min(severity, Debug), text) }
 
 // Suppress counts a record that was made and kept back.
 func (s *Sender) Suppress() { s.suppress.Add(1) }
--- a/syslog/sender_test.go
+++ b/syslog/sender_test.go
@@ -119,7 +119,7 @@
 			route.Address = r.Address()
 			s := begin(t, route)
 			for i := range 500 {
-				s.Put(Informational, numbered(i, Informational))
+				s.Enqueue(Informational, numbered(i, Informational))
 				if network != "tcp" && i%20 == 19 { // datagrams that come faster than they are read are lost by the system
 					until(t, "sent", func() bool { return s.Counts().Sent == uint64(i+1) })
 					until(t, "came", func() bool { got, _, _ := r.Got(); return len(got) == i+1 })
@@ -153,7 +153,7 @@
 		if i%20 == 0 {
 			severity = Error
 		}
-		s.Put(severity, numbered(i, severity))
+		s.Enqueue(severity, numbered(i, severity))
 	}
 	if took := time.Since(began); took > time.Second {
 		t.Errorf("a thousand records took %v", took)
@@ -187,7 +187,7 @@
 			big := strings.Repeat("x", 800)
 			for i := range 3000 {
 				m := Message{Severity: Notice, ID: fmt.Sprint(i), Text: big}
-				s.Put(Notice, m.Append(nil, 2000))
+				s.Enqueue(Notice, m.Append(nil, 2000))
 			}
 			if took := time.Since(began); took > 2*time.Second {
 				t.Errorf("3,000 records took %v", took)
@@ -242,7 +242,7 @@
 						if number++; rng.IntN(20) == 0 {
 							s.Suppress()
 						} else {
-							s.Put(severity, numbered(number, severity))
+							s.Enqueue(severity, numbered(number, severity))
 						}
 					}
 				}
@@ -271,7 +271,7 @@
 	s := begin(t, Config{Network: "tcp", Address: address, Buffer: 1000, Spool: t.TempDir(), SpoolBytes: 4 << 20})
 	const all = 600_000
 	for i := range all {
-		s.Put(Informational, numbered(i, Informational))
+		s.Enqueue(Informational, numbered(i, Informational))
 		if i%500 == 0 {
 			time.Sleep(50 * time.Microsecond)
 		}
@@ -300,13 +300,13 @@
 		}
 		return strings.Count(string(text), "\n")
 	}
-	s.Put(Notice, (&Message{Text: "one\nline"}).Append(nil, 1000))
+	s.Enqueue(Notice, (&Message{Text: "one\nline"}).Append(nil, 1000))
 	until(t, "written", func() bool { return lines(path) == 1 })
 	if err := os.Rename(path, path+".1"); err != nil {
 		t.Fatal(err)
 	}
 	until(t, "begun anew", func() bool { return lines(path) == 0 })
-	s.Put(Notice, numbered(2, Notice))
+	s.Enqueue(Notice, numbered(2, Notice))
 	until(t, "written", func() bool { return lines(path) == 1 && lines(path+".1") == 1 })
 	exact(t, s.Counts())
 }
@@ -321,11 +321,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		s.Put(Notice, numbered(7, Notice))
+		s.Enqueue(Notice, numbered(7, Notice))
 		until(t, "connected", func() bool { return s.Counts().Connects > 0 })
 		r.Set(receiver.Trouble{})
 		for i := 8; ; i++ { // what a system took before it learnt of the reset is lost to us; the next one tells us
-			s.Put(Notice, numbered(i, Notice))
+			s.Enqueue(Notice, numbered(i, Notice))
 			if got, _, _ := r.Got(); len(got) > 1 {
 				break
 			}
@@ -392,7 +392,7 @@
 		t.Helper()
 		r := listen(t, "tls", "127.0.0.1:0", conf)
 		s := begin(t, Config{Network: "tls", Address: r.Address(), CA: ca.file, ServerName: "receiver.example", Timeout: 100 * time.Millisecond})
-		s.Put(Error, numbered(1, Error))
+		s.Enqueue(Error, numbered(1, Error))
 		until(t, "tried", func() bool { return s.Counts().Failures > 1 })
 		return r, s
 	}
--- a/syslog/spool_test.go
+++ b/syslog/spool_test.go
@@ -143,7 +143,7 @@
 		t.Fatal(err)
 	}
 	for i := range 1000 {
-		s.Put(Notice, numbered(i, Notice))
+		s.Enqueue(Notice, numbered(i, Notice))
 	}
 	c := s.Counts()
 	if exact(t, c); c.Spooled != 0 || c.Sent != 0 || c.Waiting < 99 || c.Waiting > 101 {
