--- a/syslog/handler.go
+++ b/syslog/handler.go
@@ -160,7 +160,7 @@
 		key = r.Message
 	}
 	if severity := severityOf(r.Level); severity > Error && !h.limits.let(key, h.now()) {
-		h.sender.Suppress()
+		h.sender.CountSuppressed()
 	} else {
 		h.send(at, severity, n.kind, n.params, r.Message)
 	}
--- a/syslog/sender.go
+++ b/syslog/sender.go
@@ -137,8 +137,8 @@
 // Enqueue takes a message in; it never waits. The text is the sender's from then on.
 func (s *Sender) Enqueue(severity Severity, text []byte) { s.queue.put(min(severity, Debug), text) }
 
-// Suppress counts a record that was made and kept back.
-func (s *Sender) Suppress() { s.suppress.Add(1) }
+// CountSuppressed counts a record that was made and kept back.
+func (s *Sender) CountSuppressed() { s.suppress.Add(1) }
 
 // Counts returns what became of all records.
 func (s *Sender) Counts() Counts {
--- a/syslog/sender_test.go
+++ b/syslog/sender_test.go
@@ -240,7 +240,7 @@
 					for range rng.IntN(300) {
 						severity := Severity(rng.IntN(8))
 						if number++; rng.IntN(20) == 0 {
-							s.Suppress()
+							s.CountSuppressed()
 						} else {
 							s.Enqueue(severity, numbered(number, severity))
 						}
