--- a/syslog/message.go
+++ b/syslog/message.go
@@ -63,15 +63,15 @@
 	Text     string
 }
 
-// Least is the smallest bound that Append keeps to: the longest header and a little. RFC 5424, 6.1 has receivers take 480.
-const Least = 640
+// MinMessageBytes is the smallest bound that Append keeps to: the longest header and a little. RFC 5424, 6.1 has receivers take 480.
+const MinMessageBytes = 640
 
 // Append appends the message, in most bytes or fewer (Least at the least). What does not fit is cut: first the text, then
 // whole parameters from the end, then whole elements; what stays of the structured data is whole. Text that is not ASCII is
 // marked by a byte order mark as UTF-8; bytes that are not UTF-8 become U+FFFD, control characters in names and the header
 // go, those in values and the text are written as they stand but for NUL and line ends, which become a space.
 func (m *Message) Append(b []byte, most int) []byte {
-	most = max(most, Least)
+	most = max(most, MinMessageBytes)
 	start := len(b)
 	b = append(b, '<')
 	b = strconv.AppendUint(b, uint64(min(m.Facility, 23))*8+uint64(min(m.Severity, Debug)), 10)
--- a/syslog/message_test.go
+++ b/syslog/message_test.go
@@ -76,7 +76,7 @@
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range 20000 {
 		m := randomMessage(rng)
-		most := Least + rng.IntN(3000)
+		most := MinMessageBytes + rng.IntN(3000)
 		b := m.Append([]byte("before"), most)
 		text := string(b[len("before"):])
 		got, err := receiver.Parse(text)
@@ -110,7 +110,7 @@
 func TestCut(t *testing.T) {
 	m := Message{Host: "h", Data: []Element{{"a@1", []Param{{"x", strings.Repeat("v", 500)}, {"y", strings.Repeat("w", 500)}}}, {"b@1", []Param{{"z", "1"}}}},
 		Text: strings.Repeat("ö", 400)}
-	for most := Least; most < 2000; most++ {
+	for most := MinMessageBytes; most < 2000; most++ {
 		got, err := receiver.Parse(string(m.Append(nil, most)))
 		if err != nil {
 			t.Fatal(most, err)
@@ -146,7 +146,7 @@
 	f.Fuzz(func(t *testing.T, host, id, name, value, text string, most int) {
 		m := Message{Host: host, App: name, Proc: value, ID: id, Data: []Element{{id, []Param{{name, value}, {value, text}}}, {name, nil}, {id, nil}}, Text: text}
 		b := m.Append(nil, most)
-		if _, err := receiver.Parse(string(b)); err != nil || len(b) > max(most, Least) {
+		if _, err := receiver.Parse(string(b)); err != nil || len(b) > max(most, MinMessageBytes) {
 			t.Fatalf("%d bytes of %d: %v\n%q", len(b), most, err, b)
 		}
 	})
