--- a/logbook/logbook_test.go
+++ b/logbook/logbook_test.go
@@ -18,7 +18,7 @@
 
 // decision is a line as a pilot writes it.
 func decision(pilot string, run, seq int, at time.Duration, kind string, params ...string) string {
-	e := syslog.Element{ID: record.Element + "@" + syslog.Enterprise}
+	e := syslog.Element{ID: record.Element + "@" + syslog.EnterpriseNumber}
 	e.Params = append(e.Params, syslog.Param{Name: record.Pilot, Value: pilot}, syslog.Param{Name: record.Run, Value: fmt.Sprint(born + run)},
 		syslog.Param{Name: record.Sequence, Value: fmt.Sprint(seq)}, syslog.Param{Name: record.At, Value: fmt.Sprint(at.Microseconds())})
 	for i := 0; i < len(params); i += 2 {
--- a/pilot/records_test.go
+++ b/pilot/records_test.go
@@ -73,7 +73,7 @@
 		t.Fatalf("%d records, %v", len(m), bad)
 	}
 	get := func(i int, name string) string {
-		for _, p := range m[i].Data[record.Element+"@"+syslog.Enterprise] {
+		for _, p := range m[i].Data[record.Element+"@"+syslog.EnterpriseNumber] {
 			if p[0] == name {
 				return p[1]
 			}
@@ -125,7 +125,7 @@
 	next := map[string]int{}
 	for _, x := range m {
 		var pilot, seq string
-		for _, p := range x.Data[record.Element+"@"+syslog.Enterprise] {
+		for _, p := range x.Data[record.Element+"@"+syslog.EnterpriseNumber] {
 			switch p[0] {
 			case record.Pilot:
 				pilot = p[1]
--- a/syslog/handler_test.go
+++ b/syslog/handler_test.go
@@ -76,11 +76,11 @@
 	if len(m) != 2 || m[0].ID != "withdrawal" || m[0].Priority != 4 || m[1].Priority != 3 || m[0].App != "vetchdoor" {
 		t.Fatalf("%+v", m)
 	}
-	d := m[0].Data["decision@"+Enterprise]
+	d := m[0].Data["decision@"+EnterpriseNumber]
 	if len(d) != 3 || d[0] != [2]string{"node", "17"} || d[2] != [2]string{"limit.at", "0.25"} {
 		t.Errorf("%v", m[0].Data)
 	}
-	if a := m[0].Data["attr@"+Enterprise]; len(a) != 2 || a[0][1] != "p" || a[1][1] != "sick" {
+	if a := m[0].Data["attr@"+EnterpriseNumber]; len(a) != 2 || a[0][1] != "p" || a[1][1] != "sick" {
 		t.Errorf("%v", a)
 	}
 	if h.Enabled(context.Background(), slog.LevelDebug) {
@@ -132,7 +132,7 @@
 	now = now.Add(tellEvery)
 	l.Info("flaps", Kind("withdrawal"), Reason("sick"))
 	m := take()
-	if len(m) != 2 || m[1].ID != "suppressed" || m[1].Data["suppressed@"+Enterprise][1][1] != "980" {
+	if len(m) != 2 || m[1].ID != "suppressed" || m[1].Data["suppressed@"+EnterpriseNumber][1][1] != "980" {
 		t.Errorf("%+v", m)
 	}
 	for i := range 3 * mostKinds {
@@ -154,7 +154,7 @@
 		t.Fatalf("%+v", m)
 	}
 	want := [][2]string{{"err", "2"}, {"debug", "900"}, {"torn", "3"}}
-	for i, p := range m[0].Data["lost@"+Enterprise] {
+	for i, p := range m[0].Data["lost@"+EnterpriseNumber] {
 		if p != want[i] {
 			t.Errorf("%v", p)
 		}
--- a/syslog/message.go
+++ b/syslog/message.go
@@ -37,9 +37,9 @@
 
 func (s Severity) String() string { return severities[min(s, Debug)] }
 
-// Enterprise is the private enterprise number under which the SD-IDs of this program stand. It is the one that RFC 5612 sets
+// EnterpriseNumber is the private enterprise number under which the SD-IDs of this program stand. It is the one that RFC 5612 sets
 // aside for documentation; who has one of their own writes it here.
-const Enterprise = "32473"
+const EnterpriseNumber = "32473"
 
 // Element is an SD-ELEMENT.
 type Element struct {
