--- a/syslog/sender.go
+++ b/syslog/sender.go
@@ -54,7 +54,7 @@
 	Suppressed uint64            // more of a kind than its rate allows
 	Spooled    uint64            // on disk now
 	Waiting    uint64            // in memory now
-	Torn       uint64            // in the spool, and not to be read
+	Corrupt    uint64            // in the spool, and not to be read
 	Connects   uint64
 	Failures   uint64
 }
@@ -151,7 +151,7 @@
 	s.queue.mu.Unlock()
 	if s.spool != nil {
 		c.Spooled = s.spool.held()
-		c.Torn = s.spool.lost()
+		c.Corrupt = s.spool.lost()
 	}
 	return c
 }
