--- a/lab/bench.go
+++ b/lab/bench.go
@@ -148,14 +148,14 @@
 		return nil, nil, err
 	}
 	if err := json.Unmarshal(data, &b); err != nil {
-		return nil, nil, &files.Fault{File: path, Found: "a file that is no day of the bench (" + err.Error() + ")", Allowed: "what its draw prints"}
+		return nil, nil, &files.ValidationError{File: path, Found: "a file that is no day of the bench (" + err.Error() + ")", Allowed: "what its draw prints"}
 	}
 	note := func(format string, args ...any) { notes = append(notes, fmt.Sprintf(format, args...)) }
 	switch {
 	case b.V != 1 || b.Family != "control" || len(b.Tiers) != 1 || len(b.Servers) == 0 || len(b.Classes) == 0 || len(b.Zones) == 0:
-		return nil, nil, &files.Fault{File: path, Found: "no day of a control site with one tier", Allowed: "what the bench's draw prints for one"}
+		return nil, nil, &files.ValidationError{File: path, Found: "no day of a control site with one tier", Allowed: "what the bench's draw prints for one"}
 	case b.Fam.Slices > 0:
-		return nil, nil, &files.Fault{File: path, Pointer: "/fam/slices", Found: fmt.Sprint(b.Fam.Slices), Allowed: "0: keys in slices have no counterpart here"}
+		return nil, nil, &files.ValidationError{File: path, Pointer: "/fam/slices", Found: fmt.Sprint(b.Fam.Slices), Allowed: "0: keys in slices have no counterpart here"}
 	case shrink < 1:
 		return nil, nil, fmt.Errorf("--shrink %d: allowed is 1 or more", shrink)
 	}
@@ -163,7 +163,7 @@
 	pilots := max(1, len(fam.Controllers))
 	proxies := len(b.Balancers) - pilots
 	if proxies < 1 {
-		return nil, nil, &files.Fault{File: path, Pointer: "/balancers", Found: fmt.Sprint(len(b.Balancers)), Allowed: "proxies and, last, the controllers"}
+		return nil, nil, &files.ValidationError{File: path, Pointer: "/balancers", Found: fmt.Sprint(len(b.Balancers)), Allowed: "proxies and, last, the controllers"}
 	}
 	d := &files.Day{Kind: "day", Name: fmt.Sprintf("%s-%s", b.Site, b.Kind), Length: span(b.Length), Seed: b.Noise % (1 << 50)}
 	d.Service = files.Service{Zones: b.Zones, ReportEvery: span(fam.Period), TryShare: fam.TryAims, OutlierAfter: fam.Ejects,
@@ -184,7 +184,7 @@
 		t := files.OpType{Name: c.Name, Match: files.Match{Method: "POST", PathPrefix: "/" + c.Name}, TargetLatency: span(c.Aim),
 			OpTimeout: span(c.Deadline), Revenue: c.Worth, LateShare: c.LateWorth, Repeat: benchRepeat[c.Effect], Writes: c.Write}
 		if t.Repeat == "" {
-			return nil, nil, &files.Fault{File: path, Pointer: fmt.Sprintf("/classes/%d/effect", i), Found: fmt.Sprintf("%q", c.Effect), Allowed: "safe, keyed or unsafe"}
+			return nil, nil, &files.ValidationError{File: path, Pointer: fmt.Sprintf("/classes/%d/effect", i), Found: fmt.Sprintf("%q", c.Effect), Allowed: "safe, keyed or unsafe"}
 		}
 		if t.Repeat == "deduplicated" {
 			t.Group, t.DedupWindow, t.Writes = benchGroup[c.Group], span(c.Window), true
