--- a/pilot/moves.go
+++ b/pilot/moves.go
@@ -58,8 +58,8 @@
 		s.Close()
 		return err
 	}
-	w := tenancy.Waits{Most: f.Most.Span(), Abreast: f.Abreast}
-	w.Write, w.Window = tenancy.Needs(p.facts.OpTypes, p.file.Service.WriteLife.Span())
+	w := tenancy.Waits{Most: f.Most.AsDuration(), Abreast: f.Abreast}
+	w.Write, w.Window = tenancy.Needs(p.facts.OpTypes, p.file.Service.WriteLife.AsDuration())
 	if w.Most <= 0 {
 		w.Most = 10 * (w.Write + w.Window)
 	}
