--- a/lab/bench.go
+++ b/lab/bench.go
@@ -144,7 +144,7 @@
 // load a machine. notes say what could not be carried over.
 func ImportBenchDay(path string, data []byte, shrink int) (day *files.Day, notes []string, err error) {
 	var b benchDay
-	if err := files.Whole(path, data); err != nil {
+	if err := files.CheckSyntax(path, data); err != nil {
 		return nil, nil, err
 	}
 	if err := json.Unmarshal(data, &b); err != nil {
