--- a/files/replace.go
+++ b/files/replace.go
@@ -6,8 +6,8 @@
 	"path/filepath"
 )
 
-// Replace writes a file so that a reader finds the old one or the new one, whenever the machine stops.
-func Replace(path string, text []byte) error {
+// WriteFileAtomic writes a file so that a reader finds the old one or the new one, whenever the machine stops.
+func WriteFileAtomic(path string, text []byte) error {
 	f, err := os.CreateTemp(filepath.Dir(path), filepath.Base(path)+".new-*")
 	if err != nil {
 		return err
--- a/proxy/bindings.go
+++ b/proxy/bindings.go
@@ -181,7 +181,7 @@
 		out = appendLine(out, keptLine{Tenant: &name, Binding: &x})
 	}
 	k.lines = len(b.of) + 1
-	return files.Replace(k.path, b.whose(out))
+	return files.WriteFileAtomic(k.path, b.whose(out))
 }
 
 // keep has a change written and waits for it a moment.
--- a/roster/cache.go
+++ b/roster/cache.go
@@ -36,7 +36,7 @@
 	if err != nil {
 		return err
 	}
-	if err = files.Replace(path, data); err != nil {
+	if err = files.WriteFileAtomic(path, data); err != nil {
 		err = fmt.Errorf("save the list: %w", err)
 	}
 	return err
