--- a/lab/check.go
+++ b/lab/check.go
@@ -144,7 +144,7 @@
 			}
 			named := map[control.EndpointID]bool{}
 			for _, x := range u.Entries {
-				mode, err := files.ModeOf(x.Mode)
+				mode, err := files.ParseMode(x.Mode)
 				if err != nil {
 					return to, err
 				}
