--- a/files/groups.go
+++ b/files/groups.go
@@ -41,20 +41,20 @@
 	return ids
 }
 
-// Grouped tells whether writes of a type go to groups that the settings name.
-func Grouped(t control.OpType) bool {
+// HasWriteGroup tells whether writes of a type go to groups that the settings name.
+func HasWriteGroup(t control.OpType) bool {
 	return t.Repeat == control.Deduplicated && t.Group != control.GroupAll
 }
 
 // groupedByPack tells whether writes of a type go to one pack of those that the settings name.
 func groupedByPack(t control.OpType) bool {
-	return Grouped(t) && t.Group == control.GroupPack
+	return HasWriteGroup(t) && t.Group == control.GroupPack
 }
 
 // acrossCells returns, by bit, the op types whose group may be in any cell.
 func (s *Service) acrossCells() (mask uint16) {
 	for i, t := range s.Types() {
-		if groupedByPack(t) || Grouped(t) && len(s.Zones) > 1 && !t.OwnZoneOnly {
+		if groupedByPack(t) || HasWriteGroup(t) && len(s.Zones) > 1 && !t.OwnZoneOnly {
 			mask |= 1 << i
 		}
 	}
--- a/proxy/placement.go
+++ b/proxy/placement.go
@@ -87,7 +87,7 @@
 // no pilot has told yet of tenants that were moved, and for a tenant that is fenced off from the group.
 func (p *Proxy) place(i int, who *tenant, key []byte, now *tables, l tenancy.Limit, at time.Duration) (g *placement, known bool) {
 	t := &p.types[i]
-	if !files.Grouped(t.OpType) {
+	if !files.HasWriteGroup(t.OpType) {
 		return nil, true
 	}
 	kind, w := kindOf(&t.OpType), tenancy.Write{}
