--- a/files/groups.go
+++ b/files/groups.go
@@ -66,8 +66,8 @@
 	return slices.ContainsFunc(s.Types(), groupedByPack)
 }
 
-// Unplaced returns the names of the op types whose writes no proxy can place, for no pack is named.
-func (s *Service) Unplaced() (names []string) {
+// UnplaceableOpTypes returns the names of the op types whose writes no proxy can place, for no pack is named.
+func (s *Service) UnplaceableOpTypes() (names []string) {
 	if len(s.WritePacks) > 0 {
 		return nil
 	}
--- a/files/groups_test.go
+++ b/files/groups_test.go
@@ -15,14 +15,14 @@
 		{Name: "by all", Repeat: "deduplicated"},
 		{Name: "not deduplicated", Repeat: "retryable", Group: "pack"},
 	}}
-	if names := service.Unplaced(); !slices.Equal(names, []string{"by pack"}) {
+	if names := service.UnplaceableOpTypes(); !slices.Equal(names, []string{"by pack"}) {
 		t.Errorf("without packs %q are not placed", names)
 	}
 	if pilot := (&files.Pilot{Service: *service}); !pilot.Facts().PackWrites {
 		t.Error("the module is not told that writes go to one pack")
 	}
 	service.WritePacks = map[string][]int{"a": {1}}
-	if names := service.Unplaced(); names != nil {
+	if names := service.UnplaceableOpTypes(); names != nil {
 		t.Errorf("with packs %q are not placed", names)
 	}
 	service.OpTypes = service.OpTypes[1:]
--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -116,7 +116,7 @@
 	p.now.Store(newTables(len(types), lines, p.rng))
 	p.servers.keep(p.now.Load())
 	p.groups = newWriteGroups(&file.Service, p.zone)
-	if names := file.Service.Unplaced(); len(names) > 0 {
+	if names := file.Service.UnplaceableOpTypes(); len(names) > 0 {
 		p.log.Warn("writes are refused: they are deduplicated by pack, and the settings name no write_packs", "op_types", names)
 	}
 	if file.Tenants != nil {
