--- a/files/files.go
+++ b/files/files.go
@@ -322,8 +322,8 @@
 // Again returns how tries are repeated where no level says.
 func (s *Service) Again() control.Again { return agains[s.UsualAgain] }
 
-// Facts are what the pilot's module is told at its start.
-func (p *Pilot) Facts() control.Facts {
+// ControlConfig are what the pilot's module is told at its start.
+func (p *Pilot) ControlConfig() control.Facts {
 	s, l, c := &p.Service, &p.Limits, &p.Channel
 	f := control.Facts{
 		Instance: p.Instance, Instances: max(1, p.Instances), Zone: s.ZoneIndex(p.Zone), Zones: len(s.Zones),
--- a/files/groups_test.go
+++ b/files/groups_test.go
@@ -18,7 +18,7 @@
 	if names := service.UnplaceableOpTypes(); !slices.Equal(names, []string{"by pack"}) {
 		t.Errorf("without packs %q are not placed", names)
 	}
-	if pilot := (&files.Pilot{Service: *service}); !pilot.Facts().PackWrites {
+	if pilot := (&files.Pilot{Service: *service}); !pilot.ControlConfig().PackWrites {
 		t.Error("the module is not told that writes go to one pack")
 	}
 	service.WritePacks = map[string][]int{"a": {1}}
@@ -26,7 +26,7 @@
 		t.Errorf("with packs %q are not placed", names)
 	}
 	service.OpTypes = service.OpTypes[1:]
-	if pilot := (&files.Pilot{Service: *service}); pilot.Facts().PackWrites {
+	if pilot := (&files.Pilot{Service: *service}); pilot.ControlConfig().PackWrites {
 		t.Error("the module is told that writes go to one pack where none do")
 	}
 }
