--- a/files/files.go
+++ b/files/files.go
@@ -329,7 +329,7 @@
 		Instance: p.Instance, Instances: max(1, p.Instances), Zone: s.ZoneIndex(p.Zone), Zones: len(s.Zones),
 		OpTypes: s.Types(), Tick: p.Tick.AsDuration(), Levels: control.LevelShare,
 		OutlierAfter: s.OutlierAfter, Bootstrap: s.Bootstrap, Proxies: p.Proxies, MessageLines: float64(c.MessageLines),
-		LinesPerSecond: c.LinesPerSecond, MostWaiting: float64(c.MostWaiting - p.NoticeLines()),
+		LinesPerSecond: c.LinesPerSecond, MostWaiting: float64(c.MostWaiting - p.ReservedLines()),
 		MessageCap:     max(0, c.MessageCap-1), // one is the pilot's own
 		MessageCapOver: c.MessageCapOver.AsDuration(), PushDelayMost: c.PushDelayMost.AsDuration(),
 		ReportEvery: s.ReportEvery.AsDuration(), ReportLinesPerS: c.ReportLinesPerSecond,
@@ -346,8 +346,8 @@
 // tells proxies by itself.
 const noticeShare = 16
 
-// NoticeLines is how many lines of its own a pilot may have written and not had confirmed: enough for one message at least.
-func (p *Pilot) NoticeLines() int {
+// ReservedLines is how many lines of its own a pilot may have written and not had confirmed: enough for one message at least.
+func (p *Pilot) ReservedLines() int {
 	return max(p.Channel.MostWaiting/noticeShare, p.Channel.MessageLines+len(p.Service.OpTypes))
 }
 
