--- a/files/files.go
+++ b/files/files.go
@@ -319,8 +319,8 @@
 	return out
 }
 
-// Again returns how tries are repeated where no level says.
-func (s *Service) Again() control.Again { return agains[s.UsualAgain] }
+// DefaultRetryPolicy returns how tries are repeated where no level says.
+func (s *Service) DefaultRetryPolicy() control.Again { return agains[s.UsualAgain] }
 
 // ControlConfig are what the pilot's module is told at its start.
 func (p *Pilot) ControlConfig() control.Facts {
