--- a/lab/bench.go
+++ b/lab/bench.go
@@ -169,7 +169,7 @@
 	d.Service = files.Service{Zones: b.Zones, ReportEvery: span(fam.Period), TryShare: fam.TryAims, OutlierAfter: fam.Ejects,
 		OutlierFor: span(fam.Eject), Bootstrap: max(1, fam.Standing), CrossZone: b.Prices.CrossZone}
 	if fam.UsualHow >= 0 && fam.UsualHow < len(benchAgain) {
-		d.Service.UsualAgain = benchAgain[fam.UsualHow]
+		d.Service.DefaultRetries = benchAgain[fam.UsualHow]
 	}
 	if tier.ReportHow == "answers" {
 		for _, m := range tier.ReportFields {
