--- a/pilot/moves.go
+++ b/pilot/moves.go
@@ -59,7 +59,7 @@
 		return err
 	}
 	w := tenancy.Waits{Most: f.Most.AsDuration(), Abreast: f.Abreast}
-	w.Write, w.Window = tenancy.Needs(p.facts.OpTypes, p.file.Service.WriteLife.AsDuration())
+	w.Write, w.Window = tenancy.Needs(p.facts.OpTypes, p.file.Service.WriteLifetime.AsDuration())
 	if w.Most <= 0 {
 		w.Most = 10 * (w.Write + w.Window)
 	}
