--- a/lab/bench.go
+++ b/lab/bench.go
@@ -167,7 +167,7 @@
 	}
 	d := &files.Day{Kind: "day", Name: fmt.Sprintf("%s-%s", b.Site, b.Kind), Length: span(b.Length), Seed: b.Noise % (1 << 50)}
 	d.Service = files.Service{Zones: b.Zones, ReportEvery: span(fam.Period), TryShare: fam.TryAims, OutlierAfter: fam.Ejects,
-		OutlierFor: span(fam.Eject), Bootstrap: max(1, fam.Standing), CrossZone: b.Prices.CrossZone}
+		OutlierFor: span(fam.Eject), Bootstrap: max(1, fam.Standing), CrossZonePrice: b.Prices.CrossZone}
 	if fam.UsualHow >= 0 && fam.UsualHow < len(benchAgain) {
 		d.Service.DefaultRetries = benchAgain[fam.UsualHow]
 	}
--- a/lab/repeats_test.go
+++ b/lab/repeats_test.go
@@ -68,7 +68,7 @@
 // play plays the case: all first tries, whose answers are lost, and then all repeats.
 func (c repeatCase) play(t *testing.T, seen *repeatsSeen) {
 	inTiny(t, breach{servers: c.servers, unlisted: c.unlisted, tenants: c.tenants, day: func(d *files.Day) {
-		d.Service.CrossZone = c.crossZone
+		d.Service.CrossZonePrice = c.crossZone
 		d.Service.OpTypes[tallyType].Group, d.Service.OpTypes[tallyType].DedupWindow = c.group, files.Duration(repeatWindow)
 	}}, func(f *tiny) {
 		roads := [2]*link.Road{}
