--- a/files/files.go
+++ b/files/files.go
@@ -125,7 +125,7 @@
 
 	Members *Members `json:"members,omitempty"` // gossip among pilots, for people
 
-	MostProxies int      `json:"most_proxies,omitempty"` // joined at a time; others are sent to the peers. 0: any number
+	MaxProxies  int      `json:"most_proxies,omitempty"` // joined at a time; others are sent to the peers. 0: any number
 	LeaveWithin Duration `json:"leave_within,omitempty"` // how long its proxies are sent away for when it ends; 0: 10 s
 	Peers       []Peer   `json:"peers,omitempty"`        // the other pilots, where they may write to each other
 	Log         []Log    `json:"log,omitempty"`          // beside standard error
--- a/pilot/fleet_test.go
+++ b/pilot/fleet_test.go
@@ -96,7 +96,7 @@
 
 // A pilot that is full sends proxies to the other, and none is without one.
 func TestFull(t *testing.T) {
-	x := newPair(t, func(i int, f *files.Pilot) { f.MostProxies = 6 })
+	x := newPair(t, func(i int, f *files.Pilot) { f.MaxProxies = 6 })
 	x.proxies(12)
 	x.until("six each", x.joined(6, 6))
 }
--- a/pilot/hello.go
+++ b/pilot/hello.go
@@ -12,7 +12,7 @@
 
 // admission decides which proxies this pilot admits now. Without a list it admits them only where they have no other pilot.
 func (p *Pilot) admission() *fleet.Admission {
-	a := &fleet.Admission{MaxProxies: p.file.MostProxies, Leaving: p.leaving, Ready: p.fresher != "" || len(p.file.Peers) == 0}
+	a := &fleet.Admission{MaxProxies: p.file.MaxProxies, Leaving: p.leaving, Ready: p.fresher != "" || len(p.file.Peers) == 0}
 	for _, peer := range p.file.Peers {
 		a.Peers = append(a.Peers, peer.Address)
 	}
