--- a/lab/fleet.go
+++ b/lab/fleet.go
@@ -250,7 +250,7 @@
 			}
 		}
 		if d.Load.Tenants.Moves {
-			at.file.Moves = &files.Moves{Store: filepath.Join(f.dir, fmt.Sprintf("tenants-%d.db", i)), Abreast: 512, MaxHold: files.Duration(time.Minute)}
+			at.file.Moves = &files.Moves{Store: filepath.Join(f.dir, fmt.Sprintf("tenants-%d.db", i)), MaxConcurrent: 512, MaxHold: files.Duration(time.Minute)}
 			at.file.Admin = "127.0.0.1:0"
 		}
 		if at.p, err = pilot.New(at.file, f.log); err != nil {
