--- a/lab/check.go
+++ b/lab/check.go
@@ -594,9 +594,9 @@
 		slices.SortStableFunc(steps, func(a, b step) int { return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.lines, b.lines)) })
 		waiting := 0
 		for _, x := range steps {
-			if waiting += x.lines; waiting > e.channel.MostWaiting {
+			if waiting += x.lines; waiting > e.channel.MaxWaitingLines {
 				out = append(out, Break{5, x.at, fmt.Sprintf("pilot %d had %d lines waiting, %d are allowed", p, waiting,
-					e.channel.MostWaiting)})
+					e.channel.MaxWaitingLines)})
 				break
 			}
 		}
--- a/lab/check_test.go
+++ b/lab/check_test.go
@@ -173,7 +173,7 @@
 			for i := range time.Duration(20) {
 				c.order(s*3/2+i, s*3/2+i, s*3/2+i, 480, one, two, bind)
 			}
-			c.channel.MostWaiting = 1 << 20
+			c.channel.MaxWaitingLines = 1 << 20
 		}},
 		{"more messages than the cap", "5", func(c *scene) {
 			c.channel.MessageCap, c.channel.MessageCapOver = 3, files.Duration(10*s)
--- a/lab/orders_test.go
+++ b/lab/orders_test.go
@@ -109,7 +109,7 @@
 			{Name: "pay", Match: files.Match{PathPrefix: "/pay"}, TargetLatency: ms(300), OpTimeout: ms(900), Revenue: 5, Repeat: "once-only", Writes: true},
 		}},
 		Limits: files.Limits{EmptyFor: ms(1500), DrainGrace: ms(2000), ColdFor: ms(6000), ColdShare: 0.2, OverloadFactor: 4, FallAfter: ms(2000)},
-		Channel: files.Channel{LinesPerSecond: 2000, MessageLines: 3, MostWaiting: 120, MessageCap: 30, MessageCapOver: ms(10000),
+		Channel: files.Channel{LinesPerSecond: 2000, MessageLines: 3, MaxWaitingLines: 120, MessageCap: 30, MessageCapOver: ms(10000),
 			PushDelayMost: ms(100), ReportLinesPerSecond: 300}}
 }
 
@@ -434,7 +434,7 @@
 		return func(d *files.Day) { change(&d.Channel) }
 	}
 	loose := func(f *files.Pilot) {
-		f.Channel = files.Channel{LinesPerSecond: 50000, MessageLines: 3, MostWaiting: 5000, ReportLinesPerSecond: 300}
+		f.Channel = files.Channel{LinesPerSecond: 50000, MessageLines: 3, MaxWaitingLines: 5000, ReportLinesPerSecond: 300}
 	}
 	for name, b := range map[string]breach{
 		"tables without a line": {rule: 1, order: "tick,cold,tick,tick", alter: func(m *wire.Message) {
@@ -453,8 +453,8 @@
 			d.Service.OpTypes[1].Group = "all" // so that its cell alone loads the cold one
 		}, believe: func(f *files.Pilot) { f.Limits = tinyDay().Limits; f.Limits.ColdFor = 0 }},
 		"more lines than may wait": {rule: 5, order: "tick,tick,tick,tick", believe: func(f *files.Pilot) {
-			f.Channel.LinesPerSecond, f.Channel.MostWaiting = 100, 500
-		}, day: service(func(c *files.Channel) { c.MostWaiting = 5 })},
+			f.Channel.LinesPerSecond, f.Channel.MaxWaitingLines = 100, 500
+		}, day: service(func(c *files.Channel) { c.MaxWaitingLines = 5 })},
 		"more messages than the cap": {rule: 5, order: "news,drain,cold,tick", believe: loose, day: service(func(c *files.Channel) { c.MessageCap = 2 })},
 		"lines faster than the pace": {rule: 5, order: "rejoin,restart,cold,tick", believe: loose, day: service(func(c *files.Channel) { c.LinesPerSecond = 5 })},
 	} {
