--- a/lab/bench.go
+++ b/lab/bench.go
@@ -200,9 +200,9 @@
 	d.Limits = files.Limits{EmptyFor: span(fam.Bare), DrainGrace: span(b.DrainGrace), ColdFor: span(tier.StatedCold),
 		ColdShare: tier.StatedFrom, OverloadFactor: b.FallMultiple, FallAfter: span(b.FallFor)}
 	d.Channel = files.Channel{LinesPerSecond: fam.Rate, MessageLines: int(fam.Head), MaxWaitingLines: int(fam.Backlog), MessageCap: fam.MessagesMost,
-		MessageCapOver: span(fam.MessagesOver), PushDelayMost: span(2.5 * fam.Late), ReportLinesPerSecond: fam.Intake}
-	if d.Channel.MessageCap > 0 && d.Channel.MessageCapOver == 0 {
-		d.Channel.MessageCapOver = files.Duration(10 * time.Second)
+		MessageCapPeriod: span(fam.MessagesOver), PushDelayMost: span(2.5 * fam.Late), ReportLinesPerSecond: fam.Intake}
+	if d.Channel.MessageCap > 0 && d.Channel.MessageCapPeriod == 0 {
+		d.Channel.MessageCapPeriod = files.Duration(10 * time.Second)
 	}
 	d.Net = files.Net{Same: span(b.Net.Same), Cross: span(b.Net.Cross), Push: span(fam.Late), Hears: span(fam.HeardLate)}
 	d.List = files.List{Notice: span(b.Discovery.Notice), SilentNotice: span(b.Discovery.Silent), Add: span(b.Discovery.Add)}
--- a/lab/check.go
+++ b/lab/check.go
@@ -610,9 +610,9 @@
 				w := written[proxy]
 				slices.Sort(w)
 				for i := c.MessageCap; i < len(w); i++ {
-					if w[i]-w[i-c.MessageCap] < c.MessageCapOver.AsDuration()-slack {
+					if w[i]-w[i-c.MessageCap] < c.MessageCapPeriod.AsDuration()-slack {
 						out = append(out, Break{5, w[i], fmt.Sprintf("proxy %d was written more than %d messages within %v", proxy,
-							c.MessageCap, c.MessageCapOver.AsDuration())})
+							c.MessageCap, c.MessageCapPeriod.AsDuration())})
 						break
 					}
 				}
--- a/lab/check_test.go
+++ b/lab/check_test.go
@@ -176,7 +176,7 @@
 			c.channel.MaxWaitingLines = 1 << 20
 		}},
 		{"more messages than the cap", "5", func(c *scene) {
-			c.channel.MessageCap, c.channel.MessageCapOver = 3, files.Duration(10*s)
+			c.channel.MessageCap, c.channel.MessageCapPeriod = 3, files.Duration(10*s)
 			c.join(s)
 			for i := range time.Duration(4) {
 				c.order(2*s*(i+1), 2*s*(i+1), 2*s*(i+1), 5, one, two, bind)
--- a/lab/orders_test.go
+++ b/lab/orders_test.go
@@ -109,7 +109,7 @@
 			{Name: "pay", Match: files.Match{PathPrefix: "/pay"}, TargetLatency: ms(300), OpTimeout: ms(900), Revenue: 5, Repeat: "once-only", Writes: true},
 		}},
 		Limits: files.Limits{EmptyFor: ms(1500), DrainGrace: ms(2000), ColdFor: ms(6000), ColdShare: 0.2, OverloadFactor: 4, FallAfter: ms(2000)},
-		Channel: files.Channel{LinesPerSecond: 2000, MessageLines: 3, MaxWaitingLines: 120, MessageCap: 30, MessageCapOver: ms(10000),
+		Channel: files.Channel{LinesPerSecond: 2000, MessageLines: 3, MaxWaitingLines: 120, MessageCap: 30, MessageCapPeriod: ms(10000),
 			PushDelayMost: ms(100), ReportLinesPerSecond: 300}}
 }
 
