--- a/files/files.go
+++ b/files/files.go
@@ -100,7 +100,7 @@
 	MaxWaitingLines      int      `json:"most_waiting"`
 	MessageCap           int      `json:"message_cap,omitempty"`
 	MessageCapPeriod     Duration `json:"message_cap_over,omitempty"`
-	PushDelayMost        Duration `json:"push_delay_most,omitempty"`
+	MaxPushDelay         Duration `json:"push_delay_most,omitempty"`
 	ReportLinesPerSecond float64  `json:"report_lines_per_second"`
 }
 
@@ -331,7 +331,7 @@
 		OutlierAfter: s.OutlierAfter, Bootstrap: s.Bootstrap, Proxies: p.Proxies, MessageLines: float64(c.MessageLines),
 		LinesPerSecond: c.LinesPerSecond, MostWaiting: float64(c.MaxWaitingLines - p.ReservedLines()),
 		MessageCap:     max(0, c.MessageCap-1), // one is the pilot's own
-		MessageCapOver: c.MessageCapPeriod.AsDuration(), PushDelayMost: c.PushDelayMost.AsDuration(),
+		MessageCapOver: c.MessageCapPeriod.AsDuration(), PushDelayMost: c.MaxPushDelay.AsDuration(),
 		ReportEvery: s.ReportEvery.AsDuration(), ReportLinesPerS: c.ReportLinesPerSecond,
 		CrossZonePrice: s.CrossZonePrice, ListedWeights: true, ColdFor: l.ColdFor.AsDuration(),
 		ColdShare: l.ColdShare, DrainGrace: l.DrainGrace.AsDuration(), AcrossCells: s.acrossCells(), PackWrites: s.packWrites(),
--- a/lab/bench.go
+++ b/lab/bench.go
@@ -200,7 +200,7 @@
 	d.Limits = files.Limits{EmptyFor: span(fam.Bare), DrainGrace: span(b.DrainGrace), ColdFor: span(tier.StatedCold),
 		ColdShare: tier.StatedFrom, OverloadFactor: b.FallMultiple, FallAfter: span(b.FallFor)}
 	d.Channel = files.Channel{LinesPerSecond: fam.Rate, MessageLines: int(fam.Head), MaxWaitingLines: int(fam.Backlog), MessageCap: fam.MessagesMost,
-		MessageCapPeriod: span(fam.MessagesOver), PushDelayMost: span(2.5 * fam.Late), ReportLinesPerSecond: fam.Intake}
+		MessageCapPeriod: span(fam.MessagesOver), MaxPushDelay: span(2.5 * fam.Late), ReportLinesPerSecond: fam.Intake}
 	if d.Channel.MessageCap > 0 && d.Channel.MessageCapPeriod == 0 {
 		d.Channel.MessageCapPeriod = files.Duration(10 * time.Second)
 	}
