--- a/lab/load.go
+++ b/lab/load.go
@@ -147,7 +147,7 @@
 }
 
 // tenantShares are the tenants' shares of the traffic, added up.
-func tenantShares(c *files.Callers) (out []float64) {
+func tenantShares(c *files.TenantLoad) (out []float64) {
 	sum := 0.0
 	for i := range c.Count {
 		sum += math.Pow(float64(i+1), -c.Zipf)
