--- a/pilot/records.go
+++ b/pilot/records.go
@@ -167,7 +167,7 @@
 			a := append(r.table(o.Table, true), slog.String(record.Node, nodeName(o.Endpoint)), slog.String(record.Weight, round(o.Weight)))
 			r.write(slog.LevelInfo, record.TableLine, o.Why.Reason, "line of a table", slices.Concat(a, figures(o.Why), mark)...)
 		case control.Blank:
-			r.write(slog.LevelInfo, record.Blank, "", "table emptied", append(r.table(o.Table, true), mark...)...)
+			r.write(slog.LevelInfo, record.TableCleared, "", "table emptied", append(r.table(o.Table, true), mark...)...)
 		case control.Bind:
 			a := append(r.table(o.Table, false), slog.String(record.Proxy, proxyName(o.Proxy)), r.opTypes(o.OpTypes))
 			r.write(slog.LevelInfo, record.Bind, o.Why.Reason, "proxy put on a table", slices.Concat(a, figures(o.Why), mark)...)
