--- a/lab/records_test.go
+++ b/lab/records_test.go
@@ -63,7 +63,7 @@
 	}
 	why := map[key]int{}
 	for _, e := range b.Entries {
-		if e.Params[record.Why] == "" && (e.Kind == record.Withdrawal || e.Kind == record.TableLine || e.Kind == record.TableAssigned || e.Kind == record.Level) {
+		if e.Params[record.Reason] == "" && (e.Kind == record.Withdrawal || e.Kind == record.TableLine || e.Kind == record.TableAssigned || e.Kind == record.Level) {
 			t.Errorf("no reason: %s", e.Raw)
 		}
 		if e.Kind == record.Withdrawal {
