--- a/logbook/book.go
+++ b/logbook/book.go
@@ -148,7 +148,7 @@
 		s += ": " + r
 	}
 	if v := p[record.Value]; v != "" {
-		s += fmt.Sprintf(" (%s, limit %s)", v, p[record.Past])
+		s += fmt.Sprintf(" (%s, limit %s)", v, p[record.Threshold])
 	}
 	if e.Run == 0 || e.Kind == record.Refusal || e.Kind == record.Note {
 		s += " " + e.Text
--- a/pilot/records.go
+++ b/pilot/records.go
@@ -115,7 +115,7 @@
 	if w.Value == 0 && w.Limit == 0 {
 		return nil
 	}
-	return []slog.Attr{slog.String(record.Value, round(w.Value)), slog.String(record.Past, round(w.Limit))}
+	return []slog.Attr{slog.String(record.Value, round(w.Value)), slog.String(record.Threshold, round(w.Limit))}
 }
 
 func round(x float64) string { return strconv.FormatFloat(x, 'g', 4, 64) }
--- a/record/record.go
+++ b/record/record.go
@@ -34,7 +34,7 @@
 	Checkpoint = "checkpoint" // of the messages that carry it
 	Reason     = "reason"
 	Value      = "value" // the figure that crossed the limit
-	Past       = "limit"
+	Threshold  = "limit"
 	Weight     = "weight"
 	Share      = "share"
 	Out        = "out"
