--- a/pilot/records.go
+++ b/pilot/records.go
@@ -250,7 +250,7 @@
 func (r *recorder) end(i int) {
 	c := r.open[i]
 	r.open = slices.Delete(r.open, i, i+1)
-	a := []slog.Attr{slog.Int(record.Checkpoint, c.number), slog.Int(record.ProxiesSent, len(c.sent)), slog.Int(record.Confirmed, len(c.sent)-c.left),
+	a := []slog.Attr{slog.Int(record.Checkpoint, c.number), slog.Int(record.ProxiesSent, len(c.sent)), slog.Int(record.ProxiesConfirmed, len(c.sent)-c.left),
 		slog.Int64(record.Slowest, c.slowest.Microseconds())}
 	level := slog.LevelInfo
 	if c.left > 0 {
