--- a/pilot/records.go
+++ b/pilot/records.go
@@ -261,7 +261,7 @@
 			}
 		}
 		slices.Sort(missing)
-		a = append(a, slog.String(record.Missing, strings.Join(missing[:min(len(missing), mostSaid)], " ")))
+		a = append(a, slog.String(record.ProxiesUnconfirmed, strings.Join(missing[:min(len(missing), mostSaid)], " ")))
 		level = slog.LevelWarn
 	}
 	r.write(level, record.Confirmation, "", "checkpoint", a...)
--- a/record/record.go
+++ b/record/record.go
@@ -21,27 +21,27 @@
 
 // The element that decisions are in, and its parameters. Numbers are decimal; spans in microseconds.
 const (
-	Element          = "decision"
-	Pilot            = "pilot"
-	Run              = "run"        // of the pilot; a later start has a higher one
-	Sequence         = "seq"        // of the run's records, from 1, none left out: one that is not there was suppressed or lost
-	At               = "at"         // since the pilot's start
-	Node             = "node"       // eN
-	Proxy            = "proxy"      // pN
-	OpType           = "op-type"    // its name; * for all
-	Table            = "table"      // tN; * for all
-	Version          = "version"    // of the table: how often it changed in this run
-	Checkpoint       = "checkpoint" // of the messages that carry it
-	Reason           = "reason"
-	Value            = "value" // the figure that crossed the limit
-	Threshold        = "limit"
-	Weight           = "weight"
-	Share            = "share"
-	Out              = "out"
-	Tenant           = "tenant"
-	ProxiesSent      = "of"        // proxies that were sent a checkpoint
-	ProxiesConfirmed = "confirmed" // proxies that said it is in force
-	Missing          = "missing"   // the first few that did not
-	Slowest          = "slowest"
-	Text             = "text"
+	Element            = "decision"
+	Pilot              = "pilot"
+	Run                = "run"        // of the pilot; a later start has a higher one
+	Sequence           = "seq"        // of the run's records, from 1, none left out: one that is not there was suppressed or lost
+	At                 = "at"         // since the pilot's start
+	Node               = "node"       // eN
+	Proxy              = "proxy"      // pN
+	OpType             = "op-type"    // its name; * for all
+	Table              = "table"      // tN; * for all
+	Version            = "version"    // of the table: how often it changed in this run
+	Checkpoint         = "checkpoint" // of the messages that carry it
+	Reason             = "reason"
+	Value              = "value" // the figure that crossed the limit
+	Threshold          = "limit"
+	Weight             = "weight"
+	Share              = "share"
+	Out                = "out"
+	Tenant             = "tenant"
+	ProxiesSent        = "of"        // proxies that were sent a checkpoint
+	ProxiesConfirmed   = "confirmed" // proxies that said it is in force
+	ProxiesUnconfirmed = "missing"   // the first few that did not
+	Slowest            = "slowest"
+	Text               = "text"
 )
