--- a/lab/records_test.go
+++ b/lab/records_test.go
@@ -67,7 +67,7 @@
 			t.Errorf("no reason: %s", e.Raw)
 		}
 		if e.Kind == record.Withdrawal {
-			why[key{e.Run, e.Params[record.Node], e.Params[record.Out]}]++
+			why[key{e.Run, e.Params[record.Node], e.Params[record.Withdrawn]}]++
 		}
 	}
 	e := &evidence{service: &d.Service, limits: &d.Limits, channel: &d.Channel, from: fl.ledger.From(), passed: fl.tap.All(), until: 1 << 50}
--- a/pilot/records_test.go
+++ b/pilot/records_test.go
@@ -89,7 +89,7 @@
 		at         int
 		name, want string
 	}{{1, record.Reason, "eased"}, {1, record.Value, "92.71"}, {1, record.Version, "1"}, {2, record.Version, "2"}, {3, record.OpType, "write"}, {4, record.Table, "*"},
-		{5, record.Node, "e17"}, {5, record.Out, "true"}, {5, record.Checkpoint, "5"}, {7, record.ProxiesConfirmed, "1"}, {7, record.ProxiesSent, "2"}, {7, record.ProxiesUnconfirmed, "p4"},
+		{5, record.Node, "e17"}, {5, record.Withdrawn, "true"}, {5, record.Checkpoint, "5"}, {7, record.ProxiesConfirmed, "1"}, {7, record.ProxiesSent, "2"}, {7, record.ProxiesUnconfirmed, "p4"},
 		{8, record.ProxiesConfirmed, "1"}, {8, record.ProxiesUnconfirmed, ""}} {
 		if got := get(c.at, c.name); got != c.want {
 			t.Errorf("record %d, %s: %q, not %q", c.at, c.name, got, c.want)
--- a/record/record.go
+++ b/record/record.go
@@ -37,7 +37,7 @@
 	Threshold          = "limit"
 	Weight             = "weight"
 	Share              = "share"
-	Out                = "out"
+	Withdrawn          = "out"
 	Tenant             = "tenant"
 	ProxiesSent        = "of"        // proxies that were sent a checkpoint
 	ProxiesConfirmed   = "confirmed" // proxies that said it is in force
