--- a/pilot/records.go
+++ b/pilot/records.go
@@ -270,7 +270,7 @@
 func (r *recorder) joined(s *session, resumed bool) {
 	id := s.id
 	r.post(1, func() {
-		r.write(slog.LevelInfo, record.Joined, "", "proxy joined", slog.String(record.Proxy, proxyName(id)), slog.Bool("resumed", resumed))
+		r.write(slog.LevelInfo, record.ProxyJoined, "", "proxy joined", slog.String(record.Proxy, proxyName(id)), slog.Bool("resumed", resumed))
 	})
 }
 
--- a/record/record.go
+++ b/record/record.go
@@ -12,7 +12,7 @@
 	Confirmation  = "in-force"   // what the proxies said of a checkpoint
 	Restart       = "restart"    // the module or the pilot began anew
 	Refusal       = "refusal"    // a proxy did not take a message, or a stream was refused
-	Joined        = "joined"     // a proxy
+	ProxyJoined   = "joined"     // a proxy
 	Left          = "left"
 	Move          = "move"  // a tenant's move began, or ended
 	Limit         = "limit" // what a tenant may use
