--- a/pilot/records.go
+++ b/pilot/records.go
@@ -276,7 +276,7 @@
 
 func (r *recorder) left(id control.ProxyID) {
 	r.post(1, func() {
-		r.write(slog.LevelInfo+2, record.Left, "", "proxy gone", slog.String(record.Proxy, proxyName(id)))
+		r.write(slog.LevelInfo+2, record.ProxyLeft, "", "proxy gone", slog.String(record.Proxy, proxyName(id)))
 	})
 }
 
--- a/record/record.go
+++ b/record/record.go
@@ -13,7 +13,7 @@
 	Restart       = "restart"    // the module or the pilot began anew
 	Refusal       = "refusal"    // a proxy did not take a message, or a stream was refused
 	ProxyJoined   = "joined"     // a proxy
-	Left          = "left"
+	ProxyLeft     = "left"
 	Move          = "move"  // a tenant's move began, or ended
 	Limit         = "limit" // what a tenant may use
 	Note          = "note"  // of the module
