--- a/pilot/records.go
+++ b/pilot/records.go
@@ -302,7 +302,7 @@
 
 func (r *recorder) movesAsked(a tenancy.Ask) {
 	r.post(1, func() {
-		r.write(slog.LevelInfo+2, record.Move, "asked", "a move is asked for", slog.String(record.Tenant, a.Tenant), slog.String("to", a.To.String()))
+		r.write(slog.LevelInfo+2, record.TenantMove, "asked", "a move is asked for", slog.String(record.Tenant, a.Tenant), slog.String("to", a.To.String()))
 	})
 }
 
@@ -312,6 +312,6 @@
 		reason = "moved"
 	}
 	r.post(1, func() {
-		r.write(slog.LevelInfo+2, record.Move, reason, "a move ended", slog.String(record.Tenant, e.Tenant), slog.Int64("held", e.Held.Microseconds()))
+		r.write(slog.LevelInfo+2, record.TenantMove, reason, "a move ended", slog.String(record.Tenant, e.Tenant), slog.Int64("held", e.Held.Microseconds()))
 	})
 }
--- a/record/record.go
+++ b/record/record.go
@@ -14,7 +14,7 @@
 	Refusal       = "refusal"    // a proxy did not take a message, or a stream was refused
 	ProxyJoined   = "joined"     // a proxy
 	ProxyLeft     = "left"
-	Move          = "move"  // a tenant's move began, or ended
+	TenantMove    = "move"  // a tenant's move began, or ended
 	Limit         = "limit" // what a tenant may use
 	Note          = "note"  // of the module
 )
