--- a/pilot/records.go
+++ b/pilot/records.go
@@ -295,7 +295,7 @@
 
 func (r *recorder) limited(l tenancy.Limit) {
 	r.post(1, func() {
-		r.write(slog.LevelWarn, record.Limit, "", "a tenant's limit changed", slog.String(record.Tenant, l.Tenant), slog.String("rate", round(l.Rate)),
+		r.write(slog.LevelWarn, record.TenantLimit, "", "a tenant's limit changed", slog.String(record.Tenant, l.Tenant), slog.String("rate", round(l.Rate)),
 			slog.String("hand", round(l.Hand)), slog.Bool("fenced", l.Fenced), slog.String("room", round(l.Room)))
 	})
 }
--- a/record/record.go
+++ b/record/record.go
@@ -15,7 +15,7 @@
 	ProxyJoined   = "joined"     // a proxy
 	ProxyLeft     = "left"
 	TenantMove    = "move"  // a tenant's move began, or ended
-	Limit         = "limit" // what a tenant may use
+	TenantLimit   = "limit" // what a tenant may use
 	Note          = "note"  // of the module
 )
 
