--- a/logbook/book.go
+++ b/logbook/book.go
@@ -150,7 +150,7 @@
 	if v := p[record.Value]; v != "" {
 		s += fmt.Sprintf(" (%s, limit %s)", v, p[record.Threshold])
 	}
-	if e.Run == 0 || e.Kind == record.Refusal || e.Kind == record.Note {
+	if e.Run == 0 || e.Kind == record.Refusal || e.Kind == record.ControllerNote {
 		s += " " + e.Text
 	}
 	if c := b.Confirmed(e); c != nil {
--- a/pilot/records.go
+++ b/pilot/records.go
@@ -182,7 +182,7 @@
 			a := []slog.Attr{slog.String(record.Node, nodeName(o.Endpoint)), slog.Bool(record.Withdrawn, o.Out)}
 			r.write(slog.LevelWarn, record.Withdrawal, o.Why.Reason, text, slices.Concat(a, figures(o.Why), mark)...)
 		case control.Note:
-			r.write(slog.LevelInfo, record.Note, "", o.Text)
+			r.write(slog.LevelInfo, record.ControllerNote, "", o.Text)
 		}
 	}
 }
