--- a/logbook/book.go
+++ b/logbook/book.go
@@ -100,8 +100,8 @@
 	return Run{e.Params[record.Pilot], e.Run}, e.Run > 0 && e.Sequence > 0
 }
 
-// Confirmed returns what the proxies said of the messages that carried a decision; nil: nothing is known.
-func (b *Log) Confirmed(e *Entry) *Entry {
+// Confirmation returns what the proxies said of the messages that carried a decision; nil: nothing is known.
+func (b *Log) Confirmation(e *Entry) *Entry {
 	run, ok := e.run()
 	c := e.Params[record.Checkpoint]
 	if !ok || c == "" || e.Kind == record.Confirmation {
@@ -153,7 +153,7 @@
 	if e.Run == 0 || e.Kind == record.Refusal || e.Kind == record.ControllerNote {
 		s += " " + e.Text
 	}
-	if c := b.Confirmed(e); c != nil {
+	if c := b.Confirmation(e); c != nil {
 		s += fmt.Sprintf(" [in force at %s of %s]", c.Params[record.ProxiesConfirmed], c.Params[record.ProxiesSent])
 	}
 	return s
