--- a/cmd/vetchdoor/log.go
+++ b/cmd/vetchdoor/log.go
@@ -77,7 +77,7 @@
 				return b.HTML(f, node)
 			}
 			if node != "" {
-				if err := b.Draw(out, node, 80); err != nil {
+				if err := b.WriteText(out, node, 80); err != nil {
 					return err
 				}
 			} else {
--- a/logbook/logbook_test.go
+++ b/logbook/logbook_test.go
@@ -132,7 +132,7 @@
 		t.Fatalf("%+v", lanes)
 	}
 	var text, page strings.Builder
-	if err := b.Draw(&text, "e17", 40); err != nil {
+	if err := b.WriteText(&text, "e17", 40); err != nil {
 		t.Fatal(err)
 	}
 	if lines := strings.Split(text.String(), "\n"); !strings.Contains(lines[1], "█s") || !strings.Contains(lines[1], "▃") || !strings.Contains(lines[2], "d") {
@@ -143,7 +143,7 @@
 	if err := b.HTML(&page, "e17"); err != nil || strings.Contains(page.String(), "<script>") || strings.Contains(page.String(), "<b>") {
 		t.Errorf("%v\n%s", err, page.String())
 	}
-	if b.Draw(&text, "e99", 40) == nil || b.HTML(&page, "e99") == nil {
+	if b.WriteText(&text, "e99", 40) == nil || b.HTML(&page, "e99") == nil {
 		t.Error("drew a node that is not there")
 	}
 }
--- a/logbook/timeline.go
+++ b/logbook/timeline.go
@@ -92,9 +92,9 @@
 	return from, to
 }
 
-// Draw draws a node's evening for a terminal: a bar a run, # in at its whole weight, less of it lower, the first letter of the
+// WriteText draws a node's evening for a terminal: a bar a run, # in at its whole weight, less of it lower, the first letter of the
 // reason where it is out; then each record.
-func (b *Log) Draw(w io.Writer, node string, width int) error {
+func (b *Log) WriteText(w io.Writer, node string, width int) error {
 	lanes := b.Timeline(node)
 	if len(lanes) == 0 {
 		return fmt.Errorf("no record is of node %s", node)
