--- a/cmd/vetchdoor/log.go
+++ b/cmd/vetchdoor/log.go
@@ -74,7 +74,7 @@
 					return err
 				}
 				defer f.Close()
-				return b.HTML(f, node)
+				return b.WriteHTML(f, node)
 			}
 			if node != "" {
 				if err := b.WriteText(out, node, 80); err != nil {
--- a/logbook/logbook_test.go
+++ b/logbook/logbook_test.go
@@ -140,10 +140,10 @@
 	}
 	hostile := decision("<script>", 99, 1, s, record.Withdrawal, record.Node, "e17", record.Withdrawn, "true", record.Reason, "<b>&")
 	b = book(t, hostile)
-	if err := b.HTML(&page, "e17"); err != nil || strings.Contains(page.String(), "<script>") || strings.Contains(page.String(), "<b>") {
+	if err := b.WriteHTML(&page, "e17"); err != nil || strings.Contains(page.String(), "<script>") || strings.Contains(page.String(), "<b>") {
 		t.Errorf("%v\n%s", err, page.String())
 	}
-	if b.WriteText(&text, "e99", 40) == nil || b.HTML(&page, "e99") == nil {
+	if b.WriteText(&text, "e99", 40) == nil || b.WriteHTML(&page, "e99") == nil {
 		t.Error("drew a node that is not there")
 	}
 }
--- a/logbook/timeline.go
+++ b/logbook/timeline.go
@@ -151,8 +151,8 @@
 	Out                 bool
 }
 
-// HTML writes a node's evening as a page of its own.
-func (b *Log) HTML(w io.Writer, node string) error {
+// WriteHTML writes a node's evening as a page of its own.
+func (b *Log) WriteHTML(w io.Writer, node string) error {
 	lanes := b.Timeline(node)
 	if len(lanes) == 0 {
 		return fmt.Errorf("no record is of node %s", node)
