--- a/logbook/book.go
+++ b/logbook/book.go
@@ -79,7 +79,7 @@
 		if okx && oky && rx == ry {
 			return cmp.Compare(x.Sequence, y.Sequence)
 		}
-		return x.When().Compare(y.When())
+		return x.EventTime().Compare(y.EventTime())
 	})
 	runs := slices.SortedFunc(maps.Keys(seen), func(a, b Run) int { return cmp.Or(cmp.Compare(a.Run, b.Run), cmp.Compare(a.Pilot, b.Pilot)) })
 	for _, run := range runs {
@@ -89,7 +89,7 @@
 			if n > next {
 				b.Gaps = append(b.Gaps, Gap{run, next, n - 1, after})
 			}
-			next, after = n+1, seen[run][n].When()
+			next, after = n+1, seen[run][n].EventTime()
 		}
 	}
 	return b
@@ -133,7 +133,7 @@
 		return fmt.Sprintf("%s:%d: broken (%v): %.200q", e.File, e.LineNumber, e.ParseError, e.Raw)
 	}
 	p := e.Params
-	s := e.When().Format("15:04:05.000") + " " + cmp.Or(p[record.Pilot], e.Host, "-")
+	s := e.EventTime().Format("15:04:05.000") + " " + cmp.Or(p[record.Pilot], e.Host, "-")
 	if e.Kind == "" {
 		return s + " " + e.App + ": " + e.Text
 	}
--- a/logbook/entry.go
+++ b/logbook/entry.go
@@ -179,8 +179,8 @@
 	}
 }
 
-// When is the entry's place in time: for a record of a run its pilot's own clock, which does not step; else the line's.
-func (e *Entry) When() time.Time {
+// EventTime is the entry's place in time: for a record of a run its pilot's own clock, which does not step; else the line's.
+func (e *Entry) EventTime() time.Time {
 	if e.Run > 0 && e.Sequence > 0 {
 		return time.UnixMicro(int64(e.Run)).Add(e.At)
 	}
--- a/logbook/filter.go
+++ b/logbook/filter.go
@@ -192,7 +192,7 @@
 		if t, err := time.Parse(layout, value); err == nil {
 			day := time.Duration(t.Hour())*time.Hour + time.Duration(t.Minute())*time.Minute + time.Duration(t.Second())*time.Second + time.Duration(t.Nanosecond())
 			return func(e *Entry) bool {
-				w := e.When()
+				w := e.EventTime()
 				if w.IsZero() {
 					return false
 				}
@@ -206,7 +206,7 @@
 	}
 	for _, layout := range []string{time.RFC3339Nano, "2006-01-02T15:04:05", "2006-01-02"} {
 		if t, err := time.Parse(layout, value); err == nil {
-			return func(e *Entry) bool { return !e.When().IsZero() && holds(e.When().Compare(t)) }, nil
+			return func(e *Entry) bool { return !e.EventTime().IsZero() && holds(e.EventTime().Compare(t)) }, nil
 		}
 	}
 	if d, err := time.ParseDuration(value); err == nil {
--- a/logbook/timeline.go
+++ b/logbook/timeline.go
@@ -34,7 +34,7 @@
 	ends := map[Run]time.Time{}
 	for _, e := range b.Entries {
 		if run, ok := e.run(); ok {
-			ends[run] = e.When()
+			ends[run] = e.EventTime()
 		}
 	}
 	for _, e := range b.Entries {
@@ -51,10 +51,10 @@
 		l.Marks = append(l.Marks, e)
 		last := Span{State: "in"}
 		if n := len(l.Spans); n > 0 {
-			l.Spans[n-1].To = e.When()
+			l.Spans[n-1].To = e.EventTime()
 			last = l.Spans[n-1]
 		}
-		next := Span{From: e.When(), State: last.State, Why: e, Weight: last.Weight}
+		next := Span{From: e.EventTime(), State: last.State, Why: e, Weight: last.Weight}
 		switch e.Kind {
 		case record.Withdrawal:
 			if next.State = "in"; e.Params[record.Withdrawn] == "true" {
