--- a/logbook/timeline.go
+++ b/logbook/timeline.go
@@ -24,8 +24,8 @@
 // Lane is what one run of a pilot decided of a node.
 type Lane struct {
 	Run
-	Spans []Span
-	Marks []*Entry
+	Spans   []Span
+	Entries []*Entry
 }
 
 // Timeline returns a node's evening, a lane for each run that decided anything of it.
@@ -48,7 +48,7 @@
 			lanes = append(lanes, &Lane{Run: run})
 		}
 		l := lanes[at]
-		l.Marks = append(l.Marks, e)
+		l.Entries = append(l.Entries, e)
 		last := Span{State: "in"}
 		if n := len(l.Spans); n > 0 {
 			l.Spans[n-1].To = e.EventTime()
@@ -118,7 +118,7 @@
 		fmt.Fprintf(w, "%-12.12s run %d |%s|\n", l.Pilot, l.Run.Run, string(bar))
 	}
 	for _, l := range lanes {
-		for _, e := range l.Marks {
+		for _, e := range l.Entries {
 			fmt.Fprintln(w, "  "+b.Format(e))
 		}
 	}
@@ -183,7 +183,7 @@
 			}
 			d.Bars = append(d.Bars, x)
 		}
-		for _, e := range l.Marks {
+		for _, e := range l.Entries {
 			d.Lines = append(d.Lines, b.Format(e))
 		}
 		data.Lanes = append(data.Lanes, d)
