--- a/syslog/bench_test.go
+++ b/syslog/bench_test.go
@@ -11,18 +11,18 @@
 	"github.com/leodido/go-syslog/v4/rfc5424"
 )
 
-// attrs are a decision's, as the pilot writes one.
+// attrs returns the attributes of a decision as a pilot logs it.
 func attrs(i int) []slog.Attr {
 	return []slog.Attr{Kind("line"), slog.Group("decision", slog.String("pilot", "pilot-0"), slog.Uint64("run", 1796133516856301), slog.Uint64("seq", uint64(i)),
 		slog.Int64("at", int64(i)*1000), Reason("eased"), slog.String("node", "e3304433030"), slog.String("table", "t3"), slog.Uint64("version", 31),
 		slog.String("weight", "1.491"), slog.String("value", "92.7"), slog.String("limit", "89.12"))}
 }
 
-// A record from slog to the queue, beside the standard library's JSON handler and the builder of a syslog library (which is
-// given its values as text).
+// Compares this handler, from slog to the queue, with the JSON handler of the standard library and with the message
+// builder of a syslog library, whose input is formatted in advance. The last case formats a message alone.
 func BenchmarkRecord(b *testing.B) {
 	b.Run("ours", func(b *testing.B) {
-		s, err := Start(Config{Network: "tcp", Address: "127.0.0.1:1", Buffer: 1000}, quiet, 1, nil)
+		s, err := Start(Config{Network: "tcp", Address: "127.0.0.1:1", Buffer: 1000}, discardLog, 1, nil)
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/syslog/handler.go
+++ b/syslog/handler.go
@@ -12,10 +12,11 @@
 	"time"
 )
 
-// Kind is the attribute that becomes a record's MSGID.
+// Kind returns the attribute whose value becomes the MSGID of the record.
 func Kind(kind string) slog.Attr { return slog.String(kindKey, kind) }
 
-// Reason is the attribute by which records of a kind are limited, beside being a parameter like others.
+// Reason returns an attribute that, together with the kind, selects the rate limit of a record. It is also sent as a
+// parameter.
 func Reason(reason string) slog.Attr { return slog.String(reasonKey, reason) }
 
 const (
@@ -23,70 +24,71 @@
 	reasonKey = "reason"
 )
 
-// Identity is what all records of a process say of it.
+// Identity holds the properties that all records of a process share, and which of them are sent.
 type Identity struct {
 	Facility Facility
-	Host     string // empty: this machine's name
+	Host     string // empty: the host name of this machine
 	App      string
-	Level    slog.Leveler // nil: all from LevelInfo up
-	Rate     float64      // records a second of one kind and reason; 0: 50
+	Level    slog.Leveler // least level that is sent; nil: slog.LevelInfo
+	Rate     float64      // limit in records per second for one kind and reason; 0: 50
 }
 
-// Handler is a slog.Handler that sends records by a Sender. A group of the outermost level is an SD-ELEMENT of its name, the
-// other attributes are one of the name attr; groups within them go into the parameters' names, with dots.
+// Handler is a slog.Handler that sends records through a Sender. An outermost group becomes the SD-ELEMENT of its name;
+// attributes outside groups go into the element "attr". Names of inner groups become prefixes of the parameter names,
+// separated by dots.
 type Handler struct {
-	*shared
-	prefix string // of the groups that are open
-	params []placed
+	*handlerState
+	prefix string // names of the open groups, each followed by a dot
+	params []elementParam
 	kind   string
 	reason string
 }
 
-// shared is what all handlers that come of one have in common.
-type shared struct {
-	sender *Sender
-	who    Identity
-	proc   string
-	limits *limits
-	now    func() time.Time
+// handlerState is shared by all handlers derived from one NewHandler.
+type handlerState struct {
+	sender     *Sender
+	identity   Identity
+	proc       string
+	rateLimits *rateLimits
+	now        func() time.Time
 }
 
-// placed is a parameter with the element that it belongs to.
-type placed struct {
+// elementParam is a parameter with the name of the element it belongs to.
+type elementParam struct {
 	element string
 	Param
 }
 
-// NewHandler makes a handler of a sender.
-func NewHandler(s *Sender, who Identity) *Handler {
-	if who.Host == "" {
-		who.Host, _ = os.Hostname()
+// NewHandler returns a handler that sends records through a sender.
+func NewHandler(s *Sender, identity Identity) *Handler {
+	if identity.Host == "" {
+		identity.Host, _ = os.Hostname()
 	}
-	if who.Level == nil {
-		who.Level = slog.LevelInfo
+	if identity.Level == nil {
+		identity.Level = slog.LevelInfo
 	}
-	if who.Rate <= 0 {
-		who.Rate = usualRate
+	if identity.Rate <= 0 {
+		identity.Rate = defaultRate
 	}
-	h := &Handler{shared: &shared{sender: s, who: who, proc: strconv.Itoa(os.Getpid()), now: time.Now}}
-	h.limits = &limits{rate: who.Rate, by: map[string]*allowance{}}
+	h := &Handler{handlerState: &handlerState{sender: s, identity: identity, proc: strconv.Itoa(os.Getpid()), now: time.Now}}
+	h.rateLimits = &rateLimits{rate: identity.Rate, buckets: map[string]*tokenBucket{}}
 	return h
 }
 
-// Enabled tells whether records of a level are sent.
-func (h *Handler) Enabled(_ context.Context, l slog.Level) bool { return l >= h.who.Level.Level() }
+// Enabled reports whether records of a level are sent.
+func (h *Handler) Enabled(_ context.Context, l slog.Level) bool { return l >= h.identity.Level.Level() }
 
-// WithAttrs returns a handler whose records have these attributes too.
+// WithAttrs returns a handler that adds the attributes to each of its records.
 func (h *Handler) WithAttrs(attrs []slog.Attr) slog.Handler {
 	n := *h
 	n.params = slices.Clip(h.params)
 	for _, a := range attrs {
-		n.add(h.prefix, a)
+		n.addAttr(h.prefix, a)
 	}
 	return &n
 }
 
-// WithGroup returns a handler whose further attributes are in a group.
+// WithGroup returns a handler that puts further attributes into the group.
 func (h *Handler) WithGroup(name string) slog.Handler {
 	if name == "" {
 		return h
@@ -96,15 +98,15 @@
 	return &n
 }
 
-// add takes an attribute in.
-func (h *Handler) add(prefix string, a slog.Attr) {
+// addAttr adds the attribute to the parameters; groups are flattened.
+func (h *Handler) addAttr(prefix string, a slog.Attr) {
 	v := a.Value.Resolve()
 	if v.Kind() == slog.KindGroup {
 		if a.Key != "" {
 			prefix += a.Key + "."
 		}
 		for _, x := range v.Group() {
-			h.add(prefix, x)
+			h.addAttr(prefix, x)
 		}
 		return
 	}
@@ -126,10 +128,10 @@
 	if !grouped {
 		element, rest = "attr", ""
 	}
-	h.params = append(h.params, placed{element, Param{rest + a.Key, text}})
+	h.params = append(h.params, elementParam{element, Param{rest + a.Key, text}})
 }
 
-// severityOf a level: slog's four, and what is between them.
+// severityOf maps a slog level to a severity. Levels between the four of slog map to the severities between theirs.
 func severityOf(l slog.Level) Severity {
 	switch {
 	case l >= slog.LevelError+4:
@@ -146,11 +148,12 @@
 	return Debug
 }
 
-// Handle sends a record, or counts it where its kind and reason have had their rate. It never waits and never fails.
+// Handle sends a record, or only counts it if its kind and reason exceed their rate; records of severity Error and
+// above are always sent. It never blocks and always returns nil.
 func (h *Handler) Handle(_ context.Context, r slog.Record) error {
 	n := *h
 	n.params = slices.Clip(h.params)
-	r.Attrs(func(a slog.Attr) bool { n.add(h.prefix, a); return true })
+	r.Attrs(func(a slog.Attr) bool { n.addAttr(h.prefix, a); return true })
 	at := r.Time
 	if at.IsZero() {
 		at = h.now()
@@ -159,20 +162,22 @@
 	if n.kind == "" {
 		key = r.Message
 	}
-	if severity := severityOf(r.Level); severity > Error && !h.limits.let(key, h.now()) {
+	if severity := severityOf(r.Level); severity > Error && !h.rateLimits.allow(key, h.now()) {
 		h.sender.CountSuppressed()
 	} else {
 		h.send(at, severity, n.kind, n.params, r.Message)
 	}
-	for _, x := range h.limits.tell(h.now()) {
-		h.send(h.now(), Notice, "suppressed", []placed{{"suppressed", Param{"of", x.key}}, {"suppressed", Param{"count", strconv.FormatUint(x.count, 10)}}},
-			"more of a kind than its rate allows were kept back")
+	for _, x := range h.rateLimits.collectSuppressed(h.now()) {
+		h.send(h.now(), Notice, "suppressed", []elementParam{{"suppressed", Param{"of", x.key}},
+			{"suppressed", Param{"count", strconv.FormatUint(x.count, 10)}}},
+			"records over the rate limit of their kind were suppressed")
 	}
 	return nil
 }
 
-func (h *Handler) send(at time.Time, s Severity, kind string, params []placed, text string) {
-	m := Message{Facility: h.who.Facility, Severity: s, Time: at, Host: h.who.Host, App: h.who.App, ProcID: h.proc, MsgID: kind, Text: text}
+func (h *Handler) send(at time.Time, s Severity, kind string, params []elementParam, text string) {
+	m := Message{Facility: h.identity.Facility, Severity: s, Time: at, Host: h.identity.Host, App: h.identity.App,
+		ProcID: h.proc, MsgID: kind, Text: text}
 	for _, p := range params {
 		id := p.element + "@" + EnterpriseNumber
 		i := slices.IndexFunc(m.StructuredData, func(e Element) bool { return e.ID == id })
@@ -185,94 +190,99 @@
 	h.sender.Enqueue(s, m.Append(make([]byte, 0, 512), h.sender.MaxMessageBytes()))
 }
 
-// ReportLoss is what a Sender's announce does: a record of what was dropped, sent once records flow again.
-func (h *Handler) ReportLoss(dropped [Debug + 1]uint64, torn uint64) {
-	params := []placed{}
+// ReportLoss sends a record with the numbers of lost records: those dropped, by severity, and those that could not be
+// read from the spool. It is meant for the announce parameter of Start.
+func (h *Handler) ReportLoss(dropped [Debug + 1]uint64, corrupt uint64) {
+	params := []elementParam{}
 	for s, n := range dropped {
 		if n > 0 {
-			params = append(params, placed{"lost", Param{Severity(s).String(), strconv.FormatUint(n, 10)}})
+			params = append(params, elementParam{"lost", Param{Severity(s).String(), strconv.FormatUint(n, 10)}})
 		}
 	}
-	if torn > 0 {
-		params = append(params, placed{"lost", Param{"torn", strconv.FormatUint(torn, 10)}})
+	if corrupt > 0 {
+		params = append(params, elementParam{"lost", Param{"torn", strconv.FormatUint(corrupt, 10)}})
 	}
-	h.send(h.now(), Warning, "lost", params, "records were lost since the last of these")
+	h.send(h.now(), Warning, "lost", params, "records were lost since the last record of this kind")
 }
 
-// limits keep each kind and reason to a rate, so that one cannot drown the rest. Errors are not limited.
-type limits struct {
-	mu   sync.Mutex
-	rate float64
-	by   map[string]*allowance
-	told time.Time
+// rateLimits limits the rate of each kind and reason separately, so that one that floods the log cannot displace the
+// others.
+type rateLimits struct {
+	mu         sync.Mutex
+	rate       float64
+	buckets    map[string]*tokenBucket
+	lastReport time.Time
 }
 
-type allowance struct {
-	left       float64
-	last       time.Time
-	suppressed uint64
+type tokenBucket struct {
+	tokens          float64
+	lastRefill      time.Time
+	suppressedCount uint64
 }
 
-// Of the limits: a burst is so many seconds' rate; what was kept back is told so often; so many kinds are told apart.
+// Rate limiter: the default rate in records per second, the burst in seconds at that rate, the interval of reports on
+// suppressed records, and the number of keys that are limited separately; all further keys share overflowKey.
 const (
-	usualRate  = 50
-	burst      = 2.0
-	tellEvery  = 10 * time.Second
-	mostKinds  = 1024
-	otherKinds = "others"
+	defaultRate    = 50
+	burstSeconds   = 2.0
+	reportInterval = 10 * time.Second
+	maxKeys        = 1024
+	overflowKey    = "others"
 )
 
-// let tells whether one more may go. A clock that steps back gives nothing and takes nothing.
-func (l *limits) let(key string, now time.Time) bool {
+// allow takes a token for one record of a key; false if there is none. A clock that steps back neither adds nor removes
+// tokens.
+func (l *rateLimits) allow(key string, now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	a := l.by[key]
-	if a == nil && len(l.by) >= mostKinds {
-		for k, x := range l.by { // those that are long quiet make room
-			if now.Sub(x.last) > tellEvery && x.suppressed == 0 {
-				delete(l.by, k)
+	a := l.buckets[key]
+	if a == nil && len(l.buckets) >= maxKeys {
+		for k, x := range l.buckets { // remove idle keys to make room
+			if now.Sub(x.lastRefill) > reportInterval && x.suppressedCount == 0 {
+				delete(l.buckets, k)
 			}
 		}
-		if len(l.by) >= mostKinds {
-			key = otherKinds
-			a = l.by[key]
+		if len(l.buckets) >= maxKeys {
+			key = overflowKey
+			a = l.buckets[key]
 		}
 	}
 	if a == nil {
-		a = &allowance{left: burst * l.rate, last: now}
-		l.by[key] = a
+		a = &tokenBucket{tokens: burstSeconds * l.rate, lastRefill: now}
+		l.buckets[key] = a
 	}
-	if since := now.Sub(a.last); since > 0 {
-		a.left = min(burst*l.rate, a.left+l.rate*since.Seconds())
+	if since := now.Sub(a.lastRefill); since > 0 {
+		a.tokens = min(burstSeconds*l.rate, a.tokens+l.rate*since.Seconds())
 	}
-	if a.last = now; a.left < 1 {
-		a.suppressed++
+	if a.lastRefill = now; a.tokens < 1 {
+		a.suppressedCount++
 		return false
 	}
-	a.left--
+	a.tokens--
 	return true
 }
 
-type suppressed struct {
+type suppressedCount struct {
 	key   string
 	count uint64
 }
 
-// tell returns what was kept back since it last did, now and then.
-func (l *limits) tell(now time.Time) (out []suppressed) {
+// collectSuppressed returns and resets the numbers of suppressed records by key, at most once per reportInterval;
+// otherwise nil.
+func (l *rateLimits) collectSuppressed(now time.Time) (out []suppressedCount) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.told.IsZero() || now.Before(l.told) { // the clock stepped back
-		l.told = now
+	if l.lastReport.IsZero() || now.Before(l.lastReport) { // first call, or the clock stepped back
+		l.lastReport = now
 	}
-	if now.Sub(l.told) < tellEvery {
+	if now.Sub(l.lastReport) < reportInterval {
 		return nil
 	}
-	l.told = now
-	for _, key := range slices.Sorted(maps.Keys(l.by)) {
-		if a := l.by[key]; a.suppressed > 0 {
-			out = append(out, suppressed{key, a.suppressed})
-			a.suppressed = 0
+	l.lastReport = now
+	for _, key := range slices.Sorted(maps.Keys(l.buckets)) {
+		if a := l.buckets[key]; a.suppressedCount > 0 {
+			out = append(out, suppressedCount{key, a.suppressedCount})
+			a.suppressedCount = 0
 		}
 	}
 	return out
--- a/syslog/handler_test.go
+++ b/syslog/handler_test.go
@@ -12,13 +12,14 @@
 	"vetchdoor/lab/receiver"
 )
 
-// handled is a handler into a sender whose receiver is never there: what it makes stays in the queue.
-func handled(t *testing.T, who Identity) (*Handler, func() []*receiver.Message) {
+// newTestHandler returns a handler whose receiver is unreachable, so that its records stay in the queue, and a function
+// that takes and parses them.
+func newTestHandler(t *testing.T, identity Identity) (*Handler, func() []*receiver.Message) {
 	t.Helper()
-	s := begin(t, Config{Network: "tcp", Address: "127.0.0.1:1", Timeout: time.Millisecond, MaxMessageBytes: 4000})
-	return NewHandler(s, who), func() (out []*receiver.Message) {
+	s := startSender(t, Config{Network: "tcp", Address: "127.0.0.1:1", Timeout: time.Millisecond, MaxMessageBytes: 4000})
+	return NewHandler(s, identity), func() (out []*receiver.Message) {
 		for {
-			r, ok := s.queue.take()
+			r, ok := s.queue.takeOldest()
 			if !ok {
 				return out
 			}
@@ -31,11 +32,11 @@
 	}
 }
 
-// The handler does what the standard library asks of one; groups are elements.
+// The handler passes the standard library's test for slog handlers, and groups become structured data elements.
 func TestSlog(t *testing.T) {
-	h, take := handled(t, Identity{App: "vetchdoor", Host: "h", Rate: 1e6})
+	h, takeOldest := newTestHandler(t, Identity{App: "vetchdoor", Host: "h", Rate: 1e6})
 	results := func() (out []map[string]any) {
-		for _, m := range take() {
+		for _, m := range takeOldest() {
 			got := map[string]any{slog.LevelKey: m.Priority, slog.MessageKey: m.Text}
 			if !m.Time.IsZero() {
 				got[slog.TimeKey] = m.Time
@@ -64,7 +65,7 @@
 	}
 	err := slogtest.TestHandler(h, results)
 	for _, line := range strings.Split(errorText(err), "\n") {
-		// The RFC asks for a time: a record without one gets the present.
+		// RFC 5424 requires a time, so a record without one gets the current time.
 		if line != "" && !strings.Contains(line, "a Handler should ignore a zero Record.Time") {
 			t.Error(line)
 		}
@@ -72,7 +73,7 @@
 	l := slog.New(h).With("pilot", "p")
 	l.Warn("taken out", Kind("withdrawal"), Reason("sick"), slog.Group("decision", "node", 17, "share", 0.98, slog.Group("limit", "at", 0.25)))
 	l.Error("x", "error", errors.New("a\nb"))
-	m := take()
+	m := takeOldest()
 	if len(m) != 2 || m[0].ID != "withdrawal" || m[0].Priority != 4 || m[1].Priority != 3 || m[0].App != "vetchdoor" {
 		t.Fatalf("%+v", m)
 	}
@@ -84,7 +85,7 @@
 		t.Errorf("%v", a)
 	}
 	if h.Enabled(context.Background(), slog.LevelDebug) {
-		t.Error("debug is sent")
+		t.Error("debug records are enabled")
 	}
 }
 
@@ -102,10 +103,11 @@
 	return m[name].(map[string]any)
 }
 
-// A kind and reason that comes too often is kept to its rate, counted and told; others and errors are not held up by it. A
-// clock that steps back lets no flood through.
-func TestRate(t *testing.T) {
-	h, take := handled(t, Identity{App: "a", Host: "h", Rate: 10})
+// A kind and reason that exceeds its rate is limited and counted, and a record reports how many were suppressed. Other
+// reasons and errors are not affected, a clock that steps back lets no extra records through, and the number of keys
+// stays bounded.
+func TestRateLimit(t *testing.T) {
+	h, takeOldest := newTestHandler(t, Identity{App: "a", Host: "h", Rate: 10})
 	now := time.Unix(1e9, 0)
 	h.now = func() time.Time { return now }
 	l := slog.New(h)
@@ -120,7 +122,7 @@
 		}
 	}
 	count := map[string]int{}
-	for _, m := range take() {
+	for _, m := range takeOldest() {
 		count[m.Text]++
 	}
 	if count["flaps"] != 20 || count["another"] != 10 || count["grave"] != 10 {
@@ -129,27 +131,27 @@
 	if c := h.sender.Counts(); c.Suppressed != 980 || c.Logged != 980+40 {
 		t.Errorf("%+v", c)
 	}
-	now = now.Add(tellEvery)
+	now = now.Add(reportInterval)
 	l.Info("flaps", Kind("withdrawal"), Reason("sick"))
-	m := take()
+	m := takeOldest()
 	if len(m) != 2 || m[1].ID != "suppressed" || m[1].Data["suppressed@"+EnterpriseNumber][1][1] != "980" {
 		t.Errorf("%+v", m)
 	}
-	for i := range 3 * mostKinds {
+	for i := range 3 * maxKeys {
 		l.Info("x", Kind(strings.Repeat("k", i%2000)), Reason(strings.Repeat("r", i/2000)))
 	}
-	h.limits.mu.Lock()
-	defer h.limits.mu.Unlock()
-	if len(h.limits.by) > mostKinds+1 {
-		t.Errorf("%d kinds are told apart", len(h.limits.by))
+	h.rateLimits.mu.Lock()
+	defer h.rateLimits.mu.Unlock()
+	if len(h.rateLimits.buckets) > maxKeys+1 {
+		t.Errorf("%d keys are limited separately", len(h.rateLimits.buckets))
 	}
 }
 
-// What was lost is told with its counts.
-func TestLost(t *testing.T) {
-	h, take := handled(t, Identity{App: "a", Host: "h"})
+// ReportLoss sends one record with the number of lost records by severity.
+func TestReportLoss(t *testing.T) {
+	h, takeOldest := newTestHandler(t, Identity{App: "a", Host: "h"})
 	h.ReportLoss([Debug + 1]uint64{Error: 2, Debug: 900}, 3)
-	m := take()
+	m := takeOldest()
 	if len(m) != 1 || m[0].ID != "lost" || m[0].Priority != int(Warning) {
 		t.Fatalf("%+v", m)
 	}
--- a/syslog/message.go
+++ b/syslog/message.go
@@ -1,5 +1,6 @@
-// Package syslog writes log records as RFC 5424 has them and carries them to a receiver without ever holding up who logs.
-// Message.Append writes one; a Sender carries them, over UDP, TCP, TLS or a local socket; Handler puts both behind log/slog.
+// Package syslog formats log records as RFC 5424 messages and delivers them to a receiver without blocking the code
+// that logs. Message.Append formats a message; a Sender delivers messages over UDP, TCP, TLS, a Unix datagram socket or
+// to a file; a Handler connects both to log/slog.
 package syslog
 
 import (
@@ -9,19 +10,19 @@
 	"unicode/utf8"
 )
 
-// Facility is where a message comes from, RFC 5424, 6.2.1.
+// Facility is the facility code of a message (RFC 5424, section 6.2.1).
 type Facility byte
 
-// Local0 to Local7 are for local use.
+// The facilities in use: Daemon, and Local0, the first of the eight codes for local use (16 to 23).
 const (
 	Daemon Facility = 3
 	Local0 Facility = 16
 )
 
-// Severity is how grave a message is; the lower the graver.
+// Severity is the severity code of a message; a lower value is more severe.
 type Severity byte
 
-// The severities, RFC 5424, 6.2.1.
+// The severity codes of RFC 5424, section 6.2.1.
 const (
 	Emergency Severity = iota
 	Alert
@@ -33,45 +34,47 @@
 	Debug
 )
 
-var severities = [...]string{"emerg", "alert", "crit", "err", "warning", "notice", "info", "debug"}
+var severityNames = [...]string{"emerg", "alert", "crit", "err", "warning", "notice", "info", "debug"}
 
-func (s Severity) String() string { return severities[min(s, Debug)] }
+func (s Severity) String() string { return severityNames[min(s, Debug)] }
 
-// EnterpriseNumber is the private enterprise number under which the SD-IDs of this program stand. It is the one that RFC 5612 sets
-// aside for documentation; who has one of their own writes it here.
+// EnterpriseNumber is the private enterprise number in the SD-IDs of this program. It is the number that RFC 5612
+// reserves for documentation; an organization with a number of its own sets it here.
 const EnterpriseNumber = "32473"
 
-// Element is an SD-ELEMENT.
+// Element is an SD-ELEMENT: a named group of parameters.
 type Element struct {
-	ID     string // without the enterprise number for those that IANA has registered
+	ID     string // SD-ID; includes "@" and the enterprise number unless IANA has registered the ID
 	Params []Param
 }
 
-// Param is an SD-PARAM.
+// Param is an SD-PARAM: a name and its value.
 type Param struct{ Name, Value string }
 
-// Message is a syslog message. A field that is empty is written as nil.
+// Message is an RFC 5424 syslog message. An empty field is written as the NILVALUE "-".
 type Message struct {
 	Facility       Facility
 	Severity       Severity
 	Time           time.Time
-	Host           string // 255 characters at most
-	App            string // 48
-	ProcID         string // 128
-	MsgID          string // 32
+	Host           string // at most 255 characters; longer names are cut
+	App            string // APP-NAME, at most 48 characters
+	ProcID         string // PROCID, at most 128 characters
+	MsgID          string // MSGID, at most 32 characters
 	StructuredData []Element
 	Text           string
 }
 
-// MinMessageBytes is the smallest bound that Append keeps to: the longest header and a little. RFC 5424, 6.1 has receivers take 480.
+// MinMessageBytes is the smallest size limit that Append accepts, in bytes: it fits the longest possible header. RFC
+// 5424, section 6.1 requires receivers to accept 480 bytes.
 const MinMessageBytes = 640
 
-// Append appends the message, in most bytes or fewer (Least at the least). What does not fit is cut: first the text, then
-// whole parameters from the end, then whole elements; what stays of the structured data is whole. Text that is not ASCII is
-// marked by a byte order mark as UTF-8; bytes that are not UTF-8 become U+FFFD, control characters in names and the header
-// go, those in values and the text are written as they stand but for NUL and line ends, which become a space.
-func (m *Message) Append(b []byte, most int) []byte {
-	most = max(most, MinMessageBytes)
+// Append appends the formatted message to b, using at most maxBytes bytes (but no limit below MinMessageBytes). If the
+// message does not fit, Append drops first the end of the text, then whole parameters from the end, then whole
+// elements; the remaining structured data is well-formed. Text that is not ASCII is marked as UTF-8 by a byte order
+// mark, and bytes that are not valid UTF-8 become U+FFFD. Control characters are removed from names and header fields;
+// in values and text they are kept, except that NUL and line ends become a space.
+func (m *Message) Append(b []byte, maxBytes int) []byte {
+	maxBytes = max(maxBytes, MinMessageBytes)
 	start := len(b)
 	b = append(b, '<')
 	b = strconv.AppendUint(b, uint64(min(m.Facility, 23))*8+uint64(min(m.Severity, Debug)), 10)
@@ -82,31 +85,32 @@
 		b = m.Time.AppendFormat(b, "2006-01-02T15:04:05.000000Z07:00")
 	}
 	for _, f := range [...]struct {
-		s    string
-		most int
+		s        string
+		maxBytes int
 	}{{m.Host, 255}, {m.App, 48}, {m.ProcID, 128}, {m.MsgID, 32}} {
-		b = appendPrintable(append(b, ' '), f.s, f.most)
+		b = appendPrintable(append(b, ' '), f.s, f.maxBytes)
 	}
 	b = append(b, ' ')
-	before := len(b)
+	dataStart := len(b)
 	for i, e := range m.StructuredData {
 		if !slices.ContainsFunc(m.StructuredData[:i], func(x Element) bool { return sameName(x.ID, e.ID) }) {
-			b = appendElement(b, e.ID, m.StructuredData[i:], start+most)
+			b = appendElement(b, e.ID, m.StructuredData[i:], start+maxBytes)
 		}
 	}
-	if len(b) == before {
+	if len(b) == dataStart {
 		b = append(b, '-')
 	}
 	if m.Text == "" {
 		return b
 	}
-	return appendText(b, m.Text, start+most)
+	return appendText(b, m.Text, start+maxBytes)
 }
 
-// appendPrintable appends a header field: printable ASCII without blanks; nil if nothing is left.
-func appendPrintable(b []byte, s string, most int) []byte {
+// appendPrintable appends a header field: the printable ASCII characters of s, without spaces, at most maxBytes of
+// them; "-" if none are left.
+func appendPrintable(b []byte, s string, maxBytes int) []byte {
 	n := 0
-	for i := 0; i < len(s) && n < most; i++ {
+	for i := 0; i < len(s) && n < maxBytes; i++ {
 		if c := s[i]; c > ' ' && c < 0x7f {
 			b = append(b, c)
 			n++
@@ -118,7 +122,8 @@
 	return b
 }
 
-// appendName appends an SD-NAME: up to 32 printable characters, none of = ] ".
+// appendName appends an SD-NAME: up to 32 printable ASCII characters other than =, ], " and space; "_" if none are
+// left.
 func appendName(b []byte, s string) []byte {
 	n := 0
 	for i := 0; i < len(s) && n < 32; i++ {
@@ -133,21 +138,21 @@
 	return b
 }
 
-// sameName tells whether two names are one as they are written.
+// sameName reports whether two names are equal once formatted as SD-NAMEs.
 func sameName(x, y string) bool {
 	var a, b [32]byte
 	return x == y || string(appendName(a[:0], x)) == string(appendName(b[:0], y))
 }
 
-// appendElement appends an element as far as it fits under an end, with the parameters of all elements whose names are its
-// own as written; none of it if its name does not fit.
-func appendElement(b []byte, id string, all []Element, end int) []byte {
+// appendElement appends one element with the parameters of all elements of the same formatted name. b does not grow
+// beyond end bytes: parameters that do not fit are dropped, and if the name does not fit nothing is appended.
+func appendElement(b []byte, id string, elements []Element, end int) []byte {
 	start := len(b)
 	b = appendName(append(b, '['), id)
 	if len(b)+1 > end {
 		return b[:start]
 	}
-	for _, e := range all {
+	for _, e := range elements {
 		if !sameName(e.ID, id) {
 			continue
 		}
@@ -162,7 +167,7 @@
 	return append(b, ']')
 }
 
-// appendValue appends a PARAM-VALUE with its escapes.
+// appendValue appends a PARAM-VALUE, with ", \ and ] escaped.
 func appendValue(b []byte, s string) []byte {
 	for i := 0; i < len(s); {
 		c := s[i]
@@ -171,31 +176,31 @@
 			case c == '"' || c == '\\' || c == ']':
 				b = append(b, '\\', c)
 			default:
-				b = append(b, tame(c))
+				b = append(b, replaceControl(c))
 			}
 			i++
 			continue
 		}
 		r, n := utf8.DecodeRuneInString(s[i:])
-		b = utf8.AppendRune(b, r) // U+FFFD where it is none
+		b = utf8.AppendRune(b, r) // U+FFFD for an invalid byte
 		i += n
 	}
 	return b
 }
 
-// tame is a byte as values and text bear it: line ends would end the message for receivers that read lines, and NUL ends it
-// for some that are written in C.
-func tame(c byte) byte {
+// replaceControl returns the byte as written in values and text. NUL and line ends become a space: receivers that read
+// lines end the message at a line end, and some receivers written in C end it at NUL.
+func replaceControl(c byte) byte {
 	if c == 0 || c == '\n' || c == '\r' {
 		return ' '
 	}
 	return c
 }
 
-// bom marks text as UTF-8.
+// bom is the UTF-8 byte order mark, which marks the text as UTF-8.
 const bom = "\xef\xbb\xbf"
 
-// appendText appends the text, cut between characters where it does not fit.
+// appendText appends the text; if b would grow beyond end bytes the text is cut at a character boundary.
 func appendText(b []byte, s string, end int) []byte {
 	start := len(b)
 	ascii := true
@@ -214,7 +219,7 @@
 			if len(b)+1 > end {
 				break
 			}
-			b = append(b, tame(c))
+			b = append(b, replaceControl(c))
 			i++
 			continue
 		}
--- a/syslog/message_test.go
+++ b/syslog/message_test.go
@@ -10,7 +10,8 @@
 	"vetchdoor/lab/receiver"
 )
 
-// RFC 5424's own examples, 6.5, are written as they stand there (with six digits of a second) and read back.
+// The examples of RFC 5424, section 6.5, are formatted as in the RFC, except for six fractional digits of the time, and
+// can be parsed.
 func TestExamples(t *testing.T) {
 	at := time.Date(2003, 10, 11, 22, 14, 15, 3e6, time.UTC)
 	event := Element{"exampleSDID@32473", []Param{{"iut", "3"}, {"eventSource", "Application"}, {"eventID", "1011"}}}
@@ -36,8 +37,8 @@
 	}
 }
 
-// hostile draws a string of what breaks parsers.
-func hostile(rng *rand.Rand) string {
+// hostileString returns a random string of pieces that tend to break parsers.
+func hostileString(rng *rand.Rand) string {
 	pieces := []string{"]", `"`, `\`, "\n", "\r", "\x00", "\xff", "\xc3", "a", "=", " ", "[", "ö", "🗳", "\ufeff", "x y", "-", "\u2028", strings.Repeat("long", 30)}
 	var b strings.Builder
 	for range rng.IntN(6) {
@@ -50,41 +51,41 @@
 }
 
 func randomMessage(rng *rand.Rand) Message {
-	m := Message{Facility: Facility(rng.IntN(30)), Severity: Severity(rng.IntN(10)), Host: hostile(rng), App: hostile(rng), ProcID: hostile(rng),
-		MsgID: hostile(rng), Text: hostile(rng)}
+	m := Message{Facility: Facility(rng.IntN(30)), Severity: Severity(rng.IntN(10)), Host: hostileString(rng), App: hostileString(rng), ProcID: hostileString(rng),
+		MsgID: hostileString(rng), Text: hostileString(rng)}
 	if rng.IntN(4) > 0 {
 		m.Time = time.Unix(rng.Int64N(4e9), rng.Int64N(1e9)).In(time.FixedZone("", (rng.IntN(24*4)-48)*900))
 	}
 	for i := range rng.IntN(4) {
-		e := Element{ID: string(rune('a'+i)) + hostile(rng)}
+		e := Element{ID: string(rune('a'+i)) + hostileString(rng)}
 		for range rng.IntN(4) {
-			e.Params = append(e.Params, Param{hostile(rng), hostile(rng)})
+			e.Params = append(e.Params, Param{hostileString(rng), hostileString(rng)})
 		}
 		m.StructuredData = append(m.StructuredData, e)
 	}
 	return m
 }
 
-// clean is what a value may become on its way, at the most.
-func clean(s string) string {
+// sanitized returns s with the replacements that Append may make in values and text.
+func sanitized(s string) string {
 	return strings.NewReplacer("\n", " ", "\r", " ", "\x00", " ").Replace(strings.ToValidUTF8(s, "\ufffd"))
 }
 
-// Whatever is in the fields, a message is read by a parser that is not the writer's own, keeps its bound, and bears values
-// as they were, as far as they fit.
-func TestHostile(t *testing.T) {
+// Whatever the fields contain, an independent parser reads the formatted message, its size stays within the limit, and
+// values that fit are unchanged but for the documented replacements.
+func TestHostileInput(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range 20000 {
 		m := randomMessage(rng)
-		most := MinMessageBytes + rng.IntN(3000)
-		b := m.Append([]byte("before"), most)
+		maxBytes := MinMessageBytes + rng.IntN(3000)
+		b := m.Append([]byte("before"), maxBytes)
 		text := string(b[len("before"):])
 		got, err := receiver.Parse(text)
-		if err != nil || len(text) > most {
-			t.Fatalf("%d of %d bytes: %v\n%q\n%+v", len(text), most, err, text, m)
+		if err != nil || len(text) > maxBytes {
+			t.Fatalf("%d of %d bytes: %v\n%q\n%+v", len(text), maxBytes, err, text, m)
 		}
 		if !m.Time.IsZero() && !got.Time.Equal(m.Time.Truncate(time.Microsecond)) {
-			t.Fatalf("%v, not %v", got.Time, m.Time)
+			t.Fatalf("time %v, want %v", got.Time, m.Time)
 		}
 		for _, e := range m.StructuredData {
 			for id, params := range got.Data {
@@ -93,61 +94,62 @@
 				}
 				for i, p := range params {
 					if want := e.Params[i].Value; !utf8.ValidString(want) {
-						continue // each byte that is none becomes U+FFFD; their number is the standard library's to say
-					} else if p[1] != clean(want) {
-						t.Fatalf("%q, not %q", p[1], want)
+						continue // each invalid byte becomes U+FFFD; how many are one invalid sequence depends on the standard library
+					} else if p[1] != sanitized(want) {
+						t.Fatalf("value %q, want %q", p[1], want)
 					}
 				}
 			}
 		}
-		if utf8.ValidString(m.Text) && !strings.HasPrefix(clean(m.Text), got.Text) {
-			t.Fatalf("text %q of %q", got.Text, m.Text)
+		if utf8.ValidString(m.Text) && !strings.HasPrefix(sanitized(m.Text), got.Text) {
+			t.Fatalf("text %q is no prefix of %q", got.Text, m.Text)
 		}
 	}
 }
 
-// A message that does not fit loses its text first, then parameters from the end, and stays whole.
-func TestCut(t *testing.T) {
+// A message over the size limit loses the end of its text first, then parameters from the end, and stays well-formed.
+func TestTruncation(t *testing.T) {
 	m := Message{Host: "h", StructuredData: []Element{{"a@1", []Param{{"x", strings.Repeat("v", 500)}, {"y", strings.Repeat("w", 500)}}}, {"b@1", []Param{{"z", "1"}}}},
 		Text: strings.Repeat("ö", 400)}
-	for most := MinMessageBytes; most < 2000; most++ {
-		got, err := receiver.Parse(string(m.Append(nil, most)))
+	for maxBytes := MinMessageBytes; maxBytes < 2000; maxBytes++ {
+		got, err := receiver.Parse(string(m.Append(nil, maxBytes)))
 		if err != nil {
-			t.Fatal(most, err)
+			t.Fatal(maxBytes, err)
 		}
-		if a := got.Data["a@1"]; len(a) < 1 || len(a) == 1 && got.Text != "" && most > 1100 {
-			t.Fatalf("%d: %v", most, got)
+		if a := got.Data["a@1"]; len(a) < 1 || len(a) == 1 && got.Text != "" && maxBytes > 1100 {
+			t.Fatalf("%d: %v", maxBytes, got)
 		}
 	}
 }
 
-// The strict reader takes no more than the grammar.
-func TestStrict(t *testing.T) {
+// The strict parser that these tests rely on rejects everything outside the grammar of RFC 5424.
+func TestStrictParser(t *testing.T) {
 	for _, bad := range []string{"", "<192>1 - - - - - -", "<01>1 - - - - - -", "<1>2 - - - - - -", "<1>1 - - - - -", "<1>1 - - - - - [", "<1>1 - - - - - []",
 		`<1>1 - - - - - [a b="c]"]`, `<1>1 - - - - - [a b="c"`, `<1>1 - - - - - [a  b="c"]`, `<1>1 - - - - - [a b="c"]x`, `<1>1 - - - - - [a][a]`, "<1>1 - - - - - -x",
 		"<1>1 2003-10-11t22:14:15Z - - - - -", "<1>1 2003-10-11T22:14:15.0000001Z - - - - -", "<1>1 2003-10-11T22:14:15 - - - - -", "<1>1 2003-10-11T22:14:60Z - - - - -",
 		"<1>1 - " + strings.Repeat("h", 256) + " - - - -", "<1>1 - - " + strings.Repeat("a", 49) + " - - -", "<1>1 - - - - " + strings.Repeat("i", 33) + " -",
 		"<1>1 - - - - - - \xef\xbb\xbf\xff", "<1>1 - - - - - [" + strings.Repeat("n", 33) + "]", `<1>1 - - - - - [a b="` + "\xff" + `"]`, "<1111>1 - - - - - -"} {
 		if m, err := receiver.Parse(bad); err == nil {
-			t.Errorf("%.80q was taken: %+v", bad, m)
+			t.Errorf("%.80q was accepted: %+v", bad, m)
 		}
 	}
 }
 
-// FuzzParse has the strict reader take anything without a panic.
+// FuzzParse checks that the strict parser does not panic on any input.
 func FuzzParse(f *testing.F) {
 	f.Add(`<165>1 2003-10-11T22:14:15.003Z host app - ID47 [a@1 b="c\]"] text`)
 	f.Fuzz(func(t *testing.T, text string) { _, _ = receiver.Parse(text) })
 }
 
-// FuzzAppend has any field pass the writer and the strict reader.
+// FuzzAppend checks that the strict parser accepts what Append writes, whatever the fields contain, and that the size
+// limit is kept.
 func FuzzAppend(f *testing.F) {
 	f.Add("host", "id", "name", "value", "text", 700)
-	f.Fuzz(func(t *testing.T, host, id, name, value, text string, most int) {
+	f.Fuzz(func(t *testing.T, host, id, name, value, text string, maxBytes int) {
 		m := Message{Host: host, App: name, ProcID: value, MsgID: id, StructuredData: []Element{{id, []Param{{name, value}, {value, text}}}, {name, nil}, {id, nil}}, Text: text}
-		b := m.Append(nil, most)
-		if _, err := receiver.Parse(string(b)); err != nil || len(b) > max(most, MinMessageBytes) {
-			t.Fatalf("%d bytes of %d: %v\n%q", len(b), most, err, b)
+		b := m.Append(nil, maxBytes)
+		if _, err := receiver.Parse(string(b)); err != nil || len(b) > max(maxBytes, MinMessageBytes) {
+			t.Fatalf("%d bytes of %d: %v\n%q", len(b), maxBytes, err, b)
 		}
 	})
 }
--- a/syslog/queue.go
+++ b/syslog/queue.go
@@ -2,38 +2,38 @@
 
 import "sync"
 
-// record is a message that is written out and waits.
+// record is a formatted message that waits to be sent.
 type record struct {
 	severity Severity
-	number   uint64 // in the order in which they were made
+	number   uint64 // position in the order of creation
 	text     []byte
 }
 
-// queue holds records in the order in which they were made, no more than its bounds. Where there is no room the least grave
-// goes, the oldest of those; what is the least grave itself is not taken. Nobody waits on it.
+// queue holds records in the order of their creation, limited in number and in bytes. When a limit is exceeded the
+// oldest record of the lowest severity is dropped, which may be the record just added. Adding never blocks.
 type queue struct {
-	mu       sync.Mutex
-	by       [Debug + 1][]record // the oldest first
-	count    int
-	bytes    int
-	most     int // records
-	mostSize int // bytes
-	number   uint64
-	dropped  [Debug + 1]uint64
-	made     uint64
-	wake     chan struct{} // holds one if something came since it was last emptied
+	mu         sync.Mutex
+	bySeverity [Debug + 1][]record // the oldest record of each severity first
+	count      int
+	bytes      int
+	maxRecords int // limit on the number of records
+	maxBytes   int // limit on the total size, in bytes
+	lastNumber uint64
+	dropped    [Debug + 1]uint64
+	logged     uint64
+	wake       chan struct{} // capacity 1; signals that a record was added
 }
 
-func newQueue(most, mostSize int) *queue {
-	return &queue{most: most, mostSize: mostSize, wake: make(chan struct{}, 1)}
+func newQueue(maxRecords, maxBytes int) *queue {
+	return &queue{maxRecords: maxRecords, maxBytes: maxBytes, wake: make(chan struct{}, 1)}
 }
 
-// put takes a record in, or drops what is least grave.
+// put adds a record and drops records of the lowest severity while a limit is exceeded.
 func (q *queue) put(s Severity, text []byte) {
 	q.mu.Lock()
-	q.made++
-	q.number++
-	q.add(record{s, q.number, text})
+	q.logged++
+	q.lastNumber++
+	q.add(record{s, q.lastNumber, text})
 	q.mu.Unlock()
 	select {
 	case q.wake <- struct{}{}:
@@ -42,10 +42,10 @@
 }
 
 func (q *queue) add(r record) {
-	q.by[r.severity] = append(q.by[r.severity], r)
+	q.bySeverity[r.severity] = append(q.bySeverity[r.severity], r)
 	q.count, q.bytes = q.count+1, q.bytes+len(r.text)
-	for s := Debug; q.count > q.most || q.bytes > q.mostSize; {
-		if len(q.by[s]) == 0 {
+	for s := Debug; q.count > q.maxRecords || q.bytes > q.maxBytes; {
+		if len(q.bySeverity[s]) == 0 {
 			s--
 			continue
 		}
@@ -55,60 +55,61 @@
 }
 
 func (q *queue) pop(s Severity) record {
-	r := q.by[s][0]
-	q.by[s][0] = record{}
-	if q.by[s] = q.by[s][1:]; len(q.by[s]) == 0 {
-		q.by[s] = nil
+	r := q.bySeverity[s][0]
+	q.bySeverity[s][0] = record{}
+	if q.bySeverity[s] = q.bySeverity[s][1:]; len(q.bySeverity[s]) == 0 {
+		q.bySeverity[s] = nil
 	}
 	q.count, q.bytes = q.count-1, q.bytes-len(r.text)
 	return r
 }
 
-// oldest is the severity whose first record is the oldest; below 0: there is none.
-func (q *queue) oldest() int {
-	at := -1
-	for s := range q.by {
-		if len(q.by[s]) > 0 && (at < 0 || q.by[s][0].number < q.by[at][0].number) {
-			at = s
+// oldestSeverity returns the severity whose first record is the oldest of the queue; -1 if the queue is empty.
+func (q *queue) oldestSeverity() int {
+	oldest := -1
+	for s := range q.bySeverity {
+		if len(q.bySeverity[s]) > 0 && (oldest < 0 || q.bySeverity[s][0].number < q.bySeverity[oldest][0].number) {
+			oldest = s
 		}
 	}
-	return at
+	return oldest
 }
 
-// take takes the oldest out.
-func (q *queue) take() (record, bool) {
+// takeOldest removes and returns the oldest record; false if the queue is empty.
+func (q *queue) takeOldest() (record, bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if at := q.oldest(); at >= 0 {
-		return q.pop(Severity(at)), true
+	if oldest := q.oldestSeverity(); oldest >= 0 {
+		return q.pop(Severity(oldest)), true
 	}
 	return record{}, false
 }
 
-// back puts a record back that was taken and not sent. It is the oldest, so it goes to the front.
-func (q *queue) back(r record) {
+// requeue puts back a record that was taken and not sent. It is the oldest of its severity, so it goes to the front. It
+// may exceed the limits until the next put.
+func (q *queue) requeue(r record) {
 	q.mu.Lock()
-	q.by[r.severity] = append([]record{r}, q.by[r.severity]...)
+	q.bySeverity[r.severity] = append([]record{r}, q.bySeverity[r.severity]...)
 	q.count, q.bytes = q.count+1, q.bytes+len(r.text)
 	q.mu.Unlock()
 }
 
-// full tells whether so great a part of it is taken that some should be put elsewhere.
-func (q *queue) full() bool {
+// nearlyFull reports whether three quarters of either limit are used, from when on records are moved to the spool.
+func (q *queue) nearlyFull() bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return 4*q.count >= 3*q.most || 4*q.bytes >= 3*q.mostSize
+	return 4*q.count >= 3*q.maxRecords || 4*q.bytes >= 3*q.maxBytes
 }
 
-// drop counts a record as dropped that was taken out.
+// drop counts a record, already taken out of the queue, as dropped.
 func (q *queue) drop(s Severity) {
 	q.mu.Lock()
 	q.dropped[s]++
 	q.mu.Unlock()
 }
 
-// lost returns how many were dropped, by severity.
-func (q *queue) lost() [Debug + 1]uint64 {
+// droppedBySeverity returns the number of dropped records by severity.
+func (q *queue) droppedBySeverity() [Debug + 1]uint64 {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.dropped
--- a/syslog/sender.go
+++ b/syslog/sender.go
@@ -17,96 +17,100 @@
 	"time"
 )
 
-// Config is where records go and what may wait on the way.
+// Config describes the receiver of log records and the limits of what may wait to be sent.
 type Config struct {
-	Network         string // udp (RFC 5426), tcp (RFC 6587, octets counted), tls (RFC 5425), unixgram, or file: a line each
+	Network         string // udp (RFC 5426), tcp (RFC 6587, octet counting), tls (RFC 5425), unixgram, or file (one line per record)
 	Address         string
-	Buffer          int    // records in memory; 0: 4096
-	Spool           string // a directory for those that memory has no room for; empty: none
-	SpoolBytes      int64  // bytes in it at most; 0: 64 MiB
-	MaxMessageBytes int    // bytes of a message; 0: 1400 over udp and unixgram, else 8192
-	CA              string // PEM files, for tls; read anew for each connection
+	Buffer          int    // maximum number of records in memory; 0: 4096
+	Spool           string // directory for records that do not fit in memory; empty: no spool
+	SpoolBytes      int64  // maximum size of the spool; 0: 64 MiB
+	MaxMessageBytes int    // maximum message size; 0: 1400 for udp and unixgram, otherwise 8192
+	CA              string // PEM file of trusted certificates for tls; read again for each connection, like Cert and Key
 	Cert            string
 	Key             string
-	ServerName      string        // the receiver's in its certificate; empty: the address's host
-	Timeout         time.Duration // how long a write may take; 0: 5 s
+	ServerName      string        // name expected in the receiver's certificate; empty: the host of Address
+	Timeout         time.Duration // limit for a dial, for a TLS handshake, for one write and for flushing in Close; 0: 5 s
 }
 
-// Bounds of the queue and the way back to a receiver.
+// Defaults and limits of the queue, of message sizes and of reconnecting.
 const (
-	usualBuffer  = 4096
-	bufferBytes  = 1024 // for each record of the buffer
-	usualSpool   = 64 << 20
-	datagram     = 1400
-	frame        = 8192
-	usualPatient = 5 * time.Second
-	redialLeast  = 100 * time.Millisecond
-	redialMost   = 10 * time.Second
-	noticeEvery  = time.Second // a quiet connection is looked at so often
+	defaultBuffer          = 4096
+	bufferBytesPerRecord   = 1024 // memory limit of the queue, per record of the buffer
+	defaultSpoolBytes      = 64 << 20
+	maxDatagramBytes       = 1400
+	maxFrameBytes          = 8192
+	defaultTimeout         = 5 * time.Second
+	minBackoff             = 100 * time.Millisecond
+	maxBackoff             = 10 * time.Second
+	reconnectCheckInterval = time.Second // interval of checks whether an open connection must be replaced
 )
 
-// Counts are what became of all records so far. Made and Restored together are the sum of the others.
+// Counts are the totals of all records so far. Logged and Restored together equal the sum of Sent, Dropped, Suppressed,
+// Spooled, Waiting and Corrupt.
 type Counts struct {
-	Logged     uint64 // by this process
-	Restored   uint64 // found in the spool at its start
+	Logged     uint64 // records logged by this process, suppressed ones included
+	Restored   uint64 // records found in the spool at the start
 	Sent       uint64
 	Dropped    [Debug + 1]uint64 // by severity
-	Suppressed uint64            // more of a kind than its rate allows
-	Spooled    uint64            // on disk now
-	Waiting    uint64            // in memory now
-	Corrupt    uint64            // in the spool, and not to be read
+	Suppressed uint64            // records withheld because their kind exceeded its rate
+	Spooled    uint64            // records on disk now
+	Waiting    uint64            // records in memory now
+	Corrupt    uint64            // spooled records that could not be read
 	Connects   uint64
 	Failures   uint64
 }
 
-// Sender carries records to a receiver. Whoever logs only puts them into a bounded queue.
+// Sender delivers records to a receiver in the background. Code that logs only adds records to a bounded queue and
+// never waits.
 type Sender struct {
-	route    Config
-	log      *slog.Logger // of its own troubles; never itself
-	queue    *queue
-	spool    *spool
-	restored uint64
-	sent     atomic.Uint64
-	suppress atomic.Uint64
-	connects atomic.Uint64
-	failures atomic.Uint64
-	inHand   atomic.Int64
-	head     sync.Mutex // held while records move from the queue to the spool or out
-	rng      *rand.Rand
-	conn     io.WriteCloser // the writer's own
-	gone     chan struct{}
-	material string // of the connection's certificates
-	told     [Debug + 1]uint64
-	announce func(dropped [Debug + 1]uint64, torn uint64)
-	toldTorn uint64
-	stop     context.CancelFunc
-	stopped  chan struct{}
-	ending   sync.Once
+	config           Config
+	log              *slog.Logger // for connection errors; its handler must not use this Sender
+	queue            *queue
+	spool            *spool
+	restored         uint64
+	sent             atomic.Uint64
+	suppressed       atomic.Uint64
+	connects         atomic.Uint64
+	failures         atomic.Uint64
+	inFlight         atomic.Int64
+	recordMu         sync.Mutex // guards the move of a record from the queue to the spool or to the connection
+	rng              *rand.Rand
+	conn             io.WriteCloser // used by the send goroutine only
+	peerClosed       chan struct{}
+	certData         string // certificate data of the open TLS connection, to detect replaced files
+	announcedDrops   [Debug + 1]uint64
+	announce         func(dropped [Debug + 1]uint64, corrupt uint64)
+	announcedCorrupt uint64
+	stop             context.CancelFunc
+	stopped          chan struct{}
+	closeOnce        sync.Once
 }
 
-// Start opens the spool, if there is one, and begins. seed is of the waits between dials; announce, which may be nil, is
-// told once records flow again after some were lost since it was last told.
-func Start(r Config, log *slog.Logger, seed uint64, announce func(dropped [Debug + 1]uint64, torn uint64)) (*Sender, error) {
+// Start opens the spool, if one is configured, and starts sending in the background. The seed is for the random part of
+// the backoff between dials. If records were lost, announce is called with the losses since its last call, once the
+// queue has been sent; it may be nil. Start fails if the network is unknown or the spool or the TLS files cannot be
+// read.
+func Start(r Config, log *slog.Logger, seed uint64, announce func(dropped [Debug + 1]uint64, corrupt uint64)) (*Sender, error) {
 	switch r.Network {
 	case "udp", "tcp", "tls", "unixgram", "file":
 	default:
-		return nil, fmt.Errorf("syslog: network %q is none of udp, tcp, tls, unixgram, file", r.Network)
+		return nil, fmt.Errorf("syslog: network %q is not one of udp, tcp, tls, unixgram, file", r.Network)
 	}
 	if r.Buffer <= 0 {
-		r.Buffer = usualBuffer
+		r.Buffer = defaultBuffer
 	}
 	if r.SpoolBytes <= 0 {
-		r.SpoolBytes = usualSpool
+		r.SpoolBytes = defaultSpoolBytes
 	}
 	if r.Timeout <= 0 {
-		r.Timeout = usualPatient
+		r.Timeout = defaultTimeout
 	}
 	if r.MaxMessageBytes <= 0 {
-		if r.MaxMessageBytes = frame; r.datagrams() {
-			r.MaxMessageBytes = datagram
+		if r.MaxMessageBytes = maxFrameBytes; r.datagrams() {
+			r.MaxMessageBytes = maxDatagramBytes
 		}
 	}
-	s := &Sender{route: r, log: log, queue: newQueue(r.Buffer, r.Buffer*bufferBytes), rng: rand.New(rand.NewPCG(seed, 11)),
+	s := &Sender{config: r, log: log, queue: newQueue(r.Buffer, r.Buffer*bufferBytesPerRecord), rng: rand.New(rand.NewPCG(seed, 11)),
 		announce: announce, stopped: make(chan struct{})}
 	if r.Network == "tls" {
 		if _, _, err := r.credentials(); err != nil {
@@ -116,9 +120,9 @@
 	if r.Spool != "" {
 		var err error
 		if s.spool, err = openSpool(r.Spool, r.SpoolBytes); err != nil {
-			return nil, fmt.Errorf("syslog: the spool: %w", err)
+			return nil, fmt.Errorf("syslog: cannot open the spool: %w", err)
 		}
-		s.restored = s.spool.held()
+		s.restored = s.spool.pending()
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	s.stop = cancel
@@ -128,38 +132,39 @@
 
 func (r *Config) datagrams() bool { return r.Network == "udp" || r.Network == "unixgram" }
 
-// framed tells whether octets are counted before each message.
+// framed reports whether each message is preceded by its length in octets.
 func (r *Config) framed() bool { return r.Network == "tcp" || r.Network == "tls" }
 
-// MaxMessageBytes is how many bytes a message may have.
-func (s *Sender) MaxMessageBytes() int { return s.route.MaxMessageBytes }
+// MaxMessageBytes returns the maximum size of a message, in bytes.
+func (s *Sender) MaxMessageBytes() int { return s.config.MaxMessageBytes }
 
-// Enqueue takes a message in; it never waits. The text is the sender's from then on.
+// Enqueue adds a formatted message to the queue; it never blocks. The Sender owns the text afterwards.
 func (s *Sender) Enqueue(severity Severity, text []byte) { s.queue.put(min(severity, Debug), text) }
 
-// CountSuppressed counts a record that was made and kept back.
-func (s *Sender) CountSuppressed() { s.suppress.Add(1) }
+// CountSuppressed counts a record that was logged but withheld by a rate limit.
+func (s *Sender) CountSuppressed() { s.suppressed.Add(1) }
 
-// Counts returns what became of all records.
+// Counts returns the totals of all records so far.
 func (s *Sender) Counts() Counts {
-	s.head.Lock()
-	defer s.head.Unlock()
-	c := Counts{Restored: s.restored, Suppressed: s.suppress.Load(), Connects: s.connects.Load(), Failures: s.failures.Load()}
+	s.recordMu.Lock()
+	defer s.recordMu.Unlock()
+	c := Counts{Restored: s.restored, Suppressed: s.suppressed.Load(), Connects: s.connects.Load(), Failures: s.failures.Load()}
 	s.queue.mu.Lock()
-	c.Logged, c.Dropped, c.Waiting = s.queue.made+c.Suppressed, s.queue.dropped, uint64(s.queue.count)+uint64(s.inHand.Load())
+	c.Logged, c.Dropped, c.Waiting = s.queue.logged+c.Suppressed, s.queue.dropped, uint64(s.queue.count)+uint64(s.inFlight.Load())
 	c.Sent = s.sent.Load()
 	s.queue.mu.Unlock()
 	if s.spool != nil {
-		c.Spooled = s.spool.held()
-		c.Corrupt = s.spool.lost()
+		c.Spooled = s.spool.pending()
+		c.Corrupt = s.spool.corruptRecords()
 	}
 	return c
 }
 
-// Close stops within a patience: what can be sent is, the rest is spooled, or dropped and counted.
+// Close sends what it can within the configured timeout, then stops. Remaining records go to the spool, or are dropped
+// and counted.
 func (s *Sender) Close() {
-	s.ending.Do(func() {
-		for end := time.Now().Add(s.route.Timeout); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
+	s.closeOnce.Do(func() {
+		for end := time.Now().Add(s.config.Timeout); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 			if c := s.Counts(); c.Waiting == 0 {
 				break
 			}
@@ -167,7 +172,7 @@
 		s.stop()
 		<-s.stopped
 		for {
-			r, ok := s.queue.take()
+			r, ok := s.queue.takeOldest()
 			if !ok {
 				break
 			}
@@ -181,51 +186,51 @@
 	})
 }
 
-// run is the writer, with the spiller beside it.
+// run connects and sends until the context ends; a second goroutine moves records to the spool.
 func (s *Sender) run(ctx context.Context) {
 	defer close(s.stopped)
-	var spilling sync.WaitGroup
-	defer spilling.Wait()
+	var spillers sync.WaitGroup
+	defer spillers.Wait()
 	if s.spool != nil {
-		spilling.Go(func() { s.spill(ctx) })
+		spillers.Go(func() { s.spillLoop(ctx) })
 	}
-	wait := redialLeast
+	wait := minBackoff
 	for ctx.Err() == nil {
 		if err := s.connect(ctx); err != nil {
 			s.failures.Add(1)
-			s.log.Debug("syslog receiver not reached", "address", s.route.Address, "error", err)
-			wait = s.rest(ctx, wait)
+			s.log.Debug("cannot connect to the syslog receiver", "address", s.config.Address, "error", err)
+			wait = s.backoff(ctx, wait)
 			continue
 		}
-		begun := s.sent.Load()
-		err := s.carry(ctx)
+		sentBefore := s.sent.Load()
+		err := s.sendLoop(ctx)
 		s.conn.Close()
 		if s.conn = nil; ctx.Err() != nil {
 			return
 		}
 		s.failures.Add(1)
-		s.log.Debug("syslog connection ended", "address", s.route.Address, "error", err)
-		if s.sent.Load() > begun {
-			wait = redialLeast
+		s.log.Debug("lost the connection to the syslog receiver", "address", s.config.Address, "error", err)
+		if s.sent.Load() > sentBefore {
+			wait = minBackoff
 		}
-		wait = s.rest(ctx, wait)
+		wait = s.backoff(ctx, wait)
 	}
 }
 
-// rest waits, half to one and a half times as long, and returns the next wait.
-func (s *Sender) rest(ctx context.Context, wait time.Duration) time.Duration {
+// backoff waits for 0.5 to 1.5 times the given time and returns the next time to wait, doubled up to maxBackoff.
+func (s *Sender) backoff(ctx context.Context, wait time.Duration) time.Duration {
 	select {
 	case <-ctx.Done():
 	case <-time.After(time.Duration(float64(wait) * (0.5 + s.rng.Float64()))):
 	}
-	return min(2*wait, redialMost)
+	return min(2*wait, maxBackoff)
 }
 
-// connect dials.
+// connect opens the connection, or the file.
 func (s *Sender) connect(ctx context.Context) error {
-	network := s.route.Network
+	network := s.config.Network
 	if network == "file" {
-		f, err := os.OpenFile(s.route.Address, os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o640)
+		f, err := os.OpenFile(s.config.Address, os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o640)
 		if err != nil {
 			return err
 		}
@@ -236,98 +241,98 @@
 	if network == "tls" {
 		network = "tcp"
 	}
-	d := net.Dialer{Timeout: s.route.Timeout}
-	c, err := d.DialContext(ctx, network, s.route.Address)
+	d := net.Dialer{Timeout: s.config.Timeout}
+	c, err := d.DialContext(ctx, network, s.config.Address)
 	if err != nil {
 		return err
 	}
-	if s.route.Network == "tls" {
-		conf, material, err := s.route.credentials()
+	if s.config.Network == "tls" {
+		conf, certData, err := s.config.credentials()
 		if err != nil {
 			c.Close()
 			return err
 		}
 		t := tls.Client(c, conf)
-		_ = c.SetDeadline(time.Now().Add(s.route.Timeout))
+		_ = c.SetDeadline(time.Now().Add(s.config.Timeout))
 		if err := t.HandshakeContext(ctx); err != nil {
 			c.Close()
 			return err
 		}
 		_ = c.SetDeadline(time.Time{})
-		c, s.material = t, material
+		c, s.certData = t, certData
 	}
 	s.conn = c
-	s.gone = make(chan struct{})
-	if s.route.framed() { // a receiver says nothing; when its side ends, that is seen at once and not with the next write
-		go func(c net.Conn, gone chan struct{}) {
-			defer close(gone)
+	s.peerClosed = make(chan struct{})
+	if s.config.framed() { // receivers send no data, so a read returns only when they close: this detects the end before the next write
+		go func(c net.Conn, peerClosed chan struct{}) {
+			defer close(peerClosed)
 			b := make([]byte, 64)
 			for {
 				if _, err := c.Read(b); err != nil {
 					return
 				}
 			}
-		}(c, s.gone)
+		}(c, s.peerClosed)
 	}
 	s.connects.Add(1)
 	return nil
 }
 
-// credentials reads the files anew; material tells one reading from another.
+// credentials reads the TLS files; the returned string is the certificate data, to compare two readings.
 func (r *Config) credentials() (*tls.Config, string, error) {
 	conf := &tls.Config{ServerName: r.ServerName, MinVersion: tls.VersionTLS12}
 	if conf.ServerName == "" {
 		conf.ServerName, _, _ = net.SplitHostPort(r.Address)
 	}
-	material := ""
+	certData := ""
 	if r.CA != "" {
 		pem, err := os.ReadFile(r.CA)
 		if err != nil {
-			return nil, "", fmt.Errorf("syslog: %w", err)
+			return nil, "", fmt.Errorf("syslog: cannot read the trusted certificates: %w", err)
 		}
 		conf.RootCAs = x509.NewCertPool()
 		if !conf.RootCAs.AppendCertsFromPEM(pem) {
-			return nil, "", fmt.Errorf("syslog: %s holds no certificate", r.CA)
+			return nil, "", fmt.Errorf("syslog: %s contains no certificate", r.CA)
 		}
-		material += string(pem)
+		certData += string(pem)
 	}
 	if r.Cert != "" {
 		pair, err := tls.LoadX509KeyPair(r.Cert, r.Key)
 		if err != nil {
-			return nil, "", fmt.Errorf("syslog: %s, %s: %w", r.Cert, r.Key, err)
+			return nil, "", fmt.Errorf("syslog: cannot load the key pair %s, %s: %w", r.Cert, r.Key, err)
 		}
 		conf.Certificates = []tls.Certificate{pair}
 		for _, der := range pair.Certificate {
-			material += string(der)
+			certData += string(der)
 		}
 	}
-	return conf, material, nil
+	return conf, certData, nil
 }
 
-// renewed tells whether the files hold other certificates now, or the log's file is another; ones that cannot be read leave
-// the connection as it is.
-func (s *Sender) renewed() bool {
+// needsReconnect reports whether the certificate files have changed, or the log file has been replaced. Certificate
+// files that cannot be read leave the connection as it is.
+func (s *Sender) needsReconnect() bool {
 	if f, ok := s.conn.(*os.File); ok {
 		open, err := f.Stat()
-		there, err2 := os.Stat(s.route.Address)
+		there, err2 := os.Stat(s.config.Address)
 		return err == nil && (err2 != nil || !os.SameFile(open, there))
 	}
-	if s.route.Network != "tls" {
+	if s.config.Network != "tls" {
 		return false
 	}
-	_, material, err := s.route.credentials()
-	return err == nil && material != s.material
+	_, certData, err := s.config.credentials()
+	return err == nil && certData != s.certData
 }
 
-var errRenewed = errors.New("the certificates or the file are others now")
+var errReconnect = errors.New("the certificate files or the log file were replaced")
 
-// carry sends records until the connection breaks.
-func (s *Sender) carry(ctx context.Context) error {
-	look := time.NewTicker(noticeEvery)
-	defer look.Stop()
+// sendLoop sends records until the connection breaks or must be replaced.
+func (s *Sender) sendLoop(ctx context.Context) error {
+	reconnectCheck := time.NewTicker(reconnectCheckInterval)
+	defer reconnectCheck.Stop()
 	var closed <-chan struct{}
-	if s.route.framed() {
-		closed = s.gone
+	if s.config.framed() {
+		closed = s.peerClosed
 	}
 	var b []byte
 	for {
@@ -335,98 +340,98 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-closed:
-			return errors.New("the receiver closed")
-		case <-look.C:
-			if s.renewed() {
-				return errRenewed
+			return errors.New("the receiver closed the connection")
+		case <-reconnectCheck.C:
+			if s.needsReconnect() {
+				return errReconnect
 			}
 		default:
 		}
-		r, spooled, ok := s.first()
+		r, spooled, ok := s.nextRecord()
 		if !ok {
-			s.tellLoss()
+			s.announceLoss()
 			select {
 			case <-ctx.Done():
 				return ctx.Err()
 			case <-closed:
-				return errors.New("the receiver closed")
-			case <-look.C:
-				if s.renewed() {
-					return errRenewed
+				return errors.New("the receiver closed the connection")
+			case <-reconnectCheck.C:
+				if s.needsReconnect() {
+					return errReconnect
 				}
 			case <-s.queue.wake:
 			}
 			continue
 		}
 		b = b[:0]
-		if s.route.framed() {
+		if s.config.framed() {
 			b = append(strconv.AppendInt(b, int64(len(r.text)), 10), ' ')
 		}
-		if b = append(b, r.text...); s.route.Network == "file" {
+		if b = append(b, r.text...); s.config.Network == "file" {
 			b = append(b, '\n')
 		}
 		if c, ok := s.conn.(net.Conn); ok {
-			_ = c.SetWriteDeadline(time.Now().Add(s.route.Timeout))
+			_ = c.SetWriteDeadline(time.Now().Add(s.config.Timeout))
 		}
 		_, err := s.conn.Write(b)
-		s.done(r, spooled, err == nil)
+		s.finish(r, spooled, err == nil)
 		if err != nil {
 			return err
 		}
 	}
 }
 
-// first returns the oldest record there is.
-func (s *Sender) first() (r record, spooled, ok bool) {
-	s.head.Lock()
-	defer s.head.Unlock()
+// nextRecord returns the oldest record, from the spool if it has any, otherwise from the queue.
+func (s *Sender) nextRecord() (r record, spooled, ok bool) {
+	s.recordMu.Lock()
+	defer s.recordMu.Unlock()
 	if s.spool != nil {
 		if r, ok := s.spool.peek(); ok {
 			return r, true, true
 		}
 	}
-	if r, ok = s.queue.take(); ok {
-		s.inHand.Store(1)
+	if r, ok = s.queue.takeOldest(); ok {
+		s.inFlight.Store(1)
 	}
 	return r, false, ok
 }
 
-// done books what came of a record.
-func (s *Sender) done(r record, spooled, sent bool) {
-	s.head.Lock()
-	defer s.head.Unlock()
-	s.inHand.Store(0)
+// finish removes a sent record from the spool, returns an unsent one to the queue, and updates the counts.
+func (s *Sender) finish(r record, spooled, sent bool) {
+	s.recordMu.Lock()
+	defer s.recordMu.Unlock()
+	s.inFlight.Store(0)
 	switch {
 	case sent && spooled:
 		s.spool.advance()
 	case !sent && !spooled:
-		s.queue.back(r)
+		s.queue.requeue(r)
 	}
 	if sent {
 		s.sent.Add(1)
 	}
 }
 
-// tellLoss has what was lost announced, now that records flow.
-func (s *Sender) tellLoss() {
-	lost, torn := s.queue.lost(), uint64(0)
+// announceLoss reports newly lost records through announce.
+func (s *Sender) announceLoss() {
+	drops, corrupt := s.queue.droppedBySeverity(), uint64(0)
 	if s.spool != nil {
-		torn = s.spool.lost()
+		corrupt = s.spool.corruptRecords()
 	}
-	if lost == s.told && torn == s.toldTorn || s.announce == nil {
+	if drops == s.announcedDrops && corrupt == s.announcedCorrupt || s.announce == nil {
 		return
 	}
-	since := lost
-	for i := range since {
-		since[i] -= s.told[i]
+	newDrops := drops
+	for i := range newDrops {
+		newDrops[i] -= s.announcedDrops[i]
 	}
-	news := torn - s.toldTorn
-	s.told, s.toldTorn = lost, torn
-	s.announce(since, news)
+	newCorrupt := corrupt - s.announcedCorrupt
+	s.announcedDrops, s.announcedCorrupt = drops, corrupt
+	s.announce(newDrops, newCorrupt)
 }
 
-// spill moves records to the spool while memory runs full.
-func (s *Sender) spill(ctx context.Context) {
+// spillLoop moves records from the queue to the spool while the queue is nearly full.
+func (s *Sender) spillLoop(ctx context.Context) {
 	t := time.NewTicker(10 * time.Millisecond)
 	defer t.Stop()
 	for {
@@ -435,25 +440,25 @@
 			return
 		case <-t.C:
 		}
-		for n := 0; s.queue.full() && n < s.route.Buffer && ctx.Err() == nil; n++ {
-			if !s.spillOne() {
+		for n := 0; s.queue.nearlyFull() && n < s.config.Buffer && ctx.Err() == nil; n++ {
+			if !s.spillOldest() {
 				break
 			}
 		}
 	}
 }
 
-// spillOne moves the oldest. One that is being sent meanwhile, and fails, goes back to memory and is sent after what was
-// spilt: out of order, which is better than lost.
-func (s *Sender) spillOne() bool {
-	s.head.Lock()
-	defer s.head.Unlock()
-	r, ok := s.queue.take()
+// spillOldest moves the oldest record from the queue to the spool. If a record that is being sent meanwhile fails, it
+// returns to memory and is sent after the spooled ones: out of order, but not lost.
+func (s *Sender) spillOldest() bool {
+	s.recordMu.Lock()
+	defer s.recordMu.Unlock()
+	r, ok := s.queue.takeOldest()
 	if !ok {
 		return false
 	}
 	if s.spool.put(r) != nil {
-		s.queue.back(r)
+		s.queue.requeue(r)
 		return false
 	}
 	return true
--- a/syslog/sender_test.go
+++ b/syslog/sender_test.go
@@ -27,9 +27,9 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-var quiet = slog.New(slog.DiscardHandler)
+var discardLog = slog.New(slog.DiscardHandler)
 
-func until(t *testing.T, what string, ok func() bool) {
+func waitFor(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(30 * time.Second); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
@@ -48,9 +48,9 @@
 	return r
 }
 
-func begin(t *testing.T, r Config) *Sender {
+func startSender(t *testing.T, r Config) *Sender {
 	t.Helper()
-	s, err := Start(r, quiet, 1, nil)
+	s, err := Start(r, discardLog, 1, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -58,17 +58,17 @@
 	return s
 }
 
-// numbered is a record that bears a number.
-func numbered(i int, severity Severity) []byte {
+// numberedRecord returns a formatted message with a number as its MSGID.
+func numberedRecord(i int, severity Severity) []byte {
 	m := Message{Severity: severity, MsgID: fmt.Sprint(i), Text: "text"}
 	return m.Append(nil, 1000)
 }
 
-// exact holds the books against each other.
-func exact(t *testing.T, c Counts) {
+// checkTotals fails the test unless every record logged or restored is accounted for exactly once.
+func checkTotals(t *testing.T, c Counts) {
 	t.Helper()
 	if sum := c.Sent + sumOf(c.Dropped) + c.Suppressed + c.Spooled + c.Waiting + c.Corrupt; sum != c.Logged+c.Restored {
-		t.Fatalf("%d made and %d restored, but %d in all: %+v", c.Logged, c.Restored, sum, c)
+		t.Fatalf("%d logged and %d restored, but the other counts add up to %d: %+v", c.Logged, c.Restored, sum, c)
 	}
 }
 
@@ -79,11 +79,11 @@
 	return n
 }
 
-func gotIDs(t *testing.T, r *receiver.Receiver) (out []string) {
+func receivedIDs(t *testing.T, r *receiver.Receiver) (out []string) {
 	t.Helper()
 	got, bad, _ := r.Got()
 	if len(bad) > 0 {
-		t.Fatalf("%d could not be read: %v", len(bad), bad[0])
+		t.Fatalf("%d messages could not be parsed: %v", len(bad), bad[0])
 	}
 	for _, m := range got {
 		out = append(out, m.ID)
@@ -91,8 +91,8 @@
 	return out
 }
 
-// misplaced counts the numbers that come right after a higher one.
-func misplaced(ids []string) (n int) {
+// countOutOfOrder returns how many numbers directly follow a higher one.
+func countOutOfOrder(ids []string) (n int) {
 	for i := 1; i < len(ids); i++ {
 		if len(ids[i-1]) > len(ids[i]) || len(ids[i-1]) == len(ids[i]) && ids[i-1] > ids[i] {
 			n++
@@ -101,7 +101,7 @@
 	return n
 }
 
-// Over each transport what is put in comes out, whole and in order.
+// Over each network every record is delivered unchanged and in order.
 func TestTransports(t *testing.T) {
 	ca := newCA(t)
 	for _, network := range []string{"udp", "tcp", "tls", "unixgram"} {
@@ -117,88 +117,88 @@
 			}
 			r := listen(t, network, address, conf)
 			route.Address = r.Address()
-			s := begin(t, route)
+			s := startSender(t, route)
 			for i := range 500 {
-				s.Enqueue(Informational, numbered(i, Informational))
-				if network != "tcp" && i%20 == 19 { // datagrams that come faster than they are read are lost by the system
-					until(t, "sent", func() bool { return s.Counts().Sent == uint64(i+1) })
-					until(t, "came", func() bool { got, _, _ := r.Got(); return len(got) == i+1 })
+				s.Enqueue(Informational, numberedRecord(i, Informational))
+				if network != "tcp" && i%20 == 19 { // the system drops datagrams that arrive faster than they are read
+					waitFor(t, "sent", func() bool { return s.Counts().Sent == uint64(i+1) })
+					waitFor(t, "received", func() bool { got, _, _ := r.Got(); return len(got) == i+1 })
 				}
 			}
-			until(t, "came", func() bool { got, _, _ := r.Got(); return len(got) == 500 })
-			for i, id := range gotIDs(t, r) {
+			waitFor(t, "received", func() bool { got, _, _ := r.Got(); return len(got) == 500 })
+			for i, id := range receivedIDs(t, r) {
 				if id != fmt.Sprint(i) {
-					t.Fatalf("%s at place %d", id, i)
+					t.Fatalf("record %s at position %d", id, i)
 				}
 			}
-			until(t, "counted", func() bool { return s.Counts().Sent == 500 })
-			exact(t, s.Counts())
+			waitFor(t, "all counted as sent", func() bool { return s.Counts().Sent == 500 })
+			checkTotals(t, s.Counts())
 		})
 	}
 }
 
-// With no receiver nobody waits: what there is no room for is dropped, the least grave first, counted to the record, and
-// told once records flow.
+// Without a receiver logging does not block: records beyond the buffer are dropped, the lowest severity first, counted
+// exactly, and announced once the receiver is reachable.
 func TestNoReceiver(t *testing.T) {
-	address := net.JoinHostPort(loopback.Host(), "6514") // where nobody listens yet
-	told := make(chan [Debug + 1]uint64, 10)
-	s, err := Start(Config{Network: "tcp", Address: address, Buffer: 100}, quiet, 1, func(d [Debug + 1]uint64, torn uint64) { told <- d })
+	address := net.JoinHostPort(loopback.Host(), "6514") // nobody listens here yet
+	announced := make(chan [Debug + 1]uint64, 10)
+	s, err := Start(Config{Network: "tcp", Address: address, Buffer: 100}, discardLog, 1, func(d [Debug + 1]uint64, corrupt uint64) { announced <- d })
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer s.Close()
-	began := time.Now()
+	start := time.Now()
 	for i := range 1000 {
 		severity := Debug
 		if i%20 == 0 {
 			severity = Error
 		}
-		s.Enqueue(severity, numbered(i, severity))
+		s.Enqueue(severity, numberedRecord(i, severity))
 	}
-	if took := time.Since(began); took > time.Second {
-		t.Errorf("a thousand records took %v", took)
+	if took := time.Since(start); took > time.Second {
+		t.Errorf("logging 1000 records took %v", took)
 	}
 	c := s.Counts()
-	exact(t, c)
+	checkTotals(t, c)
 	if c.Dropped[Debug] != 900 || c.Dropped[Error] != 0 || c.Waiting != 100 {
 		t.Errorf("%+v", c)
 	}
 	r := listen(t, "tcp", address, nil)
-	until(t, "all came", func() bool { got, _, _ := r.Got(); return len(got) == 100 })
-	if d := <-told; d[Debug] != 900 || sumOf(d) != 900 {
-		t.Errorf("told %v", d)
+	waitFor(t, "all received", func() bool { got, _, _ := r.Got(); return len(got) == 100 })
+	if d := <-announced; d[Debug] != 900 || sumOf(d) != 900 {
+		t.Errorf("announced drops: %v", d)
 	}
-	if ids := gotIDs(t, r); misplaced(ids) > 0 {
+	if ids := receivedIDs(t, r); countOutOfOrder(ids) > 0 {
 		t.Fatalf("out of order: %v", ids)
 	}
 }
 
-// A receiver that is stuck in the midst of a frame, reads a byte at a time, refuses or resets, holds nobody up; when it is
-// well again all that was not dropped comes, each at least once, and the torn frames are its own to count.
-func TestTroubles(t *testing.T) {
+// A receiver that stalls within a frame, reads one byte at a time, refuses connections or resets them does not block
+// logging. Once it works again every record that was not dropped is delivered at least once.
+func TestReceiverFaults(t *testing.T) {
 	for name, trouble := range map[string]receiver.Trouble{"stalls": {Stall: true}, "a byte at a time": {PerByte: 5 * time.Millisecond},
 		"refuses": {Refuse: true}, "cuts within a frame": {CutAt: 777}} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			r := listen(t, "tcp", "127.0.0.1:0", nil)
 			r.Set(trouble)
-			s := begin(t, Config{Network: "tcp", Address: r.Address(), Buffer: 4000, Timeout: 50 * time.Millisecond})
-			began := time.Now()
+			s := startSender(t, Config{Network: "tcp", Address: r.Address(), Buffer: 4000, Timeout: 50 * time.Millisecond})
+			start := time.Now()
 			big := strings.Repeat("x", 800)
 			for i := range 3000 {
 				m := Message{Severity: Notice, MsgID: fmt.Sprint(i), Text: big}
 				s.Enqueue(Notice, m.Append(nil, 2000))
 			}
-			if took := time.Since(began); took > 2*time.Second {
-				t.Errorf("3,000 records took %v", took)
+			if took := time.Since(start); took > 2*time.Second {
+				t.Errorf("logging 3000 records took %v", took)
 			}
-			exact(t, s.Counts())
+			checkTotals(t, s.Counts())
 			time.Sleep(300 * time.Millisecond)
 			r.Set(receiver.Trouble{})
 			r.Break()
-			until(t, "sent", func() bool { return s.Counts().Waiting == 0 })
+			waitFor(t, "sent", func() bool { return s.Counts().Waiting == 0 })
 			c := s.Counts()
-			exact(t, c)
+			checkTotals(t, c)
 			if c.Sent != 3000 {
 				t.Errorf("%+v", c)
 			}
@@ -206,9 +206,9 @@
 	}
 }
 
-// The books balance to the record over a hundred runs with faults drawn by chance, a spool and restarts among them; what is
-// closed in order comes whole.
-func TestBooks(t *testing.T) {
+// The totals balance exactly over a hundred runs with random receiver faults, rate suppression, spools and restarts.
+// After Close no record is left in memory, and the receiver gets no malformed message.
+func TestTotalsBalance(t *testing.T) {
 	for seed := range uint64(100) {
 		rng := rand.New(rand.NewPCG(seed, 5))
 		r, err := receiver.Listen("tcp", "127.0.0.1:0", nil)
@@ -221,7 +221,7 @@
 		}
 		number := 0
 		for range 1 + rng.IntN(3) {
-			s, err := Start(route, quiet, seed, nil)
+			s, err := Start(route, discardLog, seed, nil)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -242,18 +242,18 @@
 						if number++; rng.IntN(20) == 0 {
 							s.CountSuppressed()
 						} else {
-							s.Enqueue(severity, numbered(number, severity))
+							s.Enqueue(severity, numberedRecord(number, severity))
 						}
 					}
 				}
-				exact(t, s.Counts())
+				checkTotals(t, s.Counts())
 			}
 			if rng.IntN(2) == 0 {
 				r.Set(receiver.Trouble{})
 			}
 			s.Close()
 			c := s.Counts()
-			if exact(t, c); c.Waiting != 0 {
+			if checkTotals(t, c); c.Waiting != 0 {
 				t.Fatalf("seed %d: %+v", seed, c)
 			}
 		}
@@ -264,35 +264,35 @@
 	}
 }
 
-// Ten minutes of a thousand records a second, played in one go, stay within the memory and the spool that there is, and what
-// was spooled comes first and in order once the receiver is there.
+// An outage of ten minutes at a thousand records per second, played without pauses, stays within the limits of memory
+// and spool. Once the receiver is reachable, the remaining records arrive in order.
 func TestLongOutage(t *testing.T) {
-	address := net.JoinHostPort(loopback.Host(), "6514") // where nobody listens yet
-	s := begin(t, Config{Network: "tcp", Address: address, Buffer: 1000, Spool: t.TempDir(), SpoolBytes: 4 << 20})
+	address := net.JoinHostPort(loopback.Host(), "6514") // nobody listens here yet
+	s := startSender(t, Config{Network: "tcp", Address: address, Buffer: 1000, Spool: t.TempDir(), SpoolBytes: 4 << 20})
 	const all = 600_000
 	for i := range all {
-		s.Enqueue(Informational, numbered(i, Informational))
+		s.Enqueue(Informational, numberedRecord(i, Informational))
 		if i%500 == 0 {
 			time.Sleep(50 * time.Microsecond)
 		}
 	}
 	c := s.Counts()
-	exact(t, c)
+	checkTotals(t, c)
 	if c.Spooled < 10000 || sumOf(c.Dropped) == 0 || s.spool.size > 4<<20 {
 		t.Errorf("%+v, %d bytes", c, s.spool.size)
 	}
 	r := listen(t, "tcp", address, nil)
-	until(t, "all that was kept came", func() bool { c := s.Counts(); return c.Waiting+c.Spooled == 0 })
-	exact(t, s.Counts())
-	if late := misplaced(gotIDs(t, r)); late > 0 {
-		t.Errorf("%d out of order", late)
+	waitFor(t, "all remaining records are sent", func() bool { c := s.Counts(); return c.Waiting+c.Spooled == 0 })
+	checkTotals(t, s.Counts())
+	if late := countOutOfOrder(receivedIDs(t, r)); late > 0 {
+		t.Errorf("%d records out of order", late)
 	}
 }
 
-// A file is written a line a record, and one that was moved away is begun anew.
+// With network "file" each record is one line, and after the file was renamed a new one is created.
 func TestFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "log")
-	s := begin(t, Config{Network: "file", Address: path})
+	s := startSender(t, Config{Network: "file", Address: path})
 	lines := func(path string) int {
 		text, err := os.ReadFile(path)
 		if err != nil {
@@ -301,51 +301,51 @@
 		return strings.Count(string(text), "\n")
 	}
 	s.Enqueue(Notice, (&Message{Text: "one\nline"}).Append(nil, 1000))
-	until(t, "written", func() bool { return lines(path) == 1 })
+	waitFor(t, "written", func() bool { return lines(path) == 1 })
 	if err := os.Rename(path, path+".1"); err != nil {
 		t.Fatal(err)
 	}
-	until(t, "begun anew", func() bool { return lines(path) == 0 })
-	s.Enqueue(Notice, numbered(2, Notice))
-	until(t, "written", func() bool { return lines(path) == 1 && lines(path+".1") == 1 })
-	exact(t, s.Counts())
+	waitFor(t, "created again", func() bool { return lines(path) == 0 })
+	s.Enqueue(Notice, numberedRecord(2, Notice))
+	waitFor(t, "written", func() bool { return lines(path) == 1 && lines(path+".1") == 1 })
+	checkTotals(t, s.Counts())
 }
 
-// A connection that is reset at any byte of a frame costs no record: the frame comes again, whole.
+// A connection reset after any byte of a frame loses no record: the frame is sent again as a whole.
 func TestSplitFrames(t *testing.T) {
-	whole := len(numbered(7, Notice)) + 3
-	for cut := 1; cut <= 2*whole; cut++ {
+	frameBytes := len(numberedRecord(7, Notice)) + 3
+	for cut := 1; cut <= 2*frameBytes; cut++ {
 		r := listen(t, "tcp", "127.0.0.1:0", nil)
 		r.Set(receiver.Trouble{CutAt: cut})
-		s, err := Start(Config{Network: "tcp", Address: r.Address(), Timeout: 50 * time.Millisecond}, quiet, uint64(cut), nil)
+		s, err := Start(Config{Network: "tcp", Address: r.Address(), Timeout: 50 * time.Millisecond}, discardLog, uint64(cut), nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		s.Enqueue(Notice, numbered(7, Notice))
-		until(t, "connected", func() bool { return s.Counts().Connects > 0 })
+		s.Enqueue(Notice, numberedRecord(7, Notice))
+		waitFor(t, "connected", func() bool { return s.Counts().Connects > 0 })
 		r.Set(receiver.Trouble{})
-		for i := 8; ; i++ { // what a system took before it learnt of the reset is lost to us; the next one tells us
-			s.Enqueue(Notice, numbered(i, Notice))
+		for i := 8; ; i++ { // what the system buffered before it learnt of the reset is lost to the sender; the next write reports the reset
+			s.Enqueue(Notice, numberedRecord(i, Notice))
 			if got, _, _ := r.Got(); len(got) > 1 {
 				break
 			}
 			time.Sleep(2 * time.Millisecond)
 		}
 		s.Close()
-		exact(t, s.Counts())
-		gotIDs(t, r)
+		checkTotals(t, s.Counts())
+		receivedIDs(t, r)
 		r.Close()
 	}
 }
 
-// authority signs certificates for a test.
+// authority is a certificate authority for tests.
 type authority struct {
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
 	file string
 }
 
-// certify makes a key and its certificate; without a parent it is its own.
+// certify creates a key and its certificate, signed by the parent; self-signed if the parent is nil.
 func certify(t *testing.T, tmpl, parent *x509.Certificate, parentKey *ecdsa.PrivateKey) (der []byte, key *ecdsa.PrivateKey) {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), crand.Reader)
@@ -383,24 +383,25 @@
 	return &tls.Config{Certificates: []tls.Certificate{{Certificate: [][]byte{der}, PrivateKey: key}}}
 }
 
-// A receiver whose certificate has run out, bears another name, or is of nobody we know gets nothing; files that are replaced
-// while it runs are taken up without a restart.
+// A receiver whose certificate has expired, has another name, or is signed by an unknown authority gets no records.
+// Certificate files that are replaced while the sender runs are used without a restart.
 func TestCertificates(t *testing.T) {
 	ca, other := newCA(t), newCA(t)
-	// refused is a receiver that is refused again and again, and who sends to it.
+	// refused starts a receiver with this TLS configuration and a sender to it, and waits until two connections have
+	// failed.
 	refused := func(conf *tls.Config) (*receiver.Receiver, *Sender) {
 		t.Helper()
 		r := listen(t, "tls", "127.0.0.1:0", conf)
-		s := begin(t, Config{Network: "tls", Address: r.Address(), CA: ca.file, ServerName: "receiver.example", Timeout: 100 * time.Millisecond})
-		s.Enqueue(Error, numbered(1, Error))
-		until(t, "tried", func() bool { return s.Counts().Failures > 1 })
+		s := startSender(t, Config{Network: "tls", Address: r.Address(), CA: ca.file, ServerName: "receiver.example", Timeout: 100 * time.Millisecond})
+		s.Enqueue(Error, numberedRecord(1, Error))
+		waitFor(t, "tried", func() bool { return s.Counts().Failures > 1 })
 		return r, s
 	}
-	for name, conf := range map[string]*tls.Config{"run out": ca.server(t, "receiver.example", -time.Hour), "another name": ca.server(t, "else.example", time.Hour),
-		"of nobody": other.server(t, "receiver.example", time.Hour)} {
+	for name, conf := range map[string]*tls.Config{"expired": ca.server(t, "receiver.example", -time.Hour), "another name": ca.server(t, "else.example", time.Hour),
+		"unknown authority": other.server(t, "receiver.example", time.Hour)} {
 		r, s := refused(conf)
 		if got, _, _ := r.Got(); len(got) != 0 || s.Counts().Sent != 0 {
-			t.Errorf("%s: sent", name)
+			t.Errorf("%s: records were sent", name)
 		}
 	}
 	r, s := refused(other.server(t, "receiver.example", time.Hour))
@@ -411,16 +412,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	until(t, "sent with the new file", func() bool { return s.Counts().Sent == 1 })
+	waitFor(t, "sent with the new certificate file", func() bool { return s.Counts().Sent == 1 })
 	before := s.Counts().Connects
 	if err := os.WriteFile(ca.file, append(text, text...), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	until(t, "connects anew when they change", func() bool { return s.Counts().Connects > before })
-	if _, err := Start(Config{Network: "tls", Address: r.Address(), CA: filepath.Join(t.TempDir(), "none")}, quiet, 1, nil); err == nil {
-		t.Error("started without its files")
+	waitFor(t, "reconnected after the files changed", func() bool { return s.Counts().Connects > before })
+	if _, err := Start(Config{Network: "tls", Address: r.Address(), CA: filepath.Join(t.TempDir(), "none")}, discardLog, 1, nil); err == nil {
+		t.Error("started without its certificate files")
 	}
-	if _, err := Start(Config{Network: "pigeon"}, quiet, 1, nil); err == nil {
-		t.Error("started on no network")
+	if _, err := Start(Config{Network: "pigeon"}, discardLog, 1, nil); err == nil {
+		t.Error("started with an unknown network")
 	}
 }
--- a/syslog/spool_test.go
+++ b/syslog/spool_test.go
@@ -11,18 +11,18 @@
 	"vetchdoor/lab/loopback"
 )
 
-func open(t *testing.T, dir string, most int64) *spool {
+func openTestSpool(t *testing.T, dir string, maxBytes int64) *spool {
 	t.Helper()
-	s, err := openSpool(dir, most)
+	s, err := openSpool(dir, maxBytes)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return s
 }
 
-func fill(t *testing.T, dir string, n int, most int64) {
+func fillSpool(t *testing.T, dir string, n int, maxBytes int64) {
 	t.Helper()
-	s := open(t, dir, most)
+	s := openTestSpool(t, dir, maxBytes)
 	for i := range n {
 		if err := s.put(record{severity: Severity(i % 8), text: fmt.Appendf(nil, "record %04d", i)}); err != nil {
 			t.Fatal(i, err)
@@ -31,7 +31,7 @@
 	s.close()
 }
 
-func drain(t *testing.T, s *spool) (out []string) {
+func drainSpool(t *testing.T, s *spool) (out []string) {
 	t.Helper()
 	for {
 		r, ok := s.peek()
@@ -41,23 +41,23 @@
 		out = append(out, string(r.text))
 		s.advance()
 	}
-	if s.held() != 0 || s.size != 0 {
-		t.Errorf("%d held, %d bytes", s.held(), s.size)
+	if s.pending() != 0 || s.size != 0 {
+		t.Errorf("%d pending, %d bytes after reading all", s.pending(), s.size)
 	}
 	return out
 }
 
-// What was put in comes out in order, over restarts in the midst of it, whatever the number of segments; emptied, it leaves
-// no segment.
+// Records are read in the order of writing, across restarts and any number of segments; an emptied spool leaves no
+// segment file, and the size limit is kept.
 func TestSpool(t *testing.T) {
 	for _, n := range []int{1, 100, 5000} {
 		dir := t.TempDir()
-		fill(t, dir, n, 1<<20)
+		fillSpool(t, dir, n, 1<<20)
 		var got []string
 		for len(got) < n {
-			s := open(t, dir, 1<<20)
-			if held := s.held(); held != uint64(n-len(got)) {
-				t.Fatalf("%d held, %d are left", held, n-len(got))
+			s := openTestSpool(t, dir, 1<<20)
+			if pending := s.pending(); pending != uint64(n-len(got)) {
+				t.Fatalf("%d pending, want %d", pending, n-len(got))
 			}
 			for range 777 {
 				if r, ok := s.peek(); ok {
@@ -73,48 +73,49 @@
 			}
 		}
 		if names, _ := filepath.Glob(filepath.Join(dir, "*.spool")); len(names) > 0 {
-			t.Errorf("left %v", names)
+			t.Errorf("segment files left: %v", names)
 		}
 	}
-	s := open(t, t.TempDir(), 1)
+	s := openTestSpool(t, t.TempDir(), 1)
 	defer s.close()
 	for s.put(record{text: make([]byte, 1000)}) == nil {
 	}
-	if s.size > s.most {
-		t.Errorf("%d bytes of %d", s.size, s.most)
+	if s.size > s.maxBytes {
+		t.Errorf("%d bytes, limit %d", s.size, s.maxBytes)
 	}
 }
 
-// A spool that a kill tore at any byte gives what was whole; one with a flipped byte loses that segment's rest, counted.
-func TestTornSpool(t *testing.T) {
-	made := t.TempDir()
-	fill(t, made, 20, 1<<20)
-	names, err := filepath.Glob(filepath.Join(made, "*.spool"))
+// A spool file truncated at any byte by a crash returns every complete record. A flipped byte loses the rest of its
+// segment, and the lost records are counted.
+func TestCorruptSpool(t *testing.T) {
+	original := t.TempDir()
+	fillSpool(t, original, 20, 1<<20)
+	names, err := filepath.Glob(filepath.Join(original, "*.spool"))
 	if err != nil || len(names) != 1 {
 		t.Fatal(names, err)
 	}
-	whole, err := os.ReadFile(names[0])
+	contents, err := os.ReadFile(names[0])
 	if err != nil {
 		t.Fatal(err)
 	}
-	each := len(whole) / 20
-	for cut := range whole {
+	each := len(contents) / 20
+	for cut := range contents {
 		dir := t.TempDir()
-		if err := os.WriteFile(filepath.Join(dir, filepath.Base(names[0])), whole[:cut], 0o600); err != nil {
+		if err := os.WriteFile(filepath.Join(dir, filepath.Base(names[0])), contents[:cut], 0o600); err != nil {
 			t.Fatal(err)
 		}
-		s := open(t, dir, 1<<20)
+		s := openTestSpool(t, dir, 1<<20)
 		if err := s.put(record{text: []byte("new")}); err != nil {
 			t.Fatal(err)
 		}
-		got := drain(t, s)
-		if len(got) != cut/each+1 || got[len(got)-1] != "new" || (s.torn > 0) != (cut%each != 0) {
-			t.Fatalf("cut at %d: %q, torn %d", cut, got, s.torn)
+		got := drainSpool(t, s)
+		if len(got) != cut/each+1 || got[len(got)-1] != "new" || (s.corrupt > 0) != (cut%each != 0) {
+			t.Fatalf("cut at %d: %q, corrupt %d", cut, got, s.corrupt)
 		}
 		s.close()
 	}
 	dir := t.TempDir()
-	fill(t, dir, 5000, 400<<10)
+	fillSpool(t, dir, 5000, 400<<10)
 	names, err = filepath.Glob(filepath.Join(dir, "*.spool"))
 	if err != nil || len(names) < 2 {
 		t.Fatal(names, err)
@@ -127,29 +128,29 @@
 	if err := os.WriteFile(names[0], text, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	s := open(t, dir, 400<<10)
+	s := openTestSpool(t, dir, 400<<10)
 	defer s.close()
-	if got := drain(t, s); uint64(len(got))+s.torn != 5000 || s.torn == 0 || s.torn > 5000/2 {
-		t.Errorf("%d read, %d torn", len(got), s.torn)
+	if got := drainSpool(t, s); uint64(len(got))+s.corrupt != 5000 || s.corrupt == 0 || s.corrupt > 5000/2 {
+		t.Errorf("%d read, %d corrupt", len(got), s.corrupt)
 	}
 }
 
-// A disk that takes nothing more costs no record that memory has room for, and holds nobody up.
-func TestNoDisk(t *testing.T) {
+// If the disk accepts no more records, none is lost that fits in memory, and logging does not block.
+func TestUnwritableSpool(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "spool")
-	address := net.JoinHostPort(loopback.Host(), "6514") // nobody listens there yet, so that nothing can be sent
-	s := begin(t, Config{Network: "tcp", Address: address, Buffer: 100, Spool: dir, Timeout: 50 * time.Millisecond})
+	address := net.JoinHostPort(loopback.Host(), "6514") // nobody listens here yet, so that nothing can be sent
+	s := startSender(t, Config{Network: "tcp", Address: address, Buffer: 100, Spool: dir, Timeout: 50 * time.Millisecond})
 	if err := os.RemoveAll(dir); err != nil {
 		t.Fatal(err)
 	}
 	for i := range 1000 {
-		s.Enqueue(Notice, numbered(i, Notice))
+		s.Enqueue(Notice, numberedRecord(i, Notice))
 	}
 	c := s.Counts()
-	if exact(t, c); c.Spooled != 0 || c.Sent != 0 || c.Waiting < 99 || c.Waiting > 101 {
+	if checkTotals(t, c); c.Spooled != 0 || c.Sent != 0 || c.Waiting < 99 || c.Waiting > 101 {
 		t.Errorf("%+v", c)
 	}
 	listen(t, "tcp", address, nil)
-	until(t, "what was kept is sent", func() bool { return s.Counts().Waiting == 0 })
-	exact(t, s.Counts())
+	waitFor(t, "remaining records sent", func() bool { return s.Counts().Waiting == 0 })
+	checkTotals(t, s.Counts())
 }
