--- a/files/contradictions_test.go
+++ b/files/contradictions_test.go
@@ -16,7 +16,8 @@
 const rosterText = `{"kind": "roster", "listen": "127.0.0.1:7001", "zones": ["a"], "entries": [
   {"endpoint": 1, "address": "127.0.0.1:80", "zone": "a", "weight": 1}, {"endpoint": 2, "address": "127.0.0.1:81", "zone": "a", "weight": 1}]}`
 
-// Values that are each allowed and contradict each other are refused at the later of the two places.
+// Values that the schema allows but that contradict each other are rejected, and the error points to the later of the
+// two places.
 func TestContradictions(t *testing.T) {
 	day, err := os.ReadFile("../lab/days/calm-evening.json")
 	if err != nil {
@@ -64,7 +65,7 @@
 		}
 		text := strings.Replace(c.text, c.from, c.to, 1)
 		if text == c.text {
-			t.Fatalf("%s changes nothing", c.from)
+			t.Fatalf("the replacement %s changes nothing", c.from)
 		}
 		err := files.Parse("f.json", []byte(text), c.kind, to)
 		if err == nil || !strings.HasPrefix(err.Error(), "f.json: "+c.at+": found ") || strings.Contains(err.Error(), "\n") {
--- a/files/day.go
+++ b/files/day.go
@@ -1,96 +1,96 @@
 package files
 
-// Fleet is how many of each a day has, or which.
+// Fleet is the number of pilots, proxies and nodes of a day, or the list of them.
 type Fleet struct {
 	Pilots   int       `json:"pilots"`
 	Proxies  int       `json:"proxies"`
 	Nodes    int       `json:"nodes"`
-	Spare    int       `json:"spare,omitempty"` // nodes that "grow" can switch on
+	Spare    int       `json:"spare,omitempty"` // additional nodes that the "grow" trouble can start
 	PackSize int       `json:"pack_size,omitempty"`
 	Machines []Machine `json:"machines"`
-	Exactly  []NodeAt  `json:"exactly,omitempty"` // the nodes one by one, in place of drawing them, spare ones last
+	Exactly  []NodeAt  `json:"exactly,omitempty"` // the nodes one by one, spare nodes last, instead of random ones
 
-	ProxyList []ProxyAt `json:"proxy_list,omitempty"` // the proxies one by one
-	PilotList []string  `json:"pilot_list,omitempty"` // the pilots' zones
+	ProxyList []ProxyAt `json:"proxy_list,omitempty"` // the proxies one by one, instead of random shares in zones by turns
+	PilotList []string  `json:"pilot_list,omitempty"` // the zone of each pilot, instead of zones by turns
 }
 
-// ProxyAt is one proxy of a day: its zone and its share of the traffic, weighed against the others of the zone.
+// ProxyAt is one proxy of a day: its zone, and its weight in the traffic of that zone.
 type ProxyAt struct {
 	Zone  string  `json:"zone"`
 	Share float64 `json:"share"`
 }
 
-// Point is the load at a time, as a multiple of its mean.
+// Point is one point of the load curve: a time of the day, and the load as a multiple of its mean.
 type Point struct {
 	At    Duration `json:"at"`
 	Times float64  `json:"times"`
 }
 
-// List is how the day's roster behaves.
+// List configures the delays of the simulated list service.
 type List struct {
-	Notice       Duration `json:"notice"`        // until it sees that a process ended
-	SilentNotice Duration `json:"silent_notice"` // until it sees that a machine went silent
-	Add          Duration `json:"add"`           // until it lists a start or a drain
+	Notice       Duration `json:"notice"`        // delay until it notices that a process has ended
+	SilentNotice Duration `json:"silent_notice"` // delay until it notices that a machine no longer responds
+	Add          Duration `json:"add"`           // delay until it lists a start or a drain
 }
 
-// Net is the way between the parts, one way.
+// Net configures the one-way network delays: within a zone, between zones, and additional ones.
 type Net struct {
 	Same  Duration `json:"same"`
 	Cross Duration `json:"cross"`
-	Push  Duration `json:"push"` // a pilot's messages, on top
+	Push  Duration `json:"push"` // mean additional delay of messages from pilots to proxies
 	Hears Duration `json:"hears"`
 }
 
-// Load is what clients ask for.
+// Load configures the ops that the clients send.
 type Load struct {
-	OfCapacity float64    `json:"of_capacity,omitempty"` // of what the nodes can do; or
+	OfCapacity float64    `json:"of_capacity,omitempty"` // mean load as a share of the capacity of the nodes; or use PerSecond
 	PerSecond  float64    `json:"ops_per_second,omitempty"`
-	Swing      float64    `json:"swing,omitempty"` // part by which it rises and falls over the day
+	Swing      float64    `json:"swing,omitempty"` // amplitude of the load's sine curve over the day, as a share of the mean
 	Spread     float64    `json:"spread,omitempty"`
 	ZoneShare  []float64  `json:"zone_share,omitempty"`
-	Shape      []Point    `json:"shape,omitempty"` // in place of swing
+	Shape      []Point    `json:"shape,omitempty"` // load curve that replaces the sine of Swing
 	Works      []Work     `json:"works"`
 	Tenants    TenantLoad `json:"tenants,omitzero"`
 }
 
-// TenantLoad are the tenants of a day: so many, the n-th with a share of 1/n of the first's, to the power given. One may
-// misbehave for a while.
+// TenantLoad configures the tenants of a day: there are Count of them, and the share of the n-th in the load is
+// 1/n^Zipf of the first one's. One tenant can misbehave for a while.
 type TenantLoad struct {
 	Count  int     `json:"count,omitempty"`
 	Zipf   float64 `json:"zipf,omitempty"`
-	Subset int     `json:"subset,omitempty"` // pods that proxies give each; 0: all
-	Limits bool    `json:"limits,omitempty"` // the pilot limits those that harm others
+	Subset int     `json:"subset,omitempty"` // pods that proxies give each tenant; 0: all
+	Limits bool    `json:"limits,omitempty"` // the pilot limits tenants that harm others
 
-	Bad       int      `json:"bad,omitempty"` // its number, from 1; 0: none
+	Bad       int      `json:"bad,omitempty"` // number of the tenant that misbehaves, from 1; 0: none
 	BadAt     Duration `json:"bad_at,omitempty"`
 	BadLength Duration `json:"bad_length,omitempty"`
-	BadRate   float64  `json:"bad_rate,omitempty"`  // ops a second that it adds
-	BadTimes  float64  `json:"bad_times,omitempty"` // times the work of each
-	BadHow    string   `json:"bad_how,omitempty"`   // what else is wrong with them
+	BadRate   float64  `json:"bad_rate,omitempty"`  // additional load of that tenant, in ops per second
+	BadTimes  float64  `json:"bad_times,omitempty"` // factor on the work of each of its ops
+	BadHow    string   `json:"bad_how,omitempty"`   // kind of other misbehaviour
 
-	Known bool `json:"known,omitempty"` // proxies have the list of the tenants that there are
-	Moves bool `json:"moves,omitempty"` // pilots can move tenants; a trouble asks them to
+	Known bool `json:"known,omitempty"` // whether proxies have the list of all existing tenants
+	Moves bool `json:"moves,omitempty"` // whether pilots can move tenants, which a trouble requests
 }
 
-// Work is the work of an op type.
+// Work configures the work that ops of one type cost a node, and their share of the load.
 type Work struct {
 	OpType string   `json:"op_type"`
 	Share  float64  `json:"share"`
 	Mean   Duration `json:"mean"`
-	CV     float64  `json:"cv,omitempty"` // of a lognormal draw; 0: exponential
+	CV     float64  `json:"cv,omitempty"` // coefficient of variation of the lognormal distribution; 0: exponential distribution
 }
 
-// Clients is how callers behave.
+// Clients configures the retries of the clients.
 type Clients struct {
 	Retries  int      `json:"retries"`
-	TryShare float64  `json:"try_share"` // a try is given up after this share of the op timeout
+	TryShare float64  `json:"try_share"` // a try times out after this share of the op timeout
 	Backoff  Duration `json:"backoff,omitempty"`
-	Honour   float64  `json:"honour,omitempty"` // share of clients that keep to Retry-After
+	Honour   float64  `json:"honour,omitempty"` // share of clients that respect Retry-After
 
-	Elsewhere float64 `json:"elsewhere,omitempty"` // share of repeats that go to a proxy drawn anew
+	Elsewhere float64 `json:"elsewhere,omitempty"` // share of retries that go to another, randomly chosen proxy
 }
 
-// Trouble is one thing that goes wrong.
+// Trouble is one fault or disturbance of a day, with its start and length.
 type Trouble struct {
 	Kind   string   `json:"kind"`
 	At     Duration `json:"at"`
@@ -98,12 +98,13 @@
 	Part   float64  `json:"part,omitempty"`
 	Size   float64  `json:"size,omitempty"`
 	Extra  float64  `json:"extra,omitempty"`
-	How    string   `json:"how,omitempty"` // a form of the kind
+	How    string   `json:"how,omitempty"` // variant of the kind
 	Zone   string   `json:"zone,omitempty"`
-	On     []uint32 `json:"on,omitempty"` // endpoints, proxies or pilots, by the kind; else drawn
+	On     []uint32 `json:"on,omitempty"` // numbers of the affected endpoints, proxies or pilots; empty: random ones
 }
 
-// Goal is how the day's service is added up.
+// Goal holds the weights with which the parts of the service score are combined, and TailMiss, a parameter of the part
+// Tail.
 type Goal struct {
 	Whole       float64 `json:"whole"`
 	WorstWindow float64 `json:"worst_window"`
@@ -112,7 +113,7 @@
 	TailMiss    float64 `json:"tail_miss,omitempty"`
 }
 
-// Prices are taken off the service, each times its rate.
+// Prices are the costs subtracted from the service score; each is multiplied by the rate of what it prices.
 type Prices struct {
 	CrossZone  float64 `json:"cross_zone,omitempty"`
 	Waste      float64 `json:"waste,omitempty"`
@@ -122,7 +123,7 @@
 	Orders     float64 `json:"orders,omitempty"`
 }
 
-// Day is a day for the laboratory.
+// Day is a scenario for the lab: service, fleet, load and troubles over a time.
 type Day struct {
 	Kind     string    `json:"kind"`
 	Name     string    `json:"name"`
--- a/files/files.go
+++ b/files/files.go
@@ -1,5 +1,6 @@
-// Package files reads vetchdoor's files: JSON, checked against a schema first and for contradictions after. Read is the
-// way in; what it finds wrong it names by file, JSON pointer, what was found and what is allowed, in one line.
+// Package files reads the JSON settings files of vetchdoor: it checks a file against a JSON schema and then for
+// contradictions between its values. Read is the entry point. A ValidationError is one line that names the file, the
+// place as a JSON pointer, the value found and the values allowed.
 package files
 
 import (
@@ -11,13 +12,14 @@
 	"vetchdoor/control"
 )
 
-// Duration is a time.Duration written as a string such as "750ms" or "2s".
+// Duration is a time.Duration that JSON represents as a string such as "750ms" or "2s".
 type Duration time.Duration
 
-// AsDuration returns it as a time.Duration.
+// AsDuration returns d as a time.Duration.
 func (d Duration) AsDuration() time.Duration { return time.Duration(d) }
 
-// MarshalJSON writes the string, in the largest unit that leaves a whole number.
+// MarshalJSON writes the duration as a whole number of seconds or, failing that, of milliseconds; otherwise in
+// microseconds.
 func (d Duration) MarshalJSON() ([]byte, error) {
 	switch t := time.Duration(d); {
 	case t%time.Second == 0:
@@ -29,7 +31,7 @@
 	}
 }
 
-// UnmarshalJSON reads the string.
+// UnmarshalJSON parses a string in the format of time.ParseDuration.
 func (d *Duration) UnmarshalJSON(b []byte) error {
 	var s string
 	if err := json.Unmarshal(b, &s); err != nil {
@@ -40,14 +42,14 @@
 	return err
 }
 
-// Match tells which ops are of a type; what is empty matches all. The first type that matches wins.
+// Match selects the ops of a type; an empty field matches every op. The first op type that matches an op applies.
 type Match struct {
 	Method     string `json:"method,omitempty"`
 	PathPrefix string `json:"path_prefix,omitempty"`
-	Header     string `json:"header,omitempty"` // NAME: VALUE
+	Header     string `json:"header,omitempty"` // as "NAME: VALUE"
 }
 
-// OpType is one type of op, as control.OpType, with the rule by which a proxy knows it.
+// OpType describes one op type, as control.OpType does, and how a proxy recognizes its ops.
 type OpType struct {
 	Name          string   `json:"name"`
 	Match         Match    `json:"match"`
@@ -62,28 +64,30 @@
 	Writes        bool     `json:"writes,omitempty"`
 }
 
-// Service is what is served: the zones and op types, and how proxies work.
+// Service describes the service: its zones and op types, and how proxies handle ops.
 type Service struct {
 	Zones          []string `json:"zones"`
 	OpTypes        []OpType `json:"op_types"`
-	Measures       []string `json:"measures,omitempty"` // of load reports, by their ORCA names
+	Measures       []string `json:"measures,omitempty"` // fields of the servers' load reports, by their ORCA names
 	ReportEvery    Duration `json:"report_every"`
-	TryShare       float64  `json:"try_share,omitempty"`     // a try that may be followed waits this share of the target latency
-	OutlierAfter   int      `json:"outlier_after,omitempty"` // own failures in a row after which a proxy avoids a server; 0: never
+	TryShare       float64  `json:"try_share,omitempty"`     // timeout of a try that may be retried, as a share of the target latency
+	OutlierAfter   int      `json:"outlier_after,omitempty"` // consecutive failures after which a proxy avoids a server; 0: never
 	OutlierFor     Duration `json:"outlier_for,omitempty"`
-	Bootstrap      int      `json:"bootstrap"` // servers of a standing table, at most
+	Bootstrap      int      `json:"bootstrap"` // maximum servers in a standing table, used without a pilot's table
 	DefaultRetries string   `json:"usual_again,omitempty"`
-	WriteLifetime  Duration `json:"write_life,omitempty"` // a write that a proxy took in is finished, for good or ill, within this; 0: twice its op timeout
+	WriteLifetime  Duration `json:"write_life,omitempty"` // time limit for an accepted write, successful or not; 0: twice its op timeout
 	CrossZonePrice float64  `json:"cross_zone_price,omitempty"`
 
-	// WritePacks are the packs that writes which are deduplicated by pack are drawn among, by zone; the zones of it are those for
-	// writes deduplicated by zone, or all zones where it is empty. All proxies must have the same at any time. It is changed in two
-	// rolls of the proxies: first to the old one with WritePacksNext beside it, then, a longest write and window later, to the new.
+	// WritePacks lists, by zone, the packs among which writes with deduplication by pack are distributed. Its zones are
+	// those for writes with deduplication by zone; if it is empty, these use all zones. All proxies must have the same list
+	// at any time. To change it, restart all proxies twice: first with the old list here and the new one in WritePacksNext;
+	// then, after the longest write and dedup window have passed, with the new list alone.
 	WritePacks     map[string][]int `json:"write_packs,omitempty"`
 	WritePacksNext map[string][]int `json:"write_packs_next,omitempty"`
 }
 
-// Limits are the figures behind the five rules.
+// Limits are the figures of the five rules that the control service must keep, such as how long a proxy may be without
+// a server and how long it may still send to a draining one.
 type Limits struct {
 	EmptyFor       Duration `json:"empty_for"`
 	DrainGrace     Duration `json:"drain_grace"`
@@ -93,7 +97,8 @@
 	FallAfter      Duration `json:"fall_after"`
 }
 
-// Channel is how fast a pilot sends, and how much may wait.
+// Channel limits the rate at which a pilot sends table changes to its proxies, and the number of lines that may wait to
+// be sent.
 type Channel struct {
 	LinesPerSecond       float64  `json:"lines_per_second"`
 	MessageLines         int      `json:"message_lines"`
@@ -104,64 +109,64 @@
 	ReportLinesPerSecond float64  `json:"report_lines_per_second"`
 }
 
-// Pilot is the file of a pilot.
+// Pilot is the settings file of a pilot.
 type Pilot struct {
 	Kind           string   `json:"kind"`
 	Name           string   `json:"name"`
 	Zone           string   `json:"zone"`
 	Instance       int      `json:"instance,omitempty"`
 	Instances      int      `json:"instances,omitempty"`
-	Proxies        int      `json:"proxies"` // of all pilots
-	Listen         string   `json:"listen"`  // for proxies
+	Proxies        int      `json:"proxies"` // number of proxies of all pilots together
+	Listen         string   `json:"listen"`  // address for connections of proxies
 	Admin          string   `json:"admin,omitempty"`
 	Roster         string   `json:"roster"`
-	Cache          string   `json:"cache,omitempty"` // the last list
+	Cache          string   `json:"cache,omitempty"` // file for the last endpoint list, read at the next start
 	Tick           Duration `json:"tick,omitempty"`
-	SilenceTimeout Duration `json:"silent_after,omitempty"` // a stream without a word for so long is broken
+	SilenceTimeout Duration `json:"silent_after,omitempty"` // a stream without data for this long is closed
 	ResumeWindow   Duration `json:"resume_within,omitempty"`
 	Seed           uint64   `json:"seed,omitempty"`
-	Tenants        bool     `json:"tenants,omitempty"` // limit tenants that harm others, by what proxies met of them
-	Moves          *Moves   `json:"moves,omitempty"`   // tenants may be moved
+	Tenants        bool     `json:"tenants,omitempty"` // limit tenants that harm others, based on the reports of proxies
+	Moves          *Moves   `json:"moves,omitempty"`   // settings for moving tenants; nil: tenants are not moved
 
-	Members *Members `json:"members,omitempty"` // gossip among pilots, for people
+	Members *Members `json:"members,omitempty"` // gossip with other pilots, for the admin commands only; nil: none
 
-	MaxProxies  int      `json:"most_proxies,omitempty"` // joined at a time; others are sent to the peers. 0: any number
-	LeaveWithin Duration `json:"leave_within,omitempty"` // how long its proxies are sent away for when it ends; 0: 10 s
-	Peers       []Peer   `json:"peers,omitempty"`        // the other pilots, where they may write to each other
-	Log         []Log    `json:"log,omitempty"`          // beside standard error
+	MaxProxies  int      `json:"most_proxies,omitempty"` // maximum of joined proxies; others are sent to the peers; 0: no limit
+	LeaveWithin Duration `json:"leave_within,omitempty"` // time over which proxies are sent away when the pilot ends; 0: 10 s
+	Peers       []Peer   `json:"peers,omitempty"`        // the other pilots that this pilot may exchange messages with
+	Log         []Log    `json:"log,omitempty"`          // log receivers in addition to standard error
 	Service     Service  `json:"service"`
 	Limits      Limits   `json:"limits"`
 	Channel     Channel  `json:"channel"`
 }
 
-// Moves are how tenants are moved between subsets.
+// Moves configures how tenants are moved between subsets of servers.
 type Moves struct {
-	Store         string   `json:"store"`             // a file that outlives the pilot
-	MaxHold       Duration `json:"most,omitempty"`    // longest that a tenant's writes are held; 0: ten times what must be waited out
-	MaxConcurrent int      `json:"abreast,omitempty"` // moves at a time; 0: 64
+	Store         string   `json:"store"`             // path of the file that keeps the state across restarts
+	MaxHold       Duration `json:"most,omitempty"`    // maximum time of holding a tenant's writes; 0: ten times the required wait
+	MaxConcurrent int      `json:"abreast,omitempty"` // maximum number of concurrent moves; 0: 64
 }
 
-// Members is how a pilot hears of others, for people.
+// Members configures the gossip among pilots, whose result is only shown by admin commands.
 type Members struct {
-	Bind            string   `json:"bind"`             // IP:PORT, UDP and TCP
-	SeedAddresses   []string `json:"others,omitempty"` // where others are to be found at the start
-	KeyFile         string   `json:"keys"`             // a file: the base64 of 32 bytes a line, the first one writes
-	AllowedNetworks []string `json:"allow,omitempty"`  // networks that are heard; empty: loopback
+	Bind            string   `json:"bind"`             // IP:PORT, used for UDP and TCP
+	SeedAddresses   []string `json:"others,omitempty"` // addresses of other pilots to contact at the start
+	KeyFile         string   `json:"keys"`             // path of a file with a base64 key of 32 bytes per line; the first encrypts
+	AllowedNetworks []string `json:"allow,omitempty"`  // networks from which gossip is accepted; empty: loopback
 }
 
-// Peer is another pilot: its place among the instances, and where it listens.
+// Peer is another pilot: its number among the instances and its listen address.
 type Peer struct {
 	Instance int    `json:"instance"`
 	Address  string `json:"address"`
 }
 
-// PilotAddress is where a proxy finds a pilot.
+// PilotAddress is the address of a pilot, for a proxy, and the zone of the pilot.
 type PilotAddress struct {
 	Address string `json:"address"`
 	Zone    string `json:"zone"`
 }
 
-// StandingServer is a server that a proxy may take into its standing table.
+// StandingServer is a server that a proxy may include in its standing table.
 type StandingServer struct {
 	Endpoint uint32  `json:"endpoint"`
 	Address  string  `json:"address"`
@@ -170,24 +175,24 @@
 	Weight   float64 `json:"weight,omitempty"`
 }
 
-// Pool is how a proxy keeps its connections to servers.
+// Pool configures a proxy's connections to servers.
 type Pool struct {
 	PerServer      int      `json:"per_server,omitempty"`
 	IdleClose      Duration `json:"idle_close,omitempty"`
 	ConnectTimeout Duration `json:"connect_timeout,omitempty"`
 }
 
-// Tenants say whose an op is and how much of the fleet each tenant may use.
+// Tenants configures how a proxy finds the tenant of an op, and how many pods each tenant may use.
 type Tenants struct {
 	Header     string              `json:"header,omitempty"`
 	PathPrefix string              `json:"path_prefix,omitempty"`
 	Networks   map[string][]string `json:"networks,omitempty"`
 	Known      []string            `json:"known,omitempty"`
-	Subset     int                 `json:"subset"`             // pods for each; 0: all
-	Bindings   string              `json:"bindings,omitempty"` // a file of the tenants that were moved, which outlives the proxy
+	Subset     int                 `json:"subset"`             // pods per tenant; 0: all
+	Bindings   string              `json:"bindings,omitempty"` // path of a file that keeps the bindings of moved tenants across restarts
 }
 
-// Proxy is the file of a proxy.
+// Proxy is the settings file of a proxy.
 type Proxy struct {
 	Kind           string           `json:"kind"`
 	ID             uint16           `json:"id"`
@@ -195,59 +200,60 @@
 	Listen         string           `json:"listen"`
 	Admin          string           `json:"admin,omitempty"`
 	Pilots         []PilotAddress   `json:"pilots"`
-	Redial         Duration         `json:"redial,omitempty"` // mean wait between dials
+	Redial         Duration         `json:"redial,omitempty"` // mean time between two dials
 	SilenceTimeout Duration         `json:"silent_after,omitempty"`
 	Servers        []StandingServer `json:"servers,omitempty"`
-	Rate           float64          `json:"rate"` // ops a second it usually gets
+	Rate           float64          `json:"rate"` // usual load, in ops per second
 	RetryAfter     Duration         `json:"retry_after,omitempty"`
 	Seed           uint64           `json:"seed,omitempty"`
 	Pool           Pool             `json:"pool,omitzero"`
 	Tenants        *Tenants         `json:"tenants,omitempty"`
-	Log            []Log            `json:"log,omitempty"` // beside standard error
+	Log            []Log            `json:"log,omitempty"` // log receivers in addition to standard error
 	Service        Service          `json:"service"`
 }
 
-// Log is where records go, by RFC 5424.
+// Log configures one receiver of log records in the format of RFC 5424.
 type Log struct {
 	Network    string  `json:"network"` // udp, tcp, tls, unixgram or file
-	Address    string  `json:"address"` // or path
+	Address    string  `json:"address"` // host and port, or the path of the socket or file
 	CA         string  `json:"ca,omitempty"`
 	Cert       string  `json:"cert,omitempty"`
 	Key        string  `json:"key,omitempty"`
-	Name       string  `json:"name,omitempty"`     // the receiver's in its certificate; empty: the address's host
+	Name       string  `json:"name,omitempty"`     // name expected in the receiver's certificate; empty: the host of Address
 	Facility   string  `json:"facility,omitempty"` // daemon, local0 to local7; empty: daemon
 	Level      string  `json:"level,omitempty"`    // debug, info, warn or error; empty: info
-	Host       string  `json:"host,omitempty"`     // empty: the machine's name
-	Buffer     int     `json:"buffer,omitempty"`   // records in memory
-	Spool      string  `json:"spool,omitempty"`    // a directory, for this program alone
+	Host       string  `json:"host,omitempty"`     // empty: the host name of this machine
+	Buffer     int     `json:"buffer,omitempty"`   // maximum number of records in memory
+	Spool      string  `json:"spool,omitempty"`    // directory for records that do not fit in memory; no other program may use it
 	SpoolBytes int64   `json:"spool_bytes,omitempty"`
-	Rate       float64 `json:"rate,omitempty"` // records a second of one kind and reason
+	Rate       float64 `json:"rate,omitempty"` // limit in records per second for one kind and reason
 }
 
-// Machine is a kind of server that a node stands in for.
+// Machine is a machine type that a simulated server (node) can have.
 type Machine struct {
 	Name        string     `json:"name"`
-	Share       float64    `json:"share,omitempty"` // of a fleet's nodes
+	Share       float64    `json:"share,omitempty"` // share of the nodes that are of this type
 	Cores       int        `json:"cores"`
-	Speed       [2]float64 `json:"speed"` // work a second of a core, drawn between
-	Slots       int        `json:"slots"` // ops in work at once
+	Speed       [2]float64 `json:"speed"` // range of the work done per second of one core; each node draws its speed from it
+	Slots       int        `json:"slots"` // maximum number of ops processed at a time
 	Queue       int        `json:"queue"`
 	Connections int        `json:"connections"`
-	Handshake   Duration   `json:"handshake,omitempty"` // work of a new connection
+	Handshake   Duration   `json:"handshake,omitempty"` // work that a new connection costs
 	ColdShare   float64    `json:"cold_share"`
 	ColdFor     Duration   `json:"cold_for"`
 	ErrorRate   float64    `json:"error_rate,omitempty"`
 	ReportEvery Duration   `json:"report_every,omitempty"`
-	Cancels     bool       `json:"cancels,omitempty"` // work stops when its op is given up
+	Cancels     bool       `json:"cancels,omitempty"` // whether work on an op stops when the proxy gives up on it
 
-	// Past SlowsAt ops in hand it loses efficiency, SlowsBy more of it with each further SlowsAt; a full table of
-	// connections takes ConnectionTax of its speed, a fuller one more.
+	// With more than SlowsAt ops queued or running, the speed is divided by 1 + SlowsBy*(ops/SlowsAt - 1). Open connections
+	// reduce the speed in proportion to their number: by the share ConnectionTax when all Connections are open, and by more
+	// beyond that.
 	SlowsAt       float64 `json:"slows_at,omitempty"`
 	SlowsBy       float64 `json:"slows_by,omitempty"`
 	ConnectionTax float64 `json:"connection_tax,omitempty"`
 }
 
-// NodeAt is one node: a stand-in for a server.
+// NodeAt is one node: a simulated server.
 type NodeAt struct {
 	Endpoint uint32  `json:"endpoint"`
 	Listen   string  `json:"listen"`
@@ -256,10 +262,10 @@
 	Machine  string  `json:"machine"`
 	Speed    float64 `json:"speed,omitempty"`
 	Weight   float64 `json:"weight,omitempty"`
-	Cold     bool    `json:"cold,omitempty"` // it has just started
+	Cold     bool    `json:"cold,omitempty"` // it starts cold, as right after a restart
 }
 
-// Node is the file of a process of nodes.
+// Node is the settings file of a process that runs nodes.
 type Node struct {
 	Kind     string    `json:"kind"`
 	Seed     uint64    `json:"seed,omitempty"`
@@ -269,7 +275,7 @@
 	Limits   Limits    `json:"limits"`
 }
 
-// RosterEntry is one endpoint of a roster's file.
+// RosterEntry is one endpoint in the file of a list service.
 type RosterEntry struct {
 	Endpoint uint32  `json:"endpoint"`
 	Address  string  `json:"address"`
@@ -279,7 +285,7 @@
 	Mode     string  `json:"mode,omitempty"`
 }
 
-// Roster is the file of a list service. It is read again when it changes.
+// Roster is the settings file of a list service, which reads it again after each change.
 type Roster struct {
 	Kind    string        `json:"kind"`
 	Listen  string        `json:"listen"`
@@ -287,7 +293,7 @@
 	Entries []RosterEntry `json:"entries"`
 }
 
-// ZoneIndex returns a zone's place among the zones; below 0 if it is none of them.
+// ZoneIndex returns the index of a zone in Zones; -1 if it is not there.
 func (s *Service) ZoneIndex(zone string) int {
 	for i, z := range s.Zones {
 		if z == zone {
@@ -298,31 +304,31 @@
 }
 
 var (
-	repeats = map[string]control.Repeat{"retryable": control.Retryable, "deduplicated": control.Deduplicated,
+	repeatByName = map[string]control.Repeat{"retryable": control.Retryable, "deduplicated": control.Deduplicated,
 		"once-only": control.OnceOnly}
-	groups = map[string]control.Group{"": control.GroupAll, "all": control.GroupAll, "zone": control.GroupZone,
+	groupByName = map[string]control.Group{"": control.GroupAll, "all": control.GroupAll, "zone": control.GroupZone,
 		"pack": control.GroupPack}
-	agains = map[string]control.Again{"": control.Never, "never": control.Never, "if-unrun": control.IfUnrun,
+	retryPolicyByName = map[string]control.Again{"": control.Never, "never": control.Never, "if-unrun": control.IfUnrun,
 		"once": control.OnceMore, "twice": control.TwiceMore}
-	measures = map[string]control.Measure{"cpu_utilization": control.Util, "inflight": control.Inflight,
+	measureByName = map[string]control.Measure{"cpu_utilization": control.Util, "inflight": control.Inflight,
 		"queue": control.Queue, "latency_ms": control.Latency, "rps_fractional": control.Rate, "eps": control.ErrorRate}
 )
 
-// Types returns the op types as the module reads them.
+// Types returns the op types in the form that the control package uses.
 func (s *Service) Types() []control.OpType {
 	out := make([]control.OpType, len(s.OpTypes))
 	for i, t := range s.OpTypes {
 		out[i] = control.OpType{TargetLatency: t.TargetLatency.AsDuration(), OpTimeout: t.OpTimeout.AsDuration(), Revenue: t.Revenue,
-			LateShare: t.LateShare, Repeat: repeats[t.Repeat], Group: groups[t.Group], DedupWindow: t.DedupWindow.AsDuration(),
+			LateShare: t.LateShare, Repeat: repeatByName[t.Repeat], Group: groupByName[t.Group], DedupWindow: t.DedupWindow.AsDuration(),
 			OwnZoneOnly: t.OwnZoneOnly, Writes: t.Writes}
 	}
 	return out
 }
 
-// DefaultRetryPolicy returns how tries are repeated where no level says.
-func (s *Service) DefaultRetryPolicy() control.Again { return agains[s.DefaultRetries] }
+// DefaultRetryPolicy returns the retry policy of op types whose level does not include one.
+func (s *Service) DefaultRetryPolicy() control.Again { return retryPolicyByName[s.DefaultRetries] }
 
-// ControlConfig are what the pilot's module is told at its start.
+// ControlConfig returns the configuration of the controller, the part of a pilot that makes the decisions.
 func (p *Pilot) ControlConfig() control.Facts {
 	s, l, c := &p.Service, &p.Limits, &p.Channel
 	f := control.Facts{
@@ -330,28 +336,29 @@
 		OpTypes: s.Types(), Tick: p.Tick.AsDuration(), Levels: control.LevelShare,
 		OutlierAfter: s.OutlierAfter, Bootstrap: s.Bootstrap, Proxies: p.Proxies, MessageLines: float64(c.MessageLines),
 		LinesPerSecond: c.LinesPerSecond, MostWaiting: float64(c.MaxWaitingLines - p.ReservedLines()),
-		MessageCap:     max(0, c.MessageCap-1), // one is the pilot's own
+		MessageCap:     max(0, c.MessageCap-1), // one message is reserved for the pilot itself
 		MessageCapOver: c.MessageCapPeriod.AsDuration(), PushDelayMost: c.MaxPushDelay.AsDuration(),
 		ReportEvery: s.ReportEvery.AsDuration(), ReportLinesPerS: c.ReportLinesPerSecond,
 		CrossZonePrice: s.CrossZonePrice, ListedWeights: true, ColdFor: l.ColdFor.AsDuration(),
-		ColdShare: l.ColdShare, DrainGrace: l.DrainGrace.AsDuration(), AcrossCells: s.acrossCells(), PackWrites: s.packWrites(),
+		ColdShare: l.ColdShare, DrainGrace: l.DrainGrace.AsDuration(), AcrossCells: s.typesAcrossCells(), PackWrites: s.writesToPack(),
 	}
 	for _, m := range s.Measures {
-		f.Measures = append(f.Measures, measures[m])
+		f.Measures = append(f.Measures, measureByName[m])
 	}
 	return f
 }
 
-// noticeShare is the part of the lines that may wait that the module is not told of, one in so many: it is for what the pilot
-// tells proxies by itself.
-const noticeShare = 16
+// reservedShare determines how many waiting lines the controller must not use: one in reservedShare of MaxWaitingLines,
+// for messages that the pilot sends to proxies on its own.
+const reservedShare = 16
 
-// ReservedLines is how many lines of its own a pilot may have written and not had confirmed: enough for one message at least.
+// ReservedLines returns the maximum number of unconfirmed lines that the pilot itself may have sent, outside the
+// controller's decisions; at least enough for one message.
 func (p *Pilot) ReservedLines() int {
-	return max(p.Channel.MaxWaitingLines/noticeShare, p.Channel.MessageLines+len(p.Service.OpTypes))
+	return max(p.Channel.MaxWaitingLines/reservedShare, p.Channel.MessageLines+len(p.Service.OpTypes))
 }
 
-// ParseMode reads a mode as the list has it; an empty one is ready.
+// ParseMode parses the mode of an endpoint as the list gives it; an empty string means ready.
 func ParseMode(s string) (control.Mode, error) {
 	switch s {
 	case "", "ready":
@@ -361,5 +368,5 @@
 	case "gone":
 		return control.Gone, nil
 	}
-	return 0, fmt.Errorf("mode %q is none of ready, draining, gone", s)
+	return 0, fmt.Errorf("mode %q is not one of ready, draining, gone", s)
 }
--- a/files/groups.go
+++ b/files/groups.go
@@ -9,8 +9,8 @@
 	"vetchdoor/tenancy"
 )
 
-// WriteGroups returns the groups among which writes are drawn that are deduplicated by pack, and those for writes that are
-// deduplicated by zone.
+// WriteGroups returns the groups among which writes are distributed: the packs for writes with deduplication by pack,
+// and the zones for those with deduplication by zone.
 func (s *Service) WriteGroups() (packs, zones tenancy.Groups) {
 	now, next := s.packIDs(s.WritePacks), s.packIDs(s.WritePacksNext)
 	if len(next) > 0 {
@@ -28,7 +28,7 @@
 	return ids
 }
 
-// zoneIDs are the zones of packs, or all of the service's where no pack is named.
+// zoneIDs returns the zones of the packs, or all zones of the service if there are no packs.
 func (s *Service) zoneIDs(packs []tenancy.PodID) (ids []tenancy.PodID) {
 	for _, p := range packs {
 		ids = append(ids, tenancy.ZoneOf(p))
@@ -41,18 +41,18 @@
 	return ids
 }
 
-// HasWriteGroup tells whether writes of a type go to groups that the settings name.
+// HasWriteGroup reports whether writes of an op type go to one of the configured groups of servers.
 func HasWriteGroup(t control.OpType) bool {
 	return t.Repeat == control.Deduplicated && t.Group != control.GroupAll
 }
 
-// groupedByPack tells whether writes of a type go to one pack of those that the settings name.
+// groupedByPack reports whether writes of an op type go to one of the configured packs.
 func groupedByPack(t control.OpType) bool {
 	return HasWriteGroup(t) && t.Group == control.GroupPack
 }
 
-// acrossCells returns, by bit, the op types whose group may be in any cell.
-func (s *Service) acrossCells() (mask uint16) {
+// acrossCells returns the op types whose group may be in any cell, as a bit mask over the op type numbers.
+func (s *Service) typesAcrossCells() (mask uint16) {
 	for i, t := range s.Types() {
 		if groupedByPack(t) || HasWriteGroup(t) && len(s.Zones) > 1 && !t.OwnZoneOnly {
 			mask |= 1 << i
@@ -61,12 +61,13 @@
 	return mask
 }
 
-// packWrites tells whether writes of some type go to one pack.
-func (s *Service) packWrites() bool {
+// packWrites reports whether writes of any op type go to one pack.
+func (s *Service) writesToPack() bool {
 	return slices.ContainsFunc(s.Types(), groupedByPack)
 }
 
-// UnplaceableOpTypes returns the names of the op types whose writes no proxy can place, for no pack is named.
+// UnplaceableOpTypes returns the names of the op types whose writes no proxy can send, because they need a pack and no
+// packs are configured.
 func (s *Service) UnplaceableOpTypes() (names []string) {
 	if len(s.WritePacks) > 0 {
 		return nil
@@ -79,25 +80,25 @@
 	return names
 }
 
-// packsContradict checks the packs that writes are drawn among.
-func (s *Service) packsContradict(at string) *ValidationError {
+// checkPacks validates the packs for writes, current and next.
+func (s *Service) checkPacks(pointer string) *ValidationError {
 	if len(s.WritePacks) == 0 && len(s.WritePacksNext) > 0 {
-		return fault(at+"/write_packs_next", len(s.WritePacksNext), "none where write_packs is not given")
+		return invalid(pointer+"/write_packs_next", len(s.WritePacksNext), "none, because write_packs is not given")
 	}
-	if f := s.packListsContradict(at+"/write_packs", s.WritePacks); f != nil {
+	if f := s.checkPackLists(pointer+"/write_packs", s.WritePacks); f != nil {
 		return f
 	}
-	return s.packListsContradict(at+"/write_packs_next", s.WritePacksNext)
+	return s.checkPackLists(pointer+"/write_packs_next", s.WritePacksNext)
 }
 
-// packListsContradict checks the packs of each zone: the zone is one of the service's, and no pack stands twice.
-func (s *Service) packListsContradict(at string, byZone map[string][]int) *ValidationError {
+// checkPackLists checks that each zone is one of the service and lists no pack twice.
+func (s *Service) checkPackLists(pointer string, byZone map[string][]int) *ValidationError {
 	for _, zone := range slices.Sorted(maps.Keys(byZone)) {
-		here, packs := at+"/"+zone, byZone[zone]
-		if f := s.zone(here, zone); f != nil {
+		itemPointer, packs := pointer+"/"+zone, byZone[zone]
+		if f := s.checkZone(itemPointer, zone); f != nil {
 			return f
 		}
-		if f := twice(here, len(packs), func(i int) string { return strconv.Itoa(packs[i]) }); f != nil {
+		if f := checkUnique(itemPointer, len(packs), func(i int) string { return strconv.Itoa(packs[i]) }); f != nil {
 			return f
 		}
 	}
--- a/files/groups_test.go
+++ b/files/groups_test.go
@@ -7,8 +7,9 @@
 	"vetchdoor/files"
 )
 
-// Writes that are deduplicated by pack are the only ones that need packs to be named.
-func TestUnplaced(t *testing.T) {
+// Only writes with deduplication by pack need configured packs, and the controller is told whether there are such
+// writes.
+func TestUnplaceableOpTypes(t *testing.T) {
 	service := &files.Service{Zones: []string{"a"}, OpTypes: []files.OpType{
 		{Name: "by pack", Repeat: "deduplicated", Group: "pack"},
 		{Name: "by zone", Repeat: "deduplicated", Group: "zone"},
@@ -16,17 +17,17 @@
 		{Name: "not deduplicated", Repeat: "retryable", Group: "pack"},
 	}}
 	if names := service.UnplaceableOpTypes(); !slices.Equal(names, []string{"by pack"}) {
-		t.Errorf("without packs %q are not placed", names)
+		t.Errorf("without packs the unplaceable op types are %q", names)
 	}
 	if pilot := (&files.Pilot{Service: *service}); !pilot.ControlConfig().PackWrites {
-		t.Error("the module is not told that writes go to one pack")
+		t.Error("the controller is not told that writes go to one pack")
 	}
 	service.WritePacks = map[string][]int{"a": {1}}
 	if names := service.UnplaceableOpTypes(); names != nil {
-		t.Errorf("with packs %q are not placed", names)
+		t.Errorf("with packs the unplaceable op types are %q", names)
 	}
 	service.OpTypes = service.OpTypes[1:]
 	if pilot := (&files.Pilot{Service: *service}); pilot.ControlConfig().PackWrites {
-		t.Error("the module is told that writes go to one pack where none do")
+		t.Error("the controller is told that writes go to one pack, but none do")
 	}
 }
--- a/files/read.go
+++ b/files/read.go
@@ -21,19 +21,19 @@
 //go:embed schema.json
 var schemaText []byte
 
-// Kinds are the kinds of files, by the value of their "kind".
+// Kinds lists the kinds of settings files: the allowed values of the key "kind".
 var Kinds = []string{"pilot", "proxy", "node", "roster", "day"}
 
-// most bytes of a file, and levels of nesting
+// Limits of a file: its size in bytes, and the depth of nesting.
 const (
-	mostBytes = 64 << 20
-	mostDeep  = 64
+	maxFileBytes = 64 << 20
+	maxNesting   = 64
 )
 
-// ValidationError is what is wrong with a file.
+// ValidationError describes the first value of a file that is not allowed.
 type ValidationError struct {
 	File    string
-	Pointer string // JSON pointer; empty for the whole
+	Pointer string // JSON pointer to the value; empty for the whole file
 	Found   string
 	Allowed string
 }
@@ -50,7 +50,7 @@
 	return s
 }
 
-var compiled = sync.OnceValues(func() (map[string]*jsonschema.Schema, error) {
+var compiledSchemas = sync.OnceValues(func() (map[string]*jsonschema.Schema, error) {
 	doc, err := jsonschema.UnmarshalJSON(bytes.NewReader(schemaText))
 	if err != nil {
 		return nil, err
@@ -70,10 +70,10 @@
 	return out, nil
 })
 
-// SchemaOf returns the JSON Schema of a kind of file.
+// SchemaOf returns the JSON Schema of a kind of file. It fails if the kind is unknown.
 func SchemaOf(kind string) ([]byte, error) {
-	if !known(kind) {
-		return nil, fmt.Errorf("no kind %q; there are %s", kind, strings.Join(Kinds, ", "))
+	if !isKind(kind) {
+		return nil, fmt.Errorf("unknown kind %q; the kinds are %s", kind, strings.Join(Kinds, ", "))
 	}
 	var doc struct {
 		Schema string                     `json:"$schema"`
@@ -92,7 +92,7 @@
 	return json.MarshalIndent(doc, "", "  ")
 }
 
-func known(kind string) bool {
+func isKind(kind string) bool {
 	for _, k := range Kinds {
 		if k == kind {
 			return true
@@ -101,23 +101,24 @@
 	return false
 }
 
-// Read reads a file of one kind into to, which points to the kind's struct.
-func Read(path, kind string, to any) error {
-	data, err := load(path)
+// Read reads the file of one kind into target, which must point to the struct of that kind. Errors in the contents are
+// ValidationErrors.
+func Read(path, kind string, target any) error {
+	data, err := readFile(path)
 	if err != nil {
 		return err
 	}
-	return Parse(path, data, kind, to)
+	return Parse(path, data, kind, target)
 }
 
-func load(path string) ([]byte, error) {
+func readFile(path string) ([]byte, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, err
 	}
 	defer f.Close()
-	data, err := io.ReadAll(io.LimitReader(f, mostBytes+1))
-	if err == nil && len(data) > mostBytes {
+	data, err := io.ReadAll(io.LimitReader(f, maxFileBytes+1))
+	if err == nil && len(data) > maxFileBytes {
 		err = &ValidationError{File: path, Found: "over 64 MiB", Allowed: "less"}
 	}
 	if err != nil && !errors.As(err, new(*ValidationError)) {
@@ -126,30 +127,30 @@
 	return data, err
 }
 
-// Check reads a file of whatever kind it says it is and returns that kind.
+// Check reads a file of any kind and returns the kind, or the first error.
 func Check(path string) (string, error) {
-	data, err := load(path)
+	data, err := readFile(path)
 	if err != nil {
 		return "", err
 	}
-	var to any
+	var target any
 	k, err := kindOf(path, data)
 	if err != nil {
 		return "", err
 	}
 	switch k {
 	case "pilot":
-		to = &Pilot{}
+		target = &Pilot{}
 	case "proxy":
-		to = &Proxy{}
+		target = &Proxy{}
 	case "node":
-		to = &Node{}
+		target = &Node{}
 	case "roster":
-		to = &Roster{}
+		target = &Roster{}
 	case "day":
-		to = &Day{}
+		target = &Day{}
 	}
-	return k, Parse(path, data, k, to)
+	return k, Parse(path, data, k, target)
 }
 
 func kindOf(path string, data []byte) (string, error) {
@@ -160,31 +161,32 @@
 		Kind json.RawMessage `json:"kind"`
 	}
 	if err := json.Unmarshal(data, &head); err != nil {
-		return "", &ValidationError{File: path, Found: "no JSON object", Allowed: "one with a \"kind\""}
+		return "", &ValidationError{File: path, Found: "not a JSON object", Allowed: "a JSON object with a \"kind\""}
 	}
 	var k string
-	if json.Unmarshal(head.Kind, &k) != nil || !known(k) {
+	if json.Unmarshal(head.Kind, &k) != nil || !isKind(k) {
 		found := "none"
 		if len(head.Kind) > 0 {
-			found = clip(string(head.Kind))
+			found = truncate(string(head.Kind))
 		}
 		return "", &ValidationError{File: path, Pointer: "/kind", Found: found, Allowed: "one of " + strings.Join(Kinds, ", ")}
 	}
 	return k, nil
 }
 
-// CheckSyntax looks over a file before anything is built from it: empty, torn, nested without end, a key twice.
+// CheckSyntax checks the JSON syntax of data before it is decoded. It rejects empty or truncated data, data after the
+// first object, nesting deeper than maxNesting levels, and duplicate keys in an object.
 func CheckSyntax(path string, data []byte) error {
 	if len(bytes.TrimSpace(data)) == 0 {
 		return &ValidationError{File: path, Found: "an empty file", Allowed: "a JSON object"}
 	}
 	dec := json.NewDecoder(bytes.NewReader(data))
 	dec.UseNumber()
-	type level struct {
-		keys map[string]bool // nil: an array
-		key  bool            // the next string is a key
+	type container struct {
+		keys map[string]bool // nil for an array
+		key  bool            // whether the next string is a key
 	}
-	var stack []level
+	var stack []container
 	for {
 		tok, err := dec.Token()
 		if err == io.EOF && len(stack) == 0 {
@@ -192,32 +194,32 @@
 		}
 		if err != nil {
 			line := 1 + bytes.Count(data[:min(int(dec.InputOffset()), len(data))], []byte("\n"))
-			what := "no JSON (" + err.Error() + ")"
+			what := "invalid JSON (" + err.Error() + ")"
 			if err == io.EOF || errors.Is(err, io.ErrUnexpectedEOF) {
-				what = "a file that ends in the midst"
+				what = "a truncated file"
 			}
-			return &ValidationError{File: path, Found: fmt.Sprintf("%s, line %d", what, line), Allowed: "one whole JSON object"}
+			return &ValidationError{File: path, Found: fmt.Sprintf("%s, line %d", what, line), Allowed: "a complete JSON object"}
 		}
 		top := len(stack) - 1
 		if s, ok := tok.(string); ok && top >= 0 && stack[top].key {
 			if stack[top].keys[s] {
-				return &ValidationError{File: path, Found: fmt.Sprintf("the key %q twice in one object", s), Allowed: "once"}
+				return &ValidationError{File: path, Found: fmt.Sprintf("the key %q twice in an object", s), Allowed: "once"}
 			}
 			stack[top].keys[s], stack[top].key = true, false
 			continue
 		}
 		switch tok {
 		case json.Delim('{'):
-			stack = append(stack, level{keys: map[string]bool{}, key: true})
+			stack = append(stack, container{keys: map[string]bool{}, key: true})
 		case json.Delim('['):
-			stack = append(stack, level{})
+			stack = append(stack, container{})
 		case json.Delim('}'), json.Delim(']'):
 			if stack = stack[:top]; len(stack) == 0 && dec.More() {
-				return &ValidationError{File: path, Found: "something after the JSON object", Allowed: "nothing"}
+				return &ValidationError{File: path, Found: "data after the JSON object", Allowed: "nothing"}
 			}
 		}
-		if len(stack) > mostDeep {
-			return &ValidationError{File: path, Found: fmt.Sprintf("more than %d levels of nesting", mostDeep), Allowed: "fewer"}
+		if len(stack) > maxNesting {
+			return &ValidationError{File: path, Found: fmt.Sprintf("more than %d levels of nesting", maxNesting), Allowed: "fewer"}
 		}
 		if top = len(stack) - 1; top >= 0 && stack[top].keys != nil {
 			stack[top].key = true
@@ -225,8 +227,9 @@
 	}
 }
 
-// Parse reads the bytes of a file of one kind into to.
-func Parse(path string, data []byte, kind string, to any) error {
+// Parse decodes and validates the contents of a file of one kind into target, which must point to the struct of that
+// kind. The path is only used in errors.
+func Parse(path string, data []byte, kind string, target any) error {
 	k, err := kindOf(path, data)
 	if err != nil {
 		return err
@@ -234,26 +237,26 @@
 	if k != kind {
 		return &ValidationError{File: path, Pointer: "/kind", Found: strconv.Quote(k), Allowed: strconv.Quote(kind)}
 	}
-	schemas, err := compiled()
+	schemas, err := compiledSchemas()
 	if err != nil {
 		return err
 	}
 	doc, err := jsonschema.UnmarshalJSON(bytes.NewReader(data))
 	if err != nil {
-		return &ValidationError{File: path, Found: "no JSON (" + err.Error() + ")", Allowed: "a JSON object"}
+		return &ValidationError{File: path, Found: "invalid JSON (" + err.Error() + ")", Allowed: "a JSON object"}
 	}
 	if err := schemas[kind].Validate(doc); err != nil {
 		var v *jsonschema.ValidationError
 		if errors.As(err, &v) {
-			return faultOf(path, doc, v)
+			return newValidationError(path, doc, v)
 		}
 		return fmt.Errorf("%s: %w", path, err)
 	}
-	if err := json.Unmarshal(data, to); err != nil {
-		return &ValidationError{File: path, Found: clip(err.Error()), Allowed: "what vetchdoor schema " + kind + " prints"}
+	if err := json.Unmarshal(data, target); err != nil {
+		return &ValidationError{File: path, Found: truncate(err.Error()), Allowed: "what vetchdoor schema " + kind + " prints"}
 	}
-	if c, ok := to.(interface{ contradictions() *ValidationError }); ok {
-		if f := c.contradictions(); f != nil {
+	if c, ok := target.(interface{ checkConsistency() *ValidationError }); ok {
+		if f := c.checkConsistency(); f != nil {
 			f.File = path
 			return f
 		}
@@ -261,8 +264,8 @@
 	return nil
 }
 
-// faultOf picks the first leaf, in document order, of what the schema does not allow.
-func faultOf(path string, doc any, v *jsonschema.ValidationError) *ValidationError {
+// newValidationError converts the first schema violation, in the order of the JSON pointers.
+func newValidationError(path string, doc any, v *jsonschema.ValidationError) *ValidationError {
 	var leaves []*jsonschema.ValidationError
 	var walk func(*jsonschema.ValidationError)
 	walk = func(e *jsonschema.ValidationError) {
@@ -274,15 +277,15 @@
 		}
 	}
 	walk(v)
-	sort.SliceStable(leaves, func(i, j int) bool { return pointer(leaves[i]) < pointer(leaves[j]) })
+	sort.SliceStable(leaves, func(i, j int) bool { return instancePointer(leaves[i]) < instancePointer(leaves[j]) })
 	e := leaves[0]
-	f := &ValidationError{File: path, Pointer: pointer(e), Found: clip(at(doc, e.InstanceLocation))}
+	f := &ValidationError{File: path, Pointer: instancePointer(e), Found: truncate(valueAt(doc, e.InstanceLocation))}
 	number := func(r *big.Rat) string { return strings.TrimSuffix(r.FloatString(3), ".000") }
 	switch k := e.ErrorKind.(type) {
 	case *kind.AdditionalProperties:
 		sort.Strings(k.Properties)
-		f.Pointer += "/" + escape(k.Properties[0])
-		f.Found, f.Allowed = "a key that is not known", "only what the schema names"
+		f.Pointer += "/" + escapePointer(k.Properties[0])
+		f.Found, f.Allowed = "an unknown key", "only keys in the schema"
 	case *kind.Required:
 		sort.Strings(k.Missing)
 		f.Pointer += "/" + k.Missing[0]
@@ -290,7 +293,7 @@
 	case *kind.Type:
 		f.Allowed = "of type " + strings.Join(k.Want, " or ")
 	case *kind.Pattern:
-		f.Allowed = patternWords(k.Want)
+		f.Allowed = describePattern(k.Want)
 	case *kind.Enum:
 		var want []string
 		for _, w := range k.Want {
@@ -308,7 +311,7 @@
 	case *kind.MaxItems:
 		f.Found, f.Allowed = fmt.Sprintf("%d items", k.Got), fmt.Sprintf("%d or fewer", k.Want)
 	default:
-		f.Allowed = "what the schema says: " + e.Error()
+		f.Allowed = "what the schema requires: " + e.Error()
 	}
 	if strings.HasPrefix(f.Allowed, "of type string") && strings.Contains(e.SchemaURL, "duration") {
 		f.Allowed = `a time such as "750ms" or "2s"`
@@ -316,7 +319,7 @@
 	return f
 }
 
-func patternWords(p string) string {
+func describePattern(p string) string {
 	switch {
 	case strings.Contains(p, "us|ms|s|m"):
 		return `a time such as "750ms" or "2s"`
@@ -327,24 +330,24 @@
 	case strings.Contains(p, "{1,64}"):
 		return "a name of up to 64 letters, digits, dots, dashes and underscores"
 	}
-	return "what matches " + p
+	return "text that matches " + p
 }
 
-func escape(s string) string {
+func escapePointer(s string) string {
 	return strings.ReplaceAll(strings.ReplaceAll(s, "~", "~0"), "/", "~1")
 }
 
-func pointer(e *jsonschema.ValidationError) string {
+func instancePointer(e *jsonschema.ValidationError) string {
 	s := ""
 	for _, part := range e.InstanceLocation {
-		s += "/" + escape(part)
+		s += "/" + escapePointer(part)
 	}
 	return s
 }
 
-// at returns the JSON text of what stands at a place.
-func at(doc any, place []string) string {
-	for _, part := range place {
+// valueAt returns the JSON text of the value at a location in the document.
+func valueAt(doc any, location []string) string {
+	for _, part := range location {
 		switch v := doc.(type) {
 		case map[string]any:
 			doc = v[part]
@@ -363,7 +366,7 @@
 	return string(b)
 }
 
-func clip(s string) string {
+func truncate(s string) string {
 	s = strings.Join(strings.Fields(s), " ")
 	if len(s) > 80 {
 		s = s[:77] + "..."
--- a/files/replace.go
+++ b/files/replace.go
@@ -6,7 +6,7 @@
 	"path/filepath"
 )
 
-// WriteFileAtomic writes a file so that a reader finds the old one or the new one, whenever the machine stops.
+// WriteFileAtomic replaces a file so that readers find either the old or the new contents, even after a crash.
 func WriteFileAtomic(path string, text []byte) error {
 	f, err := os.CreateTemp(filepath.Dir(path), filepath.Base(path)+".new-*")
 	if err != nil {
