--- a/logbook/book.go
+++ b/logbook/book.go
@@ -11,38 +11,39 @@
 	"vetchdoor/record"
 )
 
-// Run is one run of one pilot.
+// Run identifies one run of one pilot.
 type Run struct {
 	Pilot string
 	ID    uint64
 }
 
-// Gap is what is missing of a run: the numbers from and to, both missing.
+// Gap is a range of missing sequence numbers of a run; From and To are both missing.
 type Gap struct {
 	Run
 	From, To uint64
-	After    time.Time // when the last record before it was written
+	After    time.Time // time of the last record before the gap; zero if there is none
 }
 
-// Log is an evening, in order.
+// Log is the merged log of any number of pilots and other programs, in order.
 type Log struct {
 	Entries    []*Entry
 	Gaps       []Gap
 	Malformed  int
-	Duplicates int // records that were there more than once
-	// Suppressed and Lost are what the logs themselves say was kept back or dropped.
+	Duplicates int // number of repeated records, which are left out of Entries
+	// Suppressed and Lost are the numbers of records that the log itself reports as suppressed or dropped.
 	Suppressed, Lost uint64
-	confirms         map[confirmKey]*Entry
+	confirmations    map[confirmationKey]*Entry
 }
 
-type confirmKey struct {
+type confirmationKey struct {
 	Run
 	checkpoint string
 }
 
-// Merge sorts entries into a book: records of a run by their numbers, all by time.
+// Merge sorts entries into a Log and finds duplicates and gaps. Records of one run are ordered by sequence number, all
+// others by time.
 func Merge(entries []*Entry) *Log {
-	b := &Log{confirms: map[confirmKey]*Entry{}}
+	b := &Log{confirmations: map[confirmationKey]*Entry{}}
 	seen := map[Run]map[uint64]*Entry{}
 	for _, e := range entries {
 		if e.ParseError != nil {
@@ -58,7 +59,7 @@
 			}
 			seen[run][e.Sequence] = e
 			if e.Kind == record.Confirmation {
-				b.confirms[confirmKey{run, e.Params[record.Checkpoint]}] = e
+				b.confirmations[confirmationKey{run, e.Params[record.Checkpoint]}] = e
 			}
 		}
 		switch e.Kind {
@@ -95,22 +96,22 @@
 	return b
 }
 
-// run is the run that an entry is a record of.
+// run returns the run that the entry is a record of; false if it is not a record of a run.
 func (e *Entry) run() (Run, bool) {
 	return Run{e.Params[record.Pilot], e.Run}, e.Run > 0 && e.Sequence > 0
 }
 
-// Confirmation returns what the proxies said of the messages that carried a decision; nil: nothing is known.
+// Confirmation returns the record of how many proxies confirmed the checkpoint of a decision; nil if there is none.
 func (b *Log) Confirmation(e *Entry) *Entry {
 	run, ok := e.run()
 	c := e.Params[record.Checkpoint]
 	if !ok || c == "" || e.Kind == record.Confirmation {
 		return nil
 	}
-	return b.confirms[confirmKey{run, c}]
+	return b.confirmations[confirmationKey{run, c}]
 }
 
-// Missing is how many records are not there.
+// Missing returns the number of missing records.
 func (b *Log) Missing() (n uint64) {
 	for _, g := range b.Gaps {
 		n += g.To - g.From + 1
@@ -118,7 +119,7 @@
 	return n
 }
 
-// String writes a gap for people.
+// String describes the gap in one line.
 func (g Gap) String() string {
 	when := ""
 	if !g.After.IsZero() {
@@ -127,10 +128,11 @@
 	return fmt.Sprintf("%d records of %s, run %d, are missing%s: %d to %d", g.To-g.From+1, g.Pilot, g.Run.ID, when, g.From, g.To)
 }
 
-// Format writes an entry for people: time, pilot, kind, what, reason and evidence, and what the proxies said.
+// Format returns the entry as one line for people: time, pilot, kind, parameters, reason with the value and its limit,
+// and the number of proxies that confirmed it.
 func (b *Log) Format(e *Entry) string {
 	if e.ParseError != nil {
-		return fmt.Sprintf("%s:%d: broken (%v): %.200q", e.File, e.LineNumber, e.ParseError, e.Raw)
+		return fmt.Sprintf("%s:%d: malformed (%v): %.200q", e.File, e.LineNumber, e.ParseError, e.Raw)
 	}
 	p := e.Params
 	s := e.EventTime().Format("15:04:05.000") + " " + cmp.Or(p[record.Pilot], e.Host, "-")
--- a/logbook/entry.go
+++ b/logbook/entry.go
@@ -1,6 +1,7 @@
-// Package logbook reads back what the programs logged: it takes RFC 5424 lines, and other programs' of the older form, sorts
-// an evening of many pilots by their runs and records' numbers, finds what is missing, joins decisions to the proxies that
-// confirmed them, and draws a node's evening. Read makes a Book; Compile makes a filter.
+// Package logbook reads back the logs of pilots and proxies. It parses RFC 5424 lines, and RFC 3164 lines of other
+// programs, merges the logs of several pilots in the order of their runs and sequence numbers, finds missing records,
+// matches decisions with the confirmations of proxies, and draws the timeline of a node. Merge returns a Log; Compile
+// returns a Filter.
 package logbook
 
 import (
@@ -24,26 +25,26 @@
 	File       string
 	LineNumber int
 	Raw        string
-	ParseError error // it is no syslog line; the rest is empty but for Text
+	ParseError error // not nil if the line is no syslog message; then only File, LineNumber, Raw and Text are set
 	Time       time.Time
 	Severity   syslog.Severity
 	Host       string
 	App        string
 	Kind       string            // MSGID
-	Params     map[string]string // of all elements; those of decision win
+	Params     map[string]string // parameters of all elements; those of the element "decision" take precedence
 	Text       string
 
-	Run, Sequence uint64        // of a record of ours; 0: none
-	At            time.Duration // since its pilot's start
+	Run, Sequence uint64        // run and sequence number of a pilot's record; 0 if there are none
+	At            time.Duration // time since the start of the pilot
 }
 
-// Reader turns lines into entries; one goroutine's own.
+// Reader parses lines into entries. It must not be used by several goroutines at once.
 type Reader struct {
 	newer func([]byte) (*Entry, error)
 	older func([]byte) (*Entry, error)
 }
 
-// NewReader makes a reader. The year of lines that bear none is the present one.
+// NewReader returns a Reader. Lines without a year get the current one.
 func NewReader() *Reader {
 	n := rfc5424.NewParser()
 	o := rfc3164.NewParser(rfc3164.WithYear(rfc3164.CurrentYear{}), rfc3164.WithRFC3339())
@@ -55,7 +56,7 @@
 			}
 			x, ok := m.(*rfc5424.SyslogMessage)
 			if !ok || x.Priority == nil {
-				return nil, errors.New("no message")
+				return nil, errors.New("not a syslog message")
 			}
 			e := &Entry{Severity: syslog.Severity(*x.Priority & 7), Host: deref(x.Hostname), App: deref(x.Appname), Kind: deref(x.MsgID),
 				Text: strings.TrimPrefix(deref(x.Message), "\ufeff"), Params: map[string]string{}}
@@ -86,7 +87,7 @@
 			}
 			x, ok := m.(*rfc3164.SyslogMessage)
 			if !ok || x.Priority == nil {
-				return nil, errors.New("no message")
+				return nil, errors.New("not a syslog message")
 			}
 			e := &Entry{Severity: syslog.Severity(*x.Priority & 7), Host: deref(x.Hostname), App: deref(x.Appname), Text: deref(x.Message),
 				Params: map[string]string{}}
@@ -105,17 +106,17 @@
 	return *s
 }
 
-// mostLine bounds a line; what is longer is broken.
-const mostLine = 1 << 20
+// maxLineBytes is the maximum length of a line; a longer one is malformed.
+const maxLineBytes = 1 << 20
 
-// Parse reads a line. It never fails: what is no syslog is an entry that says so.
+// Parse parses a line. It never fails: for a line that is no syslog message, ParseError is set in the entry.
 func (r *Reader) Parse(line string) (e *Entry) {
 	defer func() {
-		if p := recover(); p != nil { // a parser that is not ours, and lines that anybody may have written
-			e = &Entry{Raw: line, Text: line, ParseError: fmt.Errorf("the parser failed: %v", p)}
+		if p := recover(); p != nil { // the parser is a third-party library, and the lines may come from anyone
+			e = &Entry{Raw: line, Text: line, ParseError: fmt.Errorf("the parser panicked: %v", p)}
 		}
 	}()
-	if count, rest, ok := strings.Cut(line, " "); ok { // a frame with its octets counted, as it went over TCP
+	if count, rest, ok := strings.Cut(line, " "); ok { // a frame with an octet count, as sent over TCP
 		if _, err := strconv.ParseUint(count, 10, 32); err == nil && strings.HasPrefix(rest, "<") {
 			line = rest
 		}
@@ -136,10 +137,10 @@
 	return e
 }
 
-// ReadLines calls each for every line of a stream that is not empty.
+// ReadLines calls each for every line of a stream that is not empty. It returns the first read error, with the name.
 func (r *Reader) ReadLines(name string, in io.Reader, each func(*Entry)) error {
 	b := bufio.NewReaderSize(in, 1<<16)
-	var last time.Time // for lines that bear none
+	var last time.Time // time of the previous line, for lines without one
 	for n := 1; ; n++ {
 		line, long, err := readLine(b)
 		if line != "" {
@@ -163,23 +164,25 @@
 	}
 }
 
-// readLine reads a line of any length and keeps no more than its bound.
+// readLine reads a line of any length, but keeps little more than maxLineBytes of it; long is true if the line is
+// longer.
 func readLine(b *bufio.Reader) (line string, long bool, err error) {
 	var kept []byte
 	for {
 		piece, err := b.ReadSlice('\n')
-		if len(kept) < mostLine {
+		if len(kept) < maxLineBytes {
 			kept = append(kept, piece...)
 		} else {
 			long = true
 		}
 		if err != bufio.ErrBufferFull {
-			return strings.TrimRight(string(kept), "\r\n"), long || len(kept) > mostLine, err
+			return strings.TrimRight(string(kept), "\r\n"), long || len(kept) > maxLineBytes, err
 		}
 	}
 }
 
-// EventTime is the entry's place in time: for a record of a run its pilot's own clock, which does not step; else the line's.
+// EventTime returns the time by which the entry is ordered: for a record of a run the time by its pilot's monotonic
+// clock, otherwise the time of the line.
 func (e *Entry) EventTime() time.Time {
 	if e.Run > 0 && e.Sequence > 0 {
 		return time.UnixMicro(int64(e.Run)).Add(e.At)
@@ -187,7 +190,7 @@
 	return e.Time
 }
 
-// Get returns a field: one of the line's own, or a parameter.
+// Get returns the value of a field, which is either a field of the line or a parameter; empty if there is none.
 func (e *Entry) Get(field string) string {
 	switch field {
 	case "kind":
--- a/logbook/filter.go
+++ b/logbook/filter.go
@@ -15,9 +15,10 @@
 	"vetchdoor/syslog"
 )
 
-// The language of filters: comparisons of a field with a value (= != < <= > >= ~, the last a regular expression), field in
-// (a, b), and, or, not, parentheses. A value with blanks or signs stands in quotes. `at` compares with a time of day, a
-// date and time, or a span since the pilot's start; `severity` by gravity; other values as numbers where both are.
+// Syntax tree of a filter. A filter consists of comparisons of a field with a value (= != < <= > >= and ~ for a regular
+// expression), "field in (a, b)", "and", "or", "not" and parentheses. A value with spaces or operators must be quoted.
+// The field "at" compares with a time of day, a date and time, or a duration since the pilot's start; "severity"
+// compares by importance; other values compare as numbers if both sides are numbers, otherwise as text.
 type (
 	orNode struct {
 		And []*andNode `parser:"@@ ( 'or' @@ )*"`
@@ -26,11 +27,11 @@
 		Terms []*termNode `parser:"@@ ( 'and' @@ )*"`
 	}
 	termNode struct {
-		Not   *termNode `parser:"  'not' @@"`
-		Group *orNode   `parser:"| '(' @@ ')'"`
-		Is    *isNode   `parser:"| @@"`
+		Not        *termNode       `parser:"  'not' @@"`
+		Group      *orNode         `parser:"| '(' @@ ')'"`
+		Comparison *comparisonNode `parser:"| @@"`
 	}
-	isNode struct {
+	comparisonNode struct {
 		Field string   `parser:"@Word"`
 		In    []string `parser:"( 'in' '(' @(Word|String) ( ',' @(Word|String) )* ')'"`
 		Op    string   `parser:"| @Op"`
@@ -47,22 +48,23 @@
 		{Name: "Space", Pattern: `\s+`},
 	})), participle.Elide("Space"), participle.Unquote("String"), participle.CaseInsensitive("Word"))
 
-// Filter tells whether an entry is wanted.
+// Filter reports whether an entry matches.
 type Filter func(*Entry) bool
 
-// Bounds of a filter, which may come from anywhere.
+// Limits of a filter, which may come from an untrusted source.
 const (
-	mostFilter = 4096
-	mostDeep   = 64
+	maxFilterBytes   = 4096
+	maxFilterNesting = 64
 )
 
-// Compile reads a filter; an empty one wants all.
+// Compile parses a filter; an empty one matches every entry. Its errors start with "the filter" or describe the limits
+// of a filter.
 func Compile(text string) (Filter, error) {
 	if strings.TrimSpace(text) == "" {
 		return func(*Entry) bool { return true }, nil
 	}
-	if len(text) > mostFilter || strings.Count(text, "(")+strings.Count(strings.ToLower(text), "not") > mostDeep {
-		return nil, fmt.Errorf("a filter of up to %d characters and %d parentheses and nots is allowed", mostFilter, mostDeep)
+	if len(text) > maxFilterBytes || strings.Count(text, "(")+strings.Count(strings.ToLower(text), "not") > maxFilterNesting {
+		return nil, fmt.Errorf("the filter may have at most %d bytes and %d parentheses and nots", maxFilterBytes, maxFilterNesting)
 	}
 	tree, err := grammar.ParseString("", text)
 	if err != nil {
@@ -71,19 +73,19 @@
 	return tree.filter()
 }
 
-// compiled is a part of the tree.
-type compiled interface{ filter() (Filter, error) }
+// node is a node of the syntax tree that can be compiled into a Filter.
+type node interface{ filter() (Filter, error) }
 
-// anyOf wants what one of the parts wants.
-func anyOf[P compiled](parts []P) (Filter, error) {
-	filters, err := each(parts)
+// anyOf returns a filter that matches if any of the parts does.
+func anyOf[P node](parts []P) (Filter, error) {
+	filters, err := compileAll(parts)
 	return func(e *Entry) bool {
 		return slices.ContainsFunc(filters, func(f Filter) bool { return f(e) })
 	}, err
 }
 
-// each compiles all parts.
-func each[P compiled](parts []P) (out []Filter, err error) {
+// compileAll compiles all parts.
+func compileAll[P node](parts []P) (out []Filter, err error) {
 	for _, p := range parts {
 		f, err := p.filter()
 		if err != nil {
@@ -97,7 +99,7 @@
 func (n *orNode) filter() (Filter, error) { return anyOf(n.And) }
 
 func (n *andNode) filter() (Filter, error) {
-	filters, err := each(n.Terms)
+	filters, err := compileAll(n.Terms)
 	return func(e *Entry) bool {
 		return !slices.ContainsFunc(filters, func(f Filter) bool { return !f(e) })
 	}, err
@@ -114,15 +116,15 @@
 	case n.Group != nil:
 		return n.Group.filter()
 	}
-	return n.Is.filter()
+	return n.Comparison.filter()
 }
 
-func (n *isNode) filter() (Filter, error) {
+func (n *comparisonNode) filter() (Filter, error) {
 	field := strings.ToLower(n.Field)
 	if len(n.In) > 0 {
-		var parts []*isNode
+		var parts []*comparisonNode
 		for _, v := range n.In {
-			parts = append(parts, &isNode{Field: n.Field, Op: "=", Value: v})
+			parts = append(parts, &comparisonNode{Field: n.Field, Op: "=", Value: v})
 		}
 		return anyOf(parts)
 	}
@@ -133,7 +135,7 @@
 		}
 		return func(e *Entry) bool { return re.MatchString(e.Get(field)) }, nil
 	}
-	holds, err := sign(n.Op)
+	holds, err := comparison(n.Op)
 	if err != nil {
 		return nil, err
 	}
@@ -142,17 +144,17 @@
 		return atFilter(n.Value, holds)
 	case "severity":
 		for s := syslog.Emergency; s <= syslog.Debug; s++ {
-			if s.String() == strings.ToLower(n.Value) { // the graver, the greater
+			if s.String() == strings.ToLower(n.Value) { // a more severe level compares as greater
 				return func(e *Entry) bool { return e.ParseError == nil && holds(int(s)-int(e.Severity)) }, nil
 			}
 		}
-		return nil, fmt.Errorf("the filter: %q is no severity: emerg, alert, crit, err, warning, notice, info, debug", n.Value)
+		return nil, fmt.Errorf("the filter: %q is not a severity: emerg, alert, crit, err, warning, notice, info, debug", n.Value)
 	}
 	number, err := strconv.ParseFloat(n.Value, 64)
 	numeric := err == nil
 	return func(e *Entry) bool {
-		got := e.Get(field)
-		if x, err := strconv.ParseFloat(got, 64); err == nil && numeric {
+		value := e.Get(field)
+		if x, err := strconv.ParseFloat(value, 64); err == nil && numeric {
 			switch {
 			case x < number:
 				return holds(-1)
@@ -161,14 +163,14 @@
 			}
 			return holds(0)
 		}
-		if got == "" && n.Op != "=" && n.Op != "!=" {
-			return false // what is not there is neither more nor less
+		if value == "" && n.Op != "=" && n.Op != "!=" {
+			return false // a missing value is neither less nor greater
 		}
-		return holds(strings.Compare(got, n.Value))
+		return holds(strings.Compare(value, n.Value))
 	}, nil
 }
 
-func sign(op string) (func(int) bool, error) {
+func comparison(op string) (func(int) bool, error) {
 	switch op {
 	case "=":
 		return func(c int) bool { return c == 0 }, nil
@@ -183,14 +185,15 @@
 	case ">=":
 		return func(c int) bool { return c >= 0 }, nil
 	}
-	return nil, fmt.Errorf("the filter: %q is no comparison", op)
+	return nil, fmt.Errorf("the filter: %q is not a comparison operator", op)
 }
 
-// atFilter compares times.
+// atFilter returns a filter that compares the time of an entry with the value; holds decides by the sign of the
+// comparison.
 func atFilter(value string, holds func(int) bool) (Filter, error) {
 	for _, layout := range []string{"15:04:05.999999", "15:04"} {
 		if t, err := time.Parse(layout, value); err == nil {
-			day := time.Duration(t.Hour())*time.Hour + time.Duration(t.Minute())*time.Minute + time.Duration(t.Second())*time.Second + time.Duration(t.Nanosecond())
+			wanted := time.Duration(t.Hour())*time.Hour + time.Duration(t.Minute())*time.Minute + time.Duration(t.Second())*time.Second + time.Duration(t.Nanosecond())
 			return func(e *Entry) bool {
 				w := e.EventTime()
 				if w.IsZero() {
@@ -199,8 +202,8 @@
 				if !e.Time.IsZero() {
 					w = w.In(e.Time.Location())
 				}
-				own := time.Duration(w.Hour())*time.Hour + time.Duration(w.Minute())*time.Minute + time.Duration(w.Second())*time.Second + time.Duration(w.Nanosecond())
-				return holds(compare(own, day))
+				timeOfDay := time.Duration(w.Hour())*time.Hour + time.Duration(w.Minute())*time.Minute + time.Duration(w.Second())*time.Second + time.Duration(w.Nanosecond())
+				return holds(compare(timeOfDay, wanted))
 			}, nil
 		}
 	}
@@ -212,7 +215,7 @@
 	if d, err := time.ParseDuration(value); err == nil {
 		return func(e *Entry) bool { return e.Params[record.At] != "" && holds(compare(e.At, d)) }, nil
 	}
-	return nil, fmt.Errorf("the filter: %q is no time: 20:15, 20:15:30, 2026-12-01T20:15:00Z, or a span since the pilot's start such as 90s", value)
+	return nil, fmt.Errorf("the filter: %q is not a time: 20:15, 20:15:30, 2026-12-01T20:15:00Z, or a duration since the pilot's start such as 90s", value)
 }
 
 func compare(a, b time.Duration) int {
--- a/logbook/logbook_test.go
+++ b/logbook/logbook_test.go
@@ -14,22 +14,22 @@
 	"vetchdoor/syslog"
 )
 
-const born = 1796133516856301 // microseconds: 2026-12-01 13:58:36
+const runStart = 1796133516856301 // microseconds since 1970: 2026-12-01 13:58:36 UTC
 
-// decision is a line as a pilot writes it.
+// decision returns a log line as a pilot writes it.
 func decision(pilot string, run, seq int, at time.Duration, kind string, params ...string) string {
 	e := syslog.Element{ID: record.Element + "@" + syslog.EnterpriseNumber}
-	e.Params = append(e.Params, syslog.Param{Name: record.Pilot, Value: pilot}, syslog.Param{Name: record.Run, Value: fmt.Sprint(born + run)},
+	e.Params = append(e.Params, syslog.Param{Name: record.Pilot, Value: pilot}, syslog.Param{Name: record.Run, Value: fmt.Sprint(runStart + run)},
 		syslog.Param{Name: record.Sequence, Value: fmt.Sprint(seq)}, syslog.Param{Name: record.At, Value: fmt.Sprint(at.Microseconds())})
 	for i := 0; i < len(params); i += 2 {
 		e.Params = append(e.Params, syslog.Param{Name: params[i], Value: params[i+1]})
 	}
-	m := syslog.Message{Facility: syslog.Daemon, Severity: syslog.Notice, Time: time.UnixMicro(born).Add(at).UTC(), Host: "h", App: "vetchdoor-pilot", MsgID: kind,
+	m := syslog.Message{Facility: syslog.Daemon, Severity: syslog.Notice, Time: time.UnixMicro(runStart).Add(at).UTC(), Host: "h", App: "vetchdoor-pilot", MsgID: kind,
 		StructuredData: []syslog.Element{e}, Text: "text"}
 	return string(m.Append(nil, 8000))
 }
 
-func book(t *testing.T, lines ...string) *Log {
+func mergeLines(t *testing.T, lines ...string) *Log {
 	t.Helper()
 	var all []*Entry
 	if err := NewReader().ReadLines("f", strings.NewReader(strings.Join(lines, "\n")+"\n"), func(e *Entry) { all = append(all, e) }); err != nil {
@@ -40,8 +40,9 @@
 
 const s = time.Second
 
-// evening is two pilots' records, one of which began anew, out of order, with one twice and some missing.
-func evening(t *testing.T) *Log {
+// sampleLog returns the merged log of two pilots, one of which restarted. The lines are shuffled; one is duplicated and
+// two records are missing.
+func sampleLog(t *testing.T) *Log {
 	lines := []string{
 		decision("a", 0, 1, 0, record.Restart, record.Reason, "start"),
 		decision("a", 0, 2, 1*s, record.TableLine, record.Node, "e17", record.Table, "t0", record.Weight, "4", record.Reason, "listed"),
@@ -58,13 +59,13 @@
 		"<30>1 2026-12-01T13:58:50Z h vetchdoor-pilot 1 suppressed [suppressed@32473 of=\"line listed\" count=\"2\"] more",
 	}
 	rand.New(rand.NewPCG(1, 1)).Shuffle(len(lines), func(i, j int) { lines[i], lines[j] = lines[j], lines[i] })
-	return book(t, lines...)
+	return mergeLines(t, lines...)
 }
 
-// An evening comes out in the order of the runs' numbers, gaps are found, what is there twice is so once, foreign and broken
-// lines are kept and counted, and a decision knows who confirmed it.
-func TestBook(t *testing.T) {
-	b := evening(t)
+// Merge orders records by the sequence numbers of their runs, finds gaps, drops duplicates, keeps and counts malformed
+// lines and those of other programs, and matches a decision with its confirmation.
+func TestMerge(t *testing.T) {
+	b := sampleLog(t)
 	if len(b.Entries) != 12 || b.Duplicates != 1 || b.Malformed != 1 || b.Suppressed != 2 || b.Missing() != 2 || len(b.Gaps) != 1 || b.Gaps[0].From != 5 || b.Gaps[0].To != 6 {
 		t.Fatalf("%d entries, %+v", len(b.Entries), b)
 	}
@@ -80,9 +81,9 @@
 		texts += b.Format(e) + "\n"
 	}
 	for _, want := range []string{"a withdrawal node=e17 out=true: sick (0.98, limit 0.31) [in force at 11 of 12]", "nginx: ordinary talk", "su: 'su root' failed",
-		"broken", "missing=p3"} {
+		"malformed", "missing=p3"} {
 		if !strings.Contains(texts, want) {
-			t.Errorf("%q is not in\n%s", want, texts)
+			t.Errorf("%q is missing in\n%s", want, texts)
 		}
 	}
 	if g := b.Gaps[0].String(); !strings.Contains(g, "2 records of a, run 1796133516856301, are missing after") {
@@ -90,9 +91,9 @@
 	}
 }
 
-// Filters choose what they say, and ones that cannot be are refused with the place.
+// Filters match the expected number of entries; invalid filters are rejected with an error of one line.
 func TestFilter(t *testing.T) {
-	b := evening(t)
+	b := sampleLog(t)
 	for text, want := range map[string]int{
 		"": 12, "node=e17": 5, "node=e17 and reason in (sick, draining)": 2, "NODE=e17 AND NOT reason in (sick)": 4, "pilot = a and seq > 3 and seq <= 8": 3,
 		"value > 0.9": 1, "value < 5": 1, "value != 0.98": 11, "kind = withdrawal or kind = restart": 5, "(kind=withdrawal or kind=restart) and pilot=b": 1,
@@ -111,22 +112,22 @@
 			}
 		}
 		if n != want {
-			t.Errorf("%s: %d, not %d", text, n, want)
+			t.Errorf("%s: %d entries, want %d", text, n, want)
 		}
 	}
 	for _, bad := range []string{"node", "node=", "=e17", "node=e17 and", "(node=e17", "node in ()", "node in (a", "at > x", "severity > sunny", `x ~ "("`, "a=b c=d", strings.Repeat("(", 100) + "a=b",
 		strings.Repeat("a=b or ", 1000) + "a=b", "not not", "\x00", `a="`} {
 		if _, err := Compile(bad); err == nil {
-			t.Errorf("%.40q was taken", bad)
+			t.Errorf("%.40q was accepted", bad)
 		} else if strings.Contains(err.Error(), "\n") {
 			t.Errorf("%q: %q", bad, err)
 		}
 	}
 }
 
-// A node's evening has a lane for each run, with when it was out and why, on the terminal and as a page.
+// The timeline of a node has a lane for each run, which shows when the node was withdrawn and why, as text and as HTML.
 func TestTimeline(t *testing.T) {
-	b := evening(t)
+	b := sampleLog(t)
 	lanes := b.Timeline("e17")
 	if len(lanes) != 2 || len(lanes[0].Spans) != 4 || lanes[0].Spans[1].State != "sick" || lanes[0].Spans[2].State != "in" || lanes[0].Spans[3].Weight != 1 {
 		t.Fatalf("%+v", lanes)
@@ -139,17 +140,17 @@
 		t.Error(text.String())
 	}
 	hostile := decision("<script>", 99, 1, s, record.Withdrawal, record.Node, "e17", record.Withdrawn, "true", record.Reason, "<b>&")
-	b = book(t, hostile)
+	b = mergeLines(t, hostile)
 	if err := b.WriteHTML(&page, "e17"); err != nil || strings.Contains(page.String(), "<script>") || strings.Contains(page.String(), "<b>") {
 		t.Errorf("%v\n%s", err, page.String())
 	}
 	if b.WriteText(&text, "e99", 40) == nil || b.WriteHTML(&page, "e99") == nil {
-		t.Error("drew a node that is not there")
+		t.Error("drew a timeline of an unknown node")
 	}
 }
 
-// The writer, the strict reader of the laboratory and this one agree on what a message says, whatever is in it.
-func TestAgree(t *testing.T) {
+// The formatter, the strict parser of the lab and this package's parser agree on random messages.
+func TestParsersAgree(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 4))
 	pieces := []string{"]", `"`, "\\", "a", " ", "[", "ö", "🗳", "=", "x-1", "'", ":"}
 	text := func() string {
@@ -183,30 +184,30 @@
 		for _, params := range strict.Data {
 			for _, p := range params {
 				if e.Params[p[0]] != p[1] {
-					t.Fatalf("%q: %q, not %q", line, e.Params[p[0]], p[1])
+					t.Fatalf("%q: %q, want %q", line, e.Params[p[0]], p[1])
 				}
 			}
 		}
 	}
 }
 
-// Lines that nobody should have written are entries like others.
-func TestOdd(t *testing.T) {
+// Malformed and overlong lines are read as entries, without an error or a panic.
+func TestMalformedLines(t *testing.T) {
 	for _, line := range []string{"\x00\xff", "<", "<999>1 x", strings.Repeat("<1>1 - ", 1000), "<13>1 - - - - - [", `<13>1 - - - - - [a@1 b="\]"] x`, "12 <13>1 - - - - - -"} {
 		if e := NewReader().Parse(line); e == nil || e.ParseError == nil && e.Params == nil {
 			t.Errorf("%.40q: %+v", line, e)
 		}
 	}
-	b := book(t, strings.Repeat("x", 3<<20), decision("a", 0, 1, 0, record.Restart))
-	if len(b.Entries) != 2 || b.Malformed != 1 || len(b.Entries[0].Raw) > 2*mostLine {
-		t.Errorf("%d entries, %d broken", len(b.Entries), b.Malformed)
+	b := mergeLines(t, strings.Repeat("x", 3<<20), decision("a", 0, 1, 0, record.Restart))
+	if len(b.Entries) != 2 || b.Malformed != 1 || len(b.Entries[0].Raw) > 2*maxLineBytes {
+		t.Errorf("%d entries, %d malformed", len(b.Entries), b.Malformed)
 	}
 	if got := NewReader().Parse(decision("a", 0, 1, 0, "k", "x", "a]\\\"b")).Params["x"]; got != "a]\\\"b" {
 		t.Errorf("%q", got)
 	}
 }
 
-// What is added to a file is followed, in pieces, over its being moved away and cut short.
+// A Follower reads lines written in pieces, and continues after the file was renamed or truncated.
 func TestFollow(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "log")
 	put := func(text string) {
@@ -254,7 +255,7 @@
 	}
 }
 
-// FuzzLine has the reader and FuzzFilter the filter take anything.
+// FuzzLine checks that no line makes the reader or the formatter panic.
 func FuzzLine(f *testing.F) {
 	f.Add(decision("a", 0, 1, 0, record.TableLine, record.Node, "e1"))
 	f.Fuzz(func(t *testing.T, line string) {
--- a/logbook/timeline.go
+++ b/logbook/timeline.go
@@ -13,22 +13,22 @@
 	"vetchdoor/record"
 )
 
-// Span is a stretch of a node's evening in which one thing held.
+// Span is a period in which a node had the same state and weight.
 type Span struct {
 	From, To time.Time
-	State    string // in, out, or the reason for which it is out
-	Cause    *Entry // the record that began it; nil at the beginning
+	State    string // in, or the reason for which the node is withdrawn
+	Cause    *Entry // the record that started the span
 	Weight   float64
 }
 
-// Lane is what one run of a pilot decided of a node.
+// Lane holds the decisions of one run of a pilot about a node.
 type Lane struct {
 	Run
 	Spans   []Span
 	Entries []*Entry
 }
 
-// Timeline returns a node's evening, a lane for each run that decided anything of it.
+// Timeline returns a lane for each run that decided anything about the node.
 func (b *Log) Timeline(node string) []Lane {
 	var lanes []*Lane
 	ends := map[Run]time.Time{}
@@ -42,12 +42,12 @@
 		if !ok || e.Params[record.Node] != node {
 			continue
 		}
-		at := slices.IndexFunc(lanes, func(l *Lane) bool { return l.Run == run })
-		if at < 0 {
-			at = len(lanes)
+		index := slices.IndexFunc(lanes, func(l *Lane) bool { return l.Run == run })
+		if index < 0 {
+			index = len(lanes)
 			lanes = append(lanes, &Lane{Run: run})
 		}
-		l := lanes[at]
+		l := lanes[index]
 		l.Entries = append(l.Entries, e)
 		last := Span{State: "in"}
 		if n := len(l.Spans); n > 0 {
@@ -77,8 +77,8 @@
 	return out
 }
 
-// bounds are the first and the last moment of lanes.
-func bounds(lanes []Lane) (from, to time.Time) {
+// timeRange returns the earliest start and the latest end of all spans.
+func timeRange(lanes []Lane) (from, to time.Time) {
 	for _, l := range lanes {
 		for _, s := range l.Spans {
 			if from.IsZero() || s.From.Before(from) {
@@ -92,27 +92,28 @@
 	return from, to
 }
 
-// WriteText draws a node's evening for a terminal: a bar a run, # in at its whole weight, less of it lower, the first letter of the
-// reason where it is out; then each record.
+// WriteText draws the timeline of a node for a terminal: a bar of the given width for each run, then its records. The
+// height of a bar shows the weight relative to the maximum; while the node is withdrawn, the bar shows the first letter
+// of the reason.
 func (b *Log) WriteText(w io.Writer, node string, width int) error {
 	lanes := b.Timeline(node)
 	if len(lanes) == 0 {
-		return fmt.Errorf("no record is of node %s", node)
+		return fmt.Errorf("there are no records of node %s", node)
 	}
-	from, to := bounds(lanes)
+	from, to := timeRange(lanes)
 	total := max(to.Sub(from), 1)
 	fmt.Fprintf(w, "%s from %s to %s\n", node, from.Format("15:04:05.000"), to.Format("15:04:05.000"))
 	for _, l := range lanes {
 		bar := []rune(strings.Repeat(" ", width))
-		most := 0.0
+		maxWeight := 0.0
 		for _, s := range l.Spans {
-			most = max(most, s.Weight)
+			maxWeight = max(maxWeight, s.Weight)
 		}
 		for _, s := range l.Spans {
 			a := int(float64(s.From.Sub(from)) / float64(total) * float64(width))
 			z := int(float64(s.To.Sub(from)) / float64(total) * float64(width))
 			for i := max(min(a, width-1), 0); i <= min(z, width-1); i++ {
-				bar[i] = s.sign(most)
+				bar[i] = s.symbol(maxWeight)
 			}
 		}
 		fmt.Fprintf(w, "%-12.12s run %d |%s|\n", l.Pilot, l.Run.ID, string(bar))
@@ -125,61 +126,61 @@
 	return nil
 }
 
-// sign is how a terminal shows it.
-func (s Span) sign(most float64) rune {
+// symbol returns the character for the span in a terminal.
+func (s Span) symbol(maxWeight float64) rune {
 	switch {
 	case s.State != "in":
 		for _, r := range s.State {
 			return r
 		}
 		return '?'
-	case s.Weight <= 0 || most <= 0:
+	case s.Weight <= 0 || maxWeight <= 0:
 		return '.'
 	}
-	return []rune("▁▂▃▄▅▆▇█")[min(7, int(8*s.Weight/most))]
+	return []rune("▁▂▃▄▅▆▇█")[min(7, int(8*s.Weight/maxWeight))]
 }
 
 //go:embed timeline.html
-var page string
+var pageHTML string
 
-var pageTemplate = template.Must(template.New("timeline").Parse(page))
+var pageTemplate = template.Must(template.New("timeline").Parse(pageHTML))
 
-// bar is a span as the page draws it.
+// bar is a span as drawn on the HTML page.
 type bar struct {
-	Left, Width, Height float64 // percent
+	Left, Width, Height float64 // percent of the lane
 	State, Title        string
 	Out                 bool
 }
 
-// WriteHTML writes a node's evening as a page of its own.
+// WriteHTML writes the timeline of a node as a complete HTML page.
 func (b *Log) WriteHTML(w io.Writer, node string) error {
 	lanes := b.Timeline(node)
 	if len(lanes) == 0 {
-		return fmt.Errorf("no record is of node %s", node)
+		return fmt.Errorf("there are no records of node %s", node)
 	}
-	from, to := bounds(lanes)
+	from, to := timeRange(lanes)
 	total := float64(max(to.Sub(from), 1))
-	type drawn struct {
+	type htmlLane struct {
 		Name  string
 		Bars  []bar
 		Lines []string
 	}
 	data := struct {
 		Node, From, To string
-		Lanes          []drawn
+		Lanes          []htmlLane
 		Gaps           []string
 	}{Node: node, From: from.Format("2006-01-02 15:04:05.000"), To: to.Format("15:04:05.000")}
 	for _, l := range lanes {
-		d := drawn{Name: fmt.Sprintf("%s, run %d", l.Pilot, l.Run.ID)}
-		most := 0.0
+		d := htmlLane{Name: fmt.Sprintf("%s, run %d", l.Pilot, l.Run.ID)}
+		maxWeight := 0.0
 		for _, s := range l.Spans {
-			most = max(most, s.Weight)
+			maxWeight = max(maxWeight, s.Weight)
 		}
 		for _, s := range l.Spans {
 			x := bar{Left: 100 * float64(s.From.Sub(from)) / total, Width: max(0.1, 100*float64(s.To.Sub(s.From))/total), State: s.State,
 				Out: s.State != "in", Title: b.Format(s.Cause), Height: 100}
-			if !x.Out && most > 0 {
-				x.Height = max(3, 100*s.Weight/most)
+			if !x.Out && maxWeight > 0 {
+				x.Height = max(3, 100*s.Weight/maxWeight)
 			}
 			d.Bars = append(d.Bars, x)
 		}
--- a/record/record.go
+++ b/record/record.go
@@ -1,47 +1,47 @@
-// Package record names what the programs write of their decisions and what readers look for: the kinds, which are MSGIDs, and
-// the parameters of the SD-ELEMENT decision. docs/syslog.md tells what each means.
+// Package record defines the names in log records of decisions: the kinds, which are MSGIDs, and the parameters of the
+// SD-ELEMENT "decision".
 package record
 
 // Kinds of records.
 const (
-	TableLine      = "line"       // a server's line put into a table or its weight changed; weight 0: taken out
-	TableCleared   = "blank"      // a table emptied
-	TableAssigned  = "bind"       // a proxy put on a table
-	Level          = "level"      // how much of an op type is let in
-	Withdrawal     = "withdrawal" // a server out of all tables, or back in
-	Confirmation   = "in-force"   // what the proxies said of a checkpoint
-	Restart        = "restart"    // the module or the pilot began anew
-	Refusal        = "refusal"    // a proxy did not take a message, or a stream was refused
-	ProxyJoined    = "joined"     // a proxy
+	TableLine      = "line"       // a server was added to a table, its weight changed, or (weight 0) it was removed
+	TableCleared   = "blank"      // all lines of a table were removed
+	TableAssigned  = "bind"       // a proxy was assigned to a table
+	Level          = "level"      // the admitted share or rate of an op type changed
+	Withdrawal     = "withdrawal" // a server was withdrawn from all tables, or may be used again
+	Confirmation   = "in-force"   // how many proxies confirmed a checkpoint
+	Restart        = "restart"    // the pilot or its controller restarted
+	Refusal        = "refusal"    // a proxy rejected a message, or the pilot refused a stream
+	ProxyJoined    = "joined"     // a proxy joined
 	ProxyLeft      = "left"
-	TenantMove     = "move"  // a tenant's move began, or ended
-	TenantLimit    = "limit" // what a tenant may use
-	ControllerNote = "note"  // of the module
+	TenantMove     = "move"  // the move of a tenant began or ended
+	TenantLimit    = "limit" // the limits of a tenant changed
+	ControllerNote = "note"  // a message of the controller
 )
 
-// The element that decisions are in, and its parameters. Numbers are decimal; spans in microseconds.
+// The SD-ELEMENT of decisions and its parameters. Numbers are decimal; durations are in microseconds.
 const (
 	Element            = "decision"
 	Pilot              = "pilot"
-	Run                = "run"        // of the pilot; a later start has a higher one
-	Sequence           = "seq"        // of the run's records, from 1, none left out: one that is not there was suppressed or lost
-	At                 = "at"         // since the pilot's start
-	Node               = "node"       // eN
-	Proxy              = "proxy"      // pN
-	OpType             = "op-type"    // its name; * for all
-	Table              = "table"      // tN; * for all
-	Version            = "version"    // of the table: how often it changed in this run
-	Checkpoint         = "checkpoint" // of the messages that carry it
+	Run                = "run"        // start time of the pilot's run, in microseconds since 1970; a later run has a higher value
+	Sequence           = "seq"        // sequence number in the run, from 1 without gaps: a missing number was suppressed or lost
+	At                 = "at"         // time since the pilot's start
+	Node               = "node"       // server, as eN
+	Proxy              = "proxy"      // proxy, as pN
+	OpType             = "op-type"    // name of the op type; * for all
+	Table              = "table"      // table, as tN; * for all
+	Version            = "version"    // number of changes to the table in this run
+	Checkpoint         = "checkpoint" // checkpoint number of the messages that carry the decision
 	Reason             = "reason"
-	Value              = "value" // the figure that crossed the limit
+	Value              = "value" // the figure that crossed the threshold
 	Threshold          = "limit"
 	Weight             = "weight"
 	Share              = "share"
 	Withdrawn          = "out"
 	Tenant             = "tenant"
-	ProxiesSent        = "of"        // proxies that were sent a checkpoint
-	ProxiesConfirmed   = "confirmed" // proxies that said it is in force
-	ProxiesUnconfirmed = "missing"   // the first few that did not
+	ProxiesSent        = "of"        // number of proxies that were sent a checkpoint
+	ProxiesConfirmed   = "confirmed" // number of proxies that confirmed a checkpoint
+	ProxiesUnconfirmed = "missing"   // the first few proxies that have not confirmed it
 	Slowest            = "slowest"
 	Text               = "text"
 )
