--- a/cmd/vetchdoor/daemons.go
+++ b/cmd/vetchdoor/daemons.go
@@ -13,13 +13,13 @@
 	"vetchdoor/control"
 	"vetchdoor/files"
 	"vetchdoor/lab/node"
-	stand "vetchdoor/lab/roster"
+	labroster "vetchdoor/lab/roster"
 	"vetchdoor/pilot"
 	"vetchdoor/proxy"
 	"vetchdoor/roster"
 )
 
-// daemon is a sub-command that runs until a signal ends it.
+// daemon returns a sub-command that runs a service until SIGTERM or SIGINT.
 func daemon(use, short string, run func(path string) (stop func(), err error)) *cobra.Command {
 	var path string
 	c := &cobra.Command{Use: use, Short: short, Args: cobra.NoArgs, RunE: func(cmd *cobra.Command, args []string) error {
@@ -27,11 +27,11 @@
 		if err != nil {
 			return err
 		}
-		slog.Info("ends", "signal", caught.wait(passOver).String())
+		slog.Info("ends", "signal", caughtSignals.wait(ignoreHangup).String())
 		stop()
 		return nil
 	}}
-	c.Flags().StringVarP(&path, "file", "f", "", "its file, JSON (vetchdoor schema "+use+")")
+	c.Flags().StringVarP(&path, "file", "f", "", "settings file, JSON (see vetchdoor schema "+use+")")
 	_ = c.MarkFlagRequired("file")
 	return c
 }
@@ -46,7 +46,7 @@
 		if err != nil {
 			return nil, err
 		}
-		p, err := pilot.New(&f, l.all)
+		p, err := pilot.New(&f, l.combined)
 		if err != nil {
 			l.close()
 			return nil, err
@@ -54,7 +54,7 @@
 		p.Records, p.Info = l.records, l.info
 		p.Stuck = func() {
 			l.close()
-			os.Exit(exitStuck)
+			os.Exit(exitControllerStuck)
 		}
 		if err := p.Start(); err != nil {
 			l.close()
@@ -74,7 +74,7 @@
 		if err != nil {
 			return nil, err
 		}
-		p, err := proxy.New(&f, l.all)
+		p, err := proxy.New(&f, l.combined)
 		if err == nil {
 			p.More = l.info
 			err = p.Start()
@@ -88,7 +88,7 @@
 }
 
 func nodeCommand() *cobra.Command {
-	return daemon("node", "runs stand-ins for servers", func(path string) (func(), error) {
+	return daemon("node", "runs simulated servers", func(path string) (func(), error) {
 		var f files.Node
 		if err := files.Read(path, "node", &f); err != nil {
 			return nil, err
@@ -107,7 +107,7 @@
 				all.Go(func() { n.StopInOrder(ctx) })
 			}
 			all.Wait()
-			slog.Info("nodes ended", "tries", len(ledger.Arrivals()), "effects", len(ledger.Effects()))
+			slog.Info("nodes stopped", "tries", len(ledger.Arrivals()), "effects", len(ledger.Effects()))
 		}
 		for _, at := range f.Nodes {
 			n := node.New(at, machines[at.Machine], &f.Service, f.Limits, f.Seed, ledger)
@@ -122,7 +122,7 @@
 	})
 }
 
-// longestOp is the longest time in which an op must be answered.
+// longestOp returns the longest op timeout of all op types.
 func longestOp(s *files.Service) (longest time.Duration) {
 	for _, t := range s.OpTypes {
 		longest = max(longest, t.OpTimeout.AsDuration())
@@ -131,25 +131,26 @@
 }
 
 func rosterCommand() *cobra.Command {
-	return daemon("roster", "runs a stand-in for the list service; it reads its file again when that changes",
+	return daemon("roster", "runs a simulated list service, which reads its settings file again after each change",
 		func(path string) (func(), error) {
 			var f files.Roster
 			if err := files.Read(path, "roster", &f); err != nil {
 				return nil, err
 			}
-			s, err := stand.Start(f.Listen, rosterEntries(&f, nil))
+			s, err := labroster.Start(f.Listen, rosterEntries(&f, nil))
 			if err != nil {
 				return nil, err
 			}
 			slog.Info("list service runs", "listen", s.Address(), "entries", len(f.Entries))
 			done := make(chan struct{})
-			go follow(path, &f, s, done)
+			go watchRoster(path, &f, s, done)
 			return func() { close(done); s.Stop() }, nil
 		})
 }
 
-// rosterEntries reads the entries of a file. One that comes back after it was gone, or is new to a running list, started
-// now.
+// rosterEntries converts the entries of a settings file. If before is not nil, the list was already being served: an
+// endpoint in it keeps its start time, and any other one, also one that was removed earlier, gets the current time as
+// its start time.
 func rosterEntries(f *files.Roster, before map[control.EndpointID]roster.Entry) []roster.Entry {
 	var out []roster.Entry
 	for _, e := range f.Entries {
@@ -174,8 +175,9 @@
 	return out
 }
 
-// follow serves a file's changes. A file that cannot be read leaves the list as it is.
-func follow(path string, f *files.Roster, s *stand.Server, done <-chan struct{}) {
+// follow watches the settings file and applies its changes to the list, until done is closed. A file that cannot be
+// read leaves the list unchanged.
+func watchRoster(path string, f *files.Roster, s *labroster.Server, done <-chan struct{}) {
 	last := time.Time{}
 	if info, err := os.Stat(path); err == nil {
 		last = info.ModTime()
@@ -195,7 +197,7 @@
 		last = info.ModTime()
 		var n files.Roster
 		if err := files.Read(path, "roster", &n); err != nil {
-			slog.Error("the list stays as it is", "error", err)
+			slog.Error("cannot read the settings file; the list stays unchanged", "error", err)
 			continue
 		}
 		before := map[control.EndpointID]roster.Entry{}
--- a/cmd/vetchdoor/lab.go
+++ b/cmd/vetchdoor/lab.go
@@ -18,7 +18,7 @@
 )
 
 func labCommand() *cobra.Command {
-	c := &cobra.Command{Use: "lab", Short: "plays days through real pilots and proxies, with stand-ins for all else"}
+	c := &cobra.Command{Use: "lab", Short: "runs days (scenarios) with real pilots and proxies; everything else is simulated"}
 	c.AddCommand(labRunCommand(), labImportCommand())
 	return c
 }
@@ -30,8 +30,8 @@
 	var logTo string
 	c := &cobra.Command{
 		Use: "run [DAY]",
-		Short: "plays a day, one that ships (" + strings.Join(days.Names(), ", ") + ") or a file, and checks the rules on " +
-			"what went over the sockets",
+		Short: "runs a day, built-in (" + strings.Join(days.Names(), ", ") + ") or from a file, and checks the rules against " +
+			"the recorded traffic",
 		Args: cobra.MaximumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			name := days.Default
@@ -89,15 +89,15 @@
 			return nil
 		},
 	}
-	c.Flags().BoolVar(&asJSON, "json", false, "the report as JSON")
-	c.Flags().BoolVar(&verbose, "verbose", false, "the programs' own logs on standard error")
-	c.Flags().StringVar(&logTo, "log", "", "the pilots' records of their decisions, added to this file (vetchdoor log show FILE)")
-	c.Flags().Uint64Var(&seed, "seed", 0, "another seed than the day's")
-	c.Flags().DurationVar(&length, "length", 0, "squeeze the day's clock into this")
+	c.Flags().BoolVar(&asJSON, "json", false, "print the report as JSON")
+	c.Flags().BoolVar(&verbose, "verbose", false, "print the logs of the programs on standard error")
+	c.Flags().StringVar(&logTo, "log", "", "append the pilots' decision records to this file (read it with vetchdoor log show FILE)")
+	c.Flags().Uint64Var(&seed, "seed", 0, "seed to use instead of the day's")
+	c.Flags().DurationVar(&length, "length", 0, "scale the day to this length")
 	return c
 }
 
-// shorten squeezes a day: its troubles come and go by the same parts of it.
+// shorten scales a day to another length, including the times and lengths of its troubles.
 func shorten(d *files.Day, length time.Duration) {
 	part := float64(length) / float64(d.Length)
 	for i := range d.Troubles {
@@ -111,7 +111,7 @@
 	var shrink int
 	c := &cobra.Command{
 		Use:   "import BENCHDAY",
-		Short: "reads a day that the bench drew and writes ours to standard output; what could not be carried over, to standard error",
+		Short: "converts a bench day to a lab day on standard output; lists what cannot be converted on standard error",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			data, err := os.ReadFile(args[0])
@@ -123,7 +123,7 @@
 				return err
 			}
 			for _, n := range notes {
-				fmt.Fprintln(cmd.ErrOrStderr(), "not carried over:", n)
+				fmt.Fprintln(cmd.ErrOrStderr(), "not converted:", n)
 			}
 			b, err := json.MarshalIndent(day, "", " ")
 			if err == nil {
@@ -132,6 +132,6 @@
 			return err
 		},
 	}
-	c.Flags().IntVar(&shrink, "shrink", 1, "take every N-th machine and proxy")
+	c.Flags().IntVar(&shrink, "shrink", 1, "keep only every N-th machine and proxy")
 	return c
 }
--- a/cmd/vetchdoor/log.go
+++ b/cmd/vetchdoor/log.go
@@ -13,24 +13,25 @@
 )
 
 func logCommand() *cobra.Command {
-	c := &cobra.Command{Use: "log", Short: "reads back what pilots and proxies logged",
-		Long: `reads back what pilots and proxies logged, and other programs' syslog lines beside it.
+	c := &cobra.Command{Use: "log", Short: "reads the logs of pilots and proxies",
+		Long: `reads the logs of pilots and proxies, and syslog lines of other programs among them.
 
 A filter compares fields: kind, node, proxy, pilot, run, seq, table, op-type, reason, value, tenant, host, app, severity,
-text, or any other parameter, with = != < <= > >= or ~ (a regular expression), or by "in (a, b)", joined by and, or, not and
-parentheses. at compares with a time of day (20:15), a date and time, or a span since the pilot's start (90s).
+text, or any other parameter, with = != < <= > >= or ~ (a regular expression), or with "in (a, b)"; comparisons are combined
+with and, or, not and parentheses. at compares with a time of day (20:15), a date and time, or a duration since the pilot's
+start (90s).
   vetchdoor log show -w 'node=e17 and reason in (sick, eased) and at > 20:15' pilot.log`}
 	c.AddCommand(logShowCommand(), logTailCommand(), logFollowCommand())
 	return c
 }
 
-// whereFlag is the filter that all of them take.
+// whereFlag adds the flag for a filter, which all log sub-commands have.
 func whereFlag(c *cobra.Command, where *string) {
-	c.Flags().StringVarP(where, "where", "w", "", "a filter, see vetchdoor log --help")
+	c.Flags().StringVarP(where, "where", "w", "", "filter for entries, see vetchdoor log --help")
 }
 
-// readBook compiles a filter and reads files; - is standard input.
-func readBook(paths []string, where string) (*logbook.Log, logbook.Filter, error) {
+// readLogs compiles a filter, and reads and merges files; "-" is standard input.
+func readLogs(paths []string, where string) (*logbook.Log, logbook.Filter, error) {
 	wanted, err := logbook.Compile(where)
 	if err != nil {
 		return nil, nil, err
@@ -57,9 +58,9 @@
 func logShowCommand() *cobra.Command {
 	var where, node, page string
 	var raw bool
-	c := &cobra.Command{Use: "show FILE...", Short: "all of it, in order, with what is missing", Args: cobra.MinimumNArgs(1),
+	c := &cobra.Command{Use: "show FILE...", Short: "prints all entries in order, and what is missing", Args: cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			b, wanted, err := readBook(args, where)
+			b, wanted, err := readLogs(args, where)
 			if err != nil {
 				return err
 			}
@@ -67,7 +68,7 @@
 			defer out.Flush()
 			if page != "" {
 				if node == "" {
-					return fmt.Errorf("--html draws a node's evening: say which with --node")
+					return fmt.Errorf("--html draws the timeline of a node and needs --node")
 				}
 				f, err := os.Create(page)
 				if err != nil {
@@ -92,19 +93,20 @@
 					}
 				}
 			}
-			summary(out, b)
+			printSummary(out, b)
 			return nil
 		}}
 	whereFlag(c, &where)
-	c.Flags().StringVar(&node, "node", "", "draw this node's evening (eN)")
-	c.Flags().StringVar(&page, "html", "", "write it to this file, as a page")
-	c.Flags().BoolVar(&raw, "raw", false, "the lines as they were written")
+	c.Flags().StringVar(&node, "node", "", "draw the timeline of this node (eN)")
+	c.Flags().StringVar(&page, "html", "", "write the timeline to this file, as an HTML page")
+	c.Flags().BoolVar(&raw, "raw", false, "print the lines as they were written")
 	return c
 }
 
-// summary says what is missing, and why as far as the log knows.
-func summary(out io.Writer, b *logbook.Log) {
-	fmt.Fprintf(out, "%d entries, %d broken lines, %d there twice, %d records missing (%d suppressed and %d dropped, by the log's own word)\n",
+// printSummary prints the numbers of malformed, duplicate and missing records, and how many the log itself reports as
+// suppressed or dropped.
+func printSummary(out io.Writer, b *logbook.Log) {
+	fmt.Fprintf(out, "%d entries, %d malformed lines, %d duplicates, %d records missing (%d reported as suppressed, %d as dropped)\n",
 		len(b.Entries), b.Malformed, b.Duplicates, b.Missing(), b.Suppressed, b.Lost)
 	for i, g := range b.Gaps {
 		if i == 20 {
@@ -118,9 +120,9 @@
 func logTailCommand() *cobra.Command {
 	var where string
 	var count int
-	c := &cobra.Command{Use: "tail FILE...", Short: "the last of it", Args: cobra.MinimumNArgs(1),
+	c := &cobra.Command{Use: "tail FILE...", Short: "prints the last entries", Args: cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			b, wanted, err := readBook(args, where)
+			b, wanted, err := readLogs(args, where)
 			if err != nil {
 				return err
 			}
@@ -136,13 +138,13 @@
 			return nil
 		}}
 	whereFlag(c, &where)
-	c.Flags().IntVarP(&count, "count", "n", 20, "how many")
+	c.Flags().IntVarP(&count, "count", "n", 20, "number of entries")
 	return c
 }
 
 func logFollowCommand() *cobra.Command {
 	var where string
-	c := &cobra.Command{Use: "follow FILE...", Short: "what is written from now on, as it comes", Args: cobra.MinimumNArgs(1),
+	c := &cobra.Command{Use: "follow FILE...", Short: "prints new entries as they are written", Args: cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			wanted, err := logbook.Compile(where)
 			if err != nil {
--- a/cmd/vetchdoor/logs.go
+++ b/cmd/vetchdoor/logs.go
@@ -12,21 +12,22 @@
 	"vetchdoor/syslog"
 )
 
-// facilities by name.
+// facilities maps the names in settings files to facility codes.
 var facilities = map[string]syslog.Facility{"": syslog.Daemon, "daemon": syslog.Daemon, "local0": syslog.Local0, "local1": syslog.Local0 + 1,
 	"local2": syslog.Local0 + 2, "local3": syslog.Local0 + 3, "local4": syslog.Local0 + 4, "local5": syslog.Local0 + 5,
 	"local6": syslog.Local0 + 6, "local7": syslog.Local0 + 7}
 
-// logs are the logs of a file: standard error's and records', and what ends them.
+// logs are the loggers for the log receivers of a settings file, with the senders behind them.
 type logs struct {
-	all     *slog.Logger // to standard error and the logs
-	records *slog.Logger // to the logs alone; nil without any
-	senders []*syslog.Sender
+	combined *slog.Logger // writes to standard error and to the receivers
+	records  *slog.Logger // writes to the receivers only; nil if there are none
+	senders  []*syslog.Sender
 }
 
-// openLogs starts the logs of a file. What goes wrong on the way to a receiver is told on standard error alone.
+// openLogs starts a sender for each configured receiver. Errors of a connection to a receiver are logged on standard
+// error only.
 func openLogs(list []files.Log, app string) (*logs, error) {
-	l := &logs{all: slog.Default()}
+	l := &logs{combined: slog.Default()}
 	var to fanOut
 	for _, f := range list {
 		var level slog.Level
@@ -54,7 +55,7 @@
 	}
 	if len(to) > 0 {
 		l.records = slog.New(to)
-		l.all = slog.New(append(fanOut{slog.Default().Handler()}, to...))
+		l.combined = slog.New(append(fanOut{slog.Default().Handler()}, to...))
 	}
 	return l, nil
 }
@@ -63,12 +64,12 @@
 	for _, s := range l.senders {
 		s.Close()
 		if c := s.Counts(); c.Waiting+c.Spooled > 0 || c.Dropped != [syslog.Debug + 1]uint64{} {
-			slog.Warn("not all records went out", "sent", c.Sent, "spooled", c.Spooled, "dropped", c.Dropped)
+			slog.Warn("not all log records were sent", "sent", c.Sent, "spooled", c.Spooled, "dropped", c.Dropped)
 		}
 	}
 }
 
-// info writes what became of the records, for show info.
+// info writes the totals of each sender, for the command "show info".
 func (l *logs) info(w io.Writer) {
 	for i, s := range l.senders {
 		c := s.Counts()
@@ -81,7 +82,7 @@
 	}
 }
 
-// fanOut hands records to several handlers.
+// fanOut is a slog.Handler that passes records to several handlers.
 type fanOut []slog.Handler
 
 func (f fanOut) Enabled(ctx context.Context, l slog.Level) bool {
--- a/cmd/vetchdoor/main.go
+++ b/cmd/vetchdoor/main.go
@@ -1,4 +1,5 @@
-// Command vetchdoor is the control service, its proxy, its stand-ins and its laboratory; a sub-command each.
+// Command vetchdoor runs the parts of the control service, a sub-command each: pilots, proxies, simulated servers and
+// list services, the lab, and tools.
 package main
 
 import (
@@ -11,19 +12,19 @@
 	"github.com/spf13/cobra"
 )
 
-// Exit codes.
+// Exit codes of the program.
 const (
-	exitGood   = 0
-	exitFailed = 1 // a rule broken, a check failed
-	exitBad    = 2 // bad use or bad input
-	exitStuck  = 3 // a pilot's module did not come back; start it anew
+	exitOK              = 0
+	exitFailed          = 1 // a rule was broken or a check failed
+	exitUsage           = 2 // invalid usage or input
+	exitControllerStuck = 3 // the controller of a pilot did not return from a call; the process must be restarted
 )
 
-// failure is an error that ends the program with exitFailed; every other ends it with exitBad.
+// failure is an error for which the program exits with exitFailed; any other error exits with exitBad.
 type failure struct{ error }
 
 func main() {
-	catch(os.Args[1:])
+	catchSignals(os.Args[1:])
 	os.Exit(run(os.Args[1:]))
 }
 
@@ -32,7 +33,7 @@
 	root.SetArgs(args)
 	err := root.Execute()
 	if err == nil {
-		return exitGood
+		return exitOK
 	}
 	var failed failure
 	if errors.As(err, &failed) {
@@ -42,14 +43,14 @@
 		return exitFailed
 	}
 	fmt.Fprintln(os.Stderr, "vetchdoor:", strings.ReplaceAll(err.Error(), "\n", " "))
-	return exitBad
+	return exitUsage
 }
 
 func newRoot() *cobra.Command {
 	var level, format string
 	root := &cobra.Command{
 		Use:           "vetchdoor",
-		Short:         "tells proxies where work goes, and how much of it",
+		Short:         "control service that sends tables, weights and levels to proxies",
 		SilenceErrors: true,
 		SilenceUsage:  true,
 		PersistentPreRunE: func(cmd *cobra.Command, args []string) error {
@@ -64,11 +65,11 @@
 	return root
 }
 
-// setLog points slog at standard error.
+// setLog sets the default logger, which writes to standard error.
 func setLog(level, format string) error {
 	var l slog.Level
 	if err := l.UnmarshalText([]byte(level)); err != nil {
-		return fmt.Errorf("--log-level: %q is none of debug, info, warn, error", level)
+		return fmt.Errorf("--log-level: %q is not one of debug, info, warn, error", level)
 	}
 	o := &slog.HandlerOptions{Level: l}
 	switch format {
--- a/cmd/vetchdoor/main_test.go
+++ b/cmd/vetchdoor/main_test.go
@@ -18,14 +18,14 @@
 	"vetchdoor/lab/days"
 )
 
-// The test binary is the program where this is set.
+// asProgram is the environment variable that makes the test binary run as the vetchdoor program.
 const asProgram = "VETCHDOOR_AS_PROGRAM"
 
 func TestMain(m *testing.M) {
 	if os.Getenv(asProgram) != "" {
 		main()
 	}
-	// A signal that this process ignored its children would ignore from their start; one that it takes they do not.
+	// Child processes inherit ignored signals, but not caught ones: catching SIGHUP here gives them the default action.
 	signal.Notify(make(chan os.Signal, 1), syscall.SIGHUP)
 	os.Exit(m.Run())
 }
@@ -36,7 +36,7 @@
 	return c
 }
 
-// part is a running program; its log is read for the lines that a test waits for.
+// part is a running program whose log is read, so that a test can wait for a message.
 type part struct {
 	t    *testing.T
 	cmd  *exec.Cmd
@@ -88,26 +88,26 @@
 	return p
 }
 
-// until returns the next log line with this message.
+// until waits for the next log line with this message and returns it.
 func (p *part) until(msg string) map[string]any {
 	p.t.Helper()
-	late := time.After(20 * time.Second)
+	timeout := time.After(20 * time.Second)
 	for {
 		select {
 		case m, ok := <-p.logs:
 			if !ok {
-				p.t.Fatalf("%v ended before %q", p.cmd.Args[1:], msg)
+				p.t.Fatalf("%v exited before it logged %q", p.cmd.Args[1:], msg)
 			}
 			if m["msg"] == msg {
 				return m
 			}
-		case <-late:
-			p.t.Fatalf("%v never said %q", p.cmd.Args[1:], msg)
+		case <-timeout:
+			p.t.Fatalf("%v did not log %q in time", p.cmd.Args[1:], msg)
 		}
 	}
 }
 
-// terminate asks it to end and returns its exit code.
+// terminate sends SIGTERM, waits for the end of the process and returns its exit code.
 func (p *part) terminate() int {
 	_ = p.cmd.Process.Signal(syscall.SIGTERM)
 	for range p.logs {
@@ -127,8 +127,8 @@
 	return object{"empty_for": "2s", "drain_grace": "2s", "cold_for": "1s", "cold_share": 0.2, "overload_factor": 4, "fall_after": "2s"}
 }
 
-// Every part as a program of its own: an op goes through, a drained server gets no more, and each ends in order on
-// SIGTERM with what it had in hand answered.
+// Every part runs as a process of its own: an op is answered, a draining server is withdrawn, and on SIGTERM each
+// process answers the ops in progress and exits with 0. The pilot's log can then be read back.
 func TestPrograms(t *testing.T) {
 	nodes := launch(t, "node", object{"kind": "node", "service": service(), "limits": limits(),
 		"machines": []object{{"name": "m", "cores": 2, "speed": []int{1, 1}, "slots": 8, "queue": 10, "connections": 50, "cold_share": 0.5, "cold_for": "1s"}},
@@ -180,7 +180,7 @@
 				return
 			}
 			if time.Now().After(end) {
-				t.Fatalf("never %q: %s %v", want, out, err)
+				t.Fatalf("show stat did not show %q in time: %s %v", want, out, err)
 			}
 		}
 	}
@@ -194,25 +194,25 @@
 		answer <- fmt.Sprint(s, " ", b)
 	}()
 	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-		if s, _ := get("0"); s == 200 { // the slow one is in hand by now, or soon
+		if s, _ := get("0"); s == 200 { // the slow op has probably reached a server by now
 			break
 		}
 	}
 	time.Sleep(200 * time.Millisecond)
 	if code := proxy.terminate(); code != 0 {
-		t.Errorf("proxy ended with %d", code)
+		t.Errorf("the proxy exited with %d", code)
 	}
 	if s := <-answer; s != "200 ok\n" {
-		t.Errorf("the op in hand got %q", s)
+		t.Errorf("the op in progress got %q", s)
 	}
 	for _, p := range []*part{pilot, roster, nodes} {
 		if code := p.terminate(); code != 0 {
-			t.Errorf("%v ended with %d", p.cmd.Args[1:], code)
+			t.Errorf("%v exited with %d", p.cmd.Args[1:], code)
 		}
 	}
 	for filter, want := range map[string]string{"kind=withdrawal and node=e1": "out=true: draining", "kind=restart": "p restart: start", "kind=bind": "p1 table=t0", "kind=joined": "proxy=p1"} {
 		out, err := program("log", "show", "-w", filter, logAt).CombinedOutput()
-		if err != nil || !strings.Contains(string(out), want) || !strings.Contains(string(out), " 0 broken lines, 0 there twice, 0 records missing") {
+		if err != nil || !strings.Contains(string(out), want) || !strings.Contains(string(out), " 0 malformed lines, 0 duplicates, 0 records missing") {
 			t.Errorf("%s: %v\n%s", filter, err, out)
 		}
 	}
@@ -225,7 +225,8 @@
 	}
 }
 
-// Bad use and bad files end with 2 and one line that names the file; good ones with 0.
+// Invalid usage and invalid files exit with 2 (a failed check of a file with 1) and print one line that names the file
+// or argument; valid ones exit with 0.
 func TestExitCodes(t *testing.T) {
 	dir := t.TempDir()
 	paths := map[string]string{}
@@ -276,7 +277,7 @@
 	run(2, "unix:", "ctl", "unix:"+filepath.Join(dir, "no.sock"), "help")
 }
 
-// The days that ship are good files.
+// All built-in days can be read.
 func TestDays(t *testing.T) {
 	for _, name := range days.Names() {
 		if _, err := days.Read(name); err != nil {
--- a/cmd/vetchdoor/platform.go
+++ b/cmd/vetchdoor/platform.go
@@ -20,20 +20,21 @@
 				return err
 			}
 			p := platform.New(g, slog.Default())
-			p.Stuck = func() { os.Exit(exitStuck) }
+			p.Stuck = func() { os.Exit(exitControllerStuck) }
 			if err := p.Start(); err != nil {
 				return err
 			}
-			end := caught.wait(func() { p.Reload(path) })
+			end := caughtSignals.wait(func() { p.Reload(path) })
 			slog.Info("ends", "signal", end.String())
-			return nil // at once: proxies go elsewhere, and connections end with the process
+			return nil // without waiting: proxies use other pilots, and connections close with the process
 		}}
-	c.Flags().StringVarP(&path, "file", "f", os.Getenv("LB_CONFIG"), "the platform's file, JSON; usually named by LB_CONFIG")
+	c.Flags().StringVarP(&path, "file", "f", os.Getenv("LB_CONFIG"), "settings file of the platform, JSON; default: the path in LB_CONFIG")
 	return c
 }
 
-// readWithinLimits reads the platform's file and keeps to the limits that it names. Until they are known the runtime has one
-// processor, as on the smallest machine, so that a collection while the file is read does not spread over the host's.
+// readWithinLimits reads the platform's settings file and applies the limits in it to the Go runtime. Until the limits
+// are known the runtime uses one processor, as on the smallest machine, so that a garbage collection while the file is
+// read does not use all processors of the host.
 func readWithinLimits(path string) (*platform.Config, error) {
 	given := runtime.GOMAXPROCS(1)
 	g, err := platform.ReadConfig(path)
@@ -49,8 +50,8 @@
 	return g, nil
 }
 
-// restoreProcessors gives the runtime the processors it had. Where the environment did not set them it follows the limits of its
-// control group again.
+// restoreProcessors sets the number of processors of the runtime back to its former value. If the environment variable
+// GOMAXPROCS is not set, the runtime follows the limits of its control group again.
 func restoreProcessors(given int) {
 	if os.Getenv("GOMAXPROCS") != "" {
 		runtime.GOMAXPROCS(given)
@@ -59,7 +60,7 @@
 	runtime.SetDefaultGOMAXPROCS()
 }
 
-// collections is how often the runtime has collected garbage so far.
+// collections returns the number of garbage collections so far.
 func collections() int64 {
 	var stats debug.GCStats
 	debug.ReadGCStats(&stats)
--- a/cmd/vetchdoor/platform_limits_test.go
+++ b/cmd/vetchdoor/platform_limits_test.go
@@ -13,14 +13,16 @@
 	"vetchdoor/lab/platform"
 )
 
-// collection is a line of the runtime's trace of its collector, with the number of processors that it ran on.
+// collection matches a line of the garbage collector's trace; the submatch is the number of processors that the
+// collection used.
 var collection = regexp.MustCompile(`^gc \d+ @.* (\d+) P(?: \(forced\))?$`)
 
-// knownEndpoints is how many endpoints a file names whose reading takes several collections.
+// knownEndpoints is a number of endpoints in a settings file that takes several garbage collections to read.
 const knownEndpoints = 20_000
 
-// A pilot keeps to its machine's cores from before it reads its file: no collection on the way to its first log line runs on
-// more processors than the file grants. On several, the runtime's sweeper can spin until the clock goes on.
+// A pilot keeps to the cores of its machine while it reads its settings file: no garbage collection before its first
+// log line uses more processors than the file grants. With several processors, the sweeper of the runtime can spin
+// until the clock advances.
 func TestPlatformReadsItsFileWithinItsLimits(t *testing.T) {
 	known := []platform.Instance{}
 	for i := range knownEndpoints {
@@ -40,40 +42,40 @@
 	t.Setenv("GOGC", "100")
 	t.Setenv("GODEBUG", "gctrace=1")
 	if processors := startCollections(t, launchFile(t, "platform", path)); len(processors) == 0 || slices.Max(processors) != "1" {
-		t.Errorf("collections until the pilot runs, by their processors: %v; wanted some, each on 1", processors)
+		t.Errorf("processors of each collection until the pilot runs: %v; want at least one collection, each on 1 processor", processors)
 	}
 }
 
-// The log tells that the file was read, and what of the machine the runtime keeps to, before anything is opened: a start that
-// stands still is seen to have come so far.
-func TestPlatformSaysItsLimitsBeforeItListens(t *testing.T) {
+// The log shows that the settings file was read, and the limits that the runtime applies, before the pilot listens. If
+// a start hangs, the log then shows that it came this far.
+func TestPlatformLogsItsLimitsBeforeItListens(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "given.json")
 	write(t, path, map[string]any{"name": "n0", "listen": "192.0.2.1:1", "discovery": "127.0.0.1:9", "seed": "1",
 		"limits":   map[string]any{"cores": 1.5, "memory_mb": 64, "sockets": 256},
 		"settings": json.RawMessage(platformSettings)})
 	p := launchFile(t, "platform", path)
-	said := p.until("keeps to its limits")
+	logged := p.until("keeps to its limits")
 	for key, want := range map[string]float64{"processors": 1, "memory_mb": 64, "sockets": 256} {
-		if said[key] != want {
-			t.Errorf("%s: %v, wanted %v", key, said[key], want)
+		if logged[key] != want {
+			t.Errorf("%s: %v, want %v", key, logged[key], want)
 		}
 	}
-	if _, told := said["collections"].(float64); !told {
-		t.Errorf("collections are not told: %v", said)
+	if _, present := logged["collections"].(float64); !present {
+		t.Errorf("the number of collections is not logged: %v", logged)
 	}
 	last := object{}
 	for line := range p.logs {
 		last = line
 	}
 	if text, _ := last["msg"].(string); !strings.HasPrefix(text, "vetchdoor: listen") {
-		t.Errorf("an address that is not the machine's was listened on: %v", last)
+		t.Errorf("listening on a foreign address did not fail: %v", last)
 	}
 }
 
-// startCollections returns the processors of each collection until the pilot runs.
+// startCollections returns the number of processors of each garbage collection until the pilot runs.
 func startCollections(t *testing.T, p *part) (processors []string) {
 	t.Helper()
-	late := time.After(20 * time.Second)
+	timeout := time.After(20 * time.Second)
 	for {
 		select {
 		case line, ok := <-p.logs:
@@ -84,8 +86,8 @@
 			if m := collection.FindStringSubmatch(text); m != nil {
 				processors = append(processors, m[1])
 			}
-		case <-late:
-			t.Fatal("it never ran")
+		case <-timeout:
+			t.Fatal("the pilot did not run in time")
 		}
 	}
 }
--- a/cmd/vetchdoor/platform_test.go
+++ b/cmd/vetchdoor/platform_test.go
@@ -19,8 +19,9 @@
 	"intake_per_s":300,"transit_max":50},"peers_total":1,"report":{"how":"inline","names":["util"]},"weights":"rough",
 	"guarantees":{"cold":1000,"cold_share":0.3,"drain_grace":2000},"tick":2}`
 
-// The built program in service: discovery, proxies and collectors of our own, and whatever else dials; the file is replaced,
-// torn and whole, and discovery moves, without a stream lost.
+// The built program runs with a simulated discovery service, proxies and collectors while other clients send garbage or
+// nothing. The settings file is replaced by a truncated one and by a valid one that names another discovery service. No
+// stream to a proxy is lost, and every garbage connection is closed.
 func TestPlatform(t *testing.T) {
 	known := []platform.Instance{}
 	for i := range 4 {
@@ -58,7 +59,7 @@
 		t.Helper()
 		for end := time.Now().Add(20 * time.Second); !done(); time.Sleep(5 * time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatal("never: ", what)
+				t.Fatal("did not happen in time: ", what)
 			}
 		}
 	}
@@ -73,7 +74,7 @@
 		}
 	}
 	served := all(func(open map[string]float64) bool { return len(open) > 0 })
-	until("all are served", served)
+	until("all proxies have servers", served)
 
 	collector, err := platform.Dial(address)
 	if err != nil {
@@ -81,7 +82,7 @@
 	}
 	defer collector.Close()
 	_ = collector.Say(`{"msg":"telemetry","az":"a"}`)
-	var strangers []*platform.Peer
+	var badPeers []*platform.Peer
 	for _, say := range []string{"", "half", "GET / HTTP/1.1\r\n\r\n", `{"msg":"attach","sidecar":99,"az":"a","share":1,"standing":true}` + "\n",
 		`{"msg":"hb"}` + "\n", `{"msg":"telemetry","az":"mars"}` + "\n", strings.Repeat("x", 1<<20)} {
 		for range 10 {
@@ -91,7 +92,7 @@
 			}
 			defer s.Close()
 			go fmt.Fprint(s, say)
-			strangers = append(strangers, s)
+			badPeers = append(badPeers, s)
 		}
 	}
 	for i := range 20 {
@@ -111,14 +112,14 @@
 	gone := known[0]
 	gone.Lifecycle = "draining"
 	found[1].Set(gone)
-	until("the drain is kept at all", all(func(open map[string]float64) bool { _, there := open["s-0"]; return !there && len(open) > 0 }))
+	until("no proxy uses the draining server", all(func(open map[string]float64) bool { _, there := open["s-0"]; return !there && len(open) > 0 }))
 
-	for _, s := range strangers {
+	for _, s := range badPeers {
 		for err = error(nil); err == nil; {
 			_, err = s.Hear(20 * time.Second)
 		}
 		if e, ok := err.(net.Error); ok && e.Timeout() {
-			t.Error("a stranger is neither refused nor closed on")
+			t.Error("a garbage connection was not closed")
 		}
 	}
 	for _, x := range proxies {
@@ -126,12 +127,12 @@
 			t.Errorf("proxy %d: %v", x.Number, fault)
 		}
 	}
-	if code := p.terminate(); code != exitGood {
-		t.Errorf("it ended with %d", code)
+	if code := p.terminate(); code != exitOK {
+		t.Errorf("the pilot exited with %d", code)
 	}
 }
 
-// A file that cannot be used, or none, is said in a line.
+// A missing or invalid settings file is reported in one line.
 func TestPlatformWithoutFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "given.json")
 	if err := os.WriteFile(path, []byte(`{"listen":"x"}`), 0o600); err != nil {
--- a/cmd/vetchdoor/signals.go
+++ b/cmd/vetchdoor/signals.go
@@ -8,30 +8,30 @@
 	"syscall"
 )
 
-// services are the sub-commands that run until a signal ends them.
+// services lists the sub-commands that run until a signal ends them.
 var services = []string{"pilot", "platform", "proxy", "node", "roster"}
 
-// caught are the signals of a service, which may come before it has read a flag; nil in any other command.
-var caught *signals
+// caught holds the signals of a service, which are caught even before its flags are parsed; nil for other commands.
+var caughtSignals *signals
 
-// signals are the signals that a program takes. Each kind has a channel of its own, so that a series of one, which may come
-// while the program starts and reads none, leaves no other out.
+// signals holds the caught signals of a service. Each kind has its own channel, so that many signals of one kind, sent
+// while the program starts and does not read them, cannot displace another.
 type signals struct {
-	end    chan os.Signal // SIGTERM or SIGINT; a second one shortens nothing
+	end    chan os.Signal // SIGTERM or SIGINT; a second one has no effect
 	reload chan os.Signal // SIGHUP
 }
 
-// catch takes the signals of a service, if the arguments name one.
-func catch(args []string) {
+// catch starts to catch signals if the arguments name a service.
+func catchSignals(args []string) {
 	if !slices.ContainsFunc(args, func(arg string) bool { return slices.Contains(services, arg) }) {
 		return
 	}
-	caught = &signals{end: make(chan os.Signal, 1), reload: make(chan os.Signal, 1)}
-	signal.Notify(caught.reload, syscall.SIGHUP)
-	signal.Notify(caught.end, syscall.SIGTERM, syscall.SIGINT)
+	caughtSignals = &signals{end: make(chan os.Signal, 1), reload: make(chan os.Signal, 1)}
+	signal.Notify(caughtSignals.reload, syscall.SIGHUP)
+	signal.Notify(caughtSignals.end, syscall.SIGTERM, syscall.SIGINT)
 }
 
-// wait returns the signal that ends the program, and calls reload for each SIGHUP before.
+// wait calls reload for each SIGHUP until a signal ends the program, and returns that signal.
 func (s *signals) wait(reload func()) os.Signal {
 	for {
 		select {
@@ -43,12 +43,13 @@
 	}
 }
 
-// passOver is what SIGHUP means to a service that does not read its file again: a closed terminal ends nothing.
-func passOver() {
-	slog.Warn("SIGHUP is passed over; a changed file takes a restart")
+// ignoreHangup handles SIGHUP in services that cannot reload their settings file: it only logs a warning, so a closed
+// terminal does not end the service.
+func ignoreHangup() {
+	slog.Warn("ignoring SIGHUP; restart to apply a changed settings file")
 }
 
-// interrupted returns a channel on which the signals come that end a tool, a closed terminal's among them.
+// interrupted returns a channel that receives the signals that end a tool, including SIGHUP from a closed terminal.
 func interrupted() <-chan os.Signal {
 	c := make(chan os.Signal, 1)
 	signal.Notify(c, syscall.SIGHUP, syscall.SIGTERM, syscall.SIGINT)
--- a/cmd/vetchdoor/signals_test.go
+++ b/cmd/vetchdoor/signals_test.go
@@ -11,13 +11,13 @@
 	"time"
 )
 
-// SIGHUP ended every service but the platform's pilot: of 64 requests in hand at a proxy none was answered, of which its
-// server had carried out 43. Nobody took the signal, and its default is to end the process, also in the milliseconds before
-// main runs, in which jsonschema alone takes eight. A series of SIGHUP while the program started filled the channel that
-// SIGTERM came by too, so that the program never ended.
+// SIGHUP used to end every service except the platform's pilot. No handler was installed, and the default action ends
+// the process: with 64 requests in progress, a proxy answered none, although its server had executed 43. The same
+// happened in the milliseconds before main runs (initializing jsonschema alone takes eight). Moreover, a series of
+// SIGHUP during the start filled the channel shared with SIGTERM, so that the program never ended.
 //
-// Here each service gets SIGHUP from its first instructions on, passes it over with a line in the log, and still ends in
-// order on SIGTERM, given twice.
+// Each service gets SIGHUP from its first instructions on, logs a warning about it, and still shuts down on SIGTERM,
+// sent twice.
 func TestSignals(t *testing.T) {
 	nodes := object{"kind": "node", "service": service(), "limits": limits(),
 		"machines": []object{{"name": "m", "cores": 2, "speed": []int{1, 1}, "slots": 8, "queue": 10, "connections": 50, "cold_share": 0.5, "cold_for": "1s"}},
@@ -32,7 +32,7 @@
 	} {
 		t.Run(kind, func(t *testing.T) {
 			p := launch(t, kind, file)
-			awaitHangup(t, p.cmd.Process.Pid)
+			awaitHangupHandled(t, p.cmd.Process.Pid)
 			for range 10 {
 				_ = p.cmd.Process.Signal(syscall.SIGHUP)
 			}
@@ -42,29 +42,30 @@
 			}
 			p.until(runs)
 			_ = p.cmd.Process.Signal(syscall.SIGHUP)
-			p.until("SIGHUP is passed over; a changed file takes a restart")
+			p.until("ignoring SIGHUP; restart to apply a changed settings file")
 			_ = p.cmd.Process.Signal(syscall.SIGTERM)
-			if code := p.terminate(); code != exitGood {
-				t.Errorf("it ended with %d", code)
+			if code := p.terminate(); code != exitOK {
+				t.Errorf("it exited with %d", code)
 			}
 		})
 	}
 }
 
-// awaitHangup waits until a process no longer ends on SIGHUP, by the masks of ignored and caught signals that the system
-// shows: in the instant between the start of a process and its first instruction nothing but the system can answer one.
-func awaitHangup(t *testing.T, pid int) {
+// awaitHangup waits until SIGHUP no longer ends a process, according to its masks of ignored and caught signals:
+// between the start of a process and its first instruction the default action applies, which the process cannot
+// prevent.
+func awaitHangupHandled(t *testing.T, pid int) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); {
-		if takesHangup(pid) {
+		if handlesHangup(pid) {
 			return
 		}
 	}
-	t.Fatal("SIGHUP would still end it")
+	t.Fatal("the process does not handle SIGHUP in time")
 }
 
-// takesHangup tells whether a process ignores or catches SIGHUP.
-func takesHangup(pid int) bool {
+// takesHangup reports whether a process ignores or catches SIGHUP.
+func handlesHangup(pid int) bool {
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
 		return false
@@ -82,7 +83,7 @@
 	return false
 }
 
-// A tool that stands for a person ends as its terminal closes.
+// A tool that runs in a terminal ends when the terminal closes.
 func TestHangupEndsATool(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "some.log")
 	write(t, path, "x")
@@ -92,11 +93,11 @@
 	if err := c.Start(); err != nil {
 		t.Fatal(err)
 	}
-	awaitHangup(t, c.Process.Pid)
+	awaitHangupHandled(t, c.Process.Pid)
 	ended := make(chan error, 1)
 	go func() { ended <- c.Wait() }()
 	for {
-		_ = c.Process.Signal(syscall.SIGHUP) // until the command asks for it, it is passed over
+		_ = c.Process.Signal(syscall.SIGHUP) // ignored until the command installs its handler
 		select {
 		case err := <-ended:
 			if err != nil {
--- a/cmd/vetchdoor/soak_clients_test.go
+++ b/cmd/vetchdoor/soak_clients_test.go
@@ -19,32 +19,32 @@
 	"vetchdoor/lab/sign"
 )
 
-// outcome is what a client saw of one op, or of one repeat of it.
+// outcome is what a client observed of one try of an op.
 type outcome struct {
-	op      uint64
-	opType  int
-	try     int // of the client, from 0
-	proxy   int
-	before  int  // the proxy of the try before
-	large   bool // its request has a large head and a large body
-	work    int  // in microseconds
-	begun   time.Time
-	written time.Time
-	status  int
-	bare    bool   // refused, for no server was there
-	behind  bool   // sent ahead behind the connection's last answer
-	lost    string // why there was no whole answer; empty: there was
+	op              uint64
+	opType          int
+	try             int // number of the client's try, from 0
+	proxy           int
+	previousProxy   int  // proxy of the previous try
+	large           bool // whether the request has a large head and a large body
+	work            int  // work for the server, in microseconds
+	begun           time.Time
+	written         time.Time
+	status          int
+	noServer        bool   // rejected because the proxy had no server
+	pipelinedBehind bool   // pipelined behind the last answer of the connection
+	lost            string // why there was no complete answer; empty if there was one
 }
 
-// newOp draws an op of any type.
+// newOp returns an op of random type.
 func (s *soak) newOp(proxy int, rng *rand.Rand) outcome {
 	return outcome{op: s.ops.Add(1), opType: rng.IntN(typeCount), proxy: proxy, large: rng.IntN(largeEach) == 0, work: rng.IntN(8000), begun: time.Now()}
 }
 
-// patience is how long a client waits for anything, far past every timeout of a proxy.
-const patience = 15 * time.Second
+// clientTimeout is the limit for every wait of a client; it exceeds all timeouts of a proxy.
+const clientTimeout = 15 * time.Second
 
-// client keeps connections to one proxy in use, one after the other, until the run ends.
+// client sends ops to one proxy over one connection after the other until the run ends.
 func (s *soak) client(number int) {
 	rng := rand.New(rand.NewPCG(s.seed, 100+uint64(number)))
 	proxy := number % len(s.proxies)
@@ -68,12 +68,13 @@
 	}
 }
 
-// converse sends ops one after the other, at times several ahead, until an answer says that the connection closes, or one is lost.
+// converse sends one op after the other on a connection, sometimes several pipelined, until an answer closes the
+// connection or is lost.
 func (s *soak) converse(c net.Conn, proxy int, rng *rand.Rand) {
 	in := bufio.NewReader(c)
 	for !s.ended() {
 		count := 1
-		if rng.IntN(aheadEach) == 0 {
+		if rng.IntN(pipelineEach) == 0 {
 			count += 1 + rng.IntN(3)
 		}
 		ops := make([]outcome, count)
@@ -84,9 +85,9 @@
 		if count == 1 {
 			last = s.ask(c, in, &ops[0], rng)
 		} else {
-			last = s.askAhead(c, in, ops, rng)
+			last = s.askPipelined(c, in, ops, rng)
 		}
-		s.book(ops...)
+		s.record(ops...)
 		for _, o := range ops {
 			if o.isRepeatable() {
 				s.clients.Go(func() { s.repeat(o) })
@@ -99,24 +100,24 @@
 	}
 }
 
-// book notes what clients saw.
-func (s *soak) book(outcomes ...outcome) {
+// record stores outcomes for the checks at the end.
+func (s *soak) record(outcomes ...outcome) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.outcomes = append(s.outcomes, outcomes...)
 }
 
-// aheadEach is how often a client sends several ops before it reads an answer, expectEach how often it waits for a word before it
-// sends a body: one time in so many.
+// One in pipelineEach rounds sends several ops before it reads an answer; one in expectEach requests waits for 100
+// Continue before it sends its body.
 const (
-	aheadEach  = 12
-	expectEach = 12
+	pipelineEach = 12
+	expectEach   = 12
 )
 
-// askAhead sends ops without a pause and reads their answers in order; true if one was the connection's last. What was sent behind
-// that one is not carried out (RFC 9112, 9.6).
-func (s *soak) askAhead(c net.Conn, in *bufio.Reader, ops []outcome, rng *rand.Rand) (last bool) {
-	_ = c.SetDeadline(time.Now().Add(patience))
+// askPipelined sends several ops at once and reads their answers in order; last is true if one of them was the last on
+// the connection. Ops sent behind that one are not executed (RFC 9112, section 9.6).
+func (s *soak) askPipelined(c net.Conn, in *bufio.Reader, ops []outcome, rng *rand.Rand) (last bool) {
+	_ = c.SetDeadline(time.Now().Add(clientTimeout))
 	var text []byte
 	for i := range ops {
 		text = append(text, ops[i].request(false)...)
@@ -128,7 +129,7 @@
 	}
 	for i := range ops {
 		if last {
-			ops[i].behind = i > 0
+			ops[i].pipelinedBehind = i > 0
 			continue
 		}
 		last = s.readAnswer(in, &ops[i])
@@ -136,9 +137,9 @@
 	return last
 }
 
-// ask sends one op, at times in pieces, and reads its answer; true if it is the connection's last.
+// ask sends one op, sometimes in pieces, and reads its answer; last is true if it is the last on the connection.
 func (s *soak) ask(c net.Conn, in *bufio.Reader, o *outcome, rng *rand.Rand) (last bool) {
-	_ = c.SetDeadline(time.Now().Add(patience))
+	_ = c.SetDeadline(time.Now().Add(clientTimeout))
 	expects := rng.IntN(expectEach) == 0
 	text := o.request(expects)
 	pieces := cutUp(text, rng)
@@ -148,7 +149,7 @@
 	}
 	for i, piece := range pieces {
 		if i > 0 && expects {
-			if ended, last := s.awaitWord(in, o); ended {
+			if ended, last := s.awaitContinue(in, o); ended {
 				return last
 			}
 		} else if i > 0 {
@@ -163,12 +164,12 @@
 	return s.readAnswer(in, o)
 }
 
-// awaitWord reads the word to go on with a body; ended if a final answer came in its place, after which the connection cannot be
-// used, for its server may or may not read the body.
-func (s *soak) awaitWord(in *bufio.Reader, o *outcome) (ended, last bool) {
+// awaitContinue waits for 100 Continue. If a final answer came instead, ended and last are true: the connection cannot
+// be reused, because the server may or may not read the body.
+func (s *soak) awaitContinue(in *bufio.Reader, o *outcome) (ended, last bool) {
 	line, err := in.Peek(len("HTTP/1.1 100 "))
 	if err != nil {
-		o.lost = "read of the word to go on: " + err.Error()
+		o.lost = "read of 100 Continue: " + err.Error()
 		return true, true
 	}
 	if string(line) != "HTTP/1.1 100 " {
@@ -177,19 +178,19 @@
 	}
 	for line, err := in.ReadString('\n'); line != "\r\n"; line, err = in.ReadString('\n') {
 		if err != nil {
-			o.lost = "word to go on: " + err.Error()
+			o.lost = "head of 100 Continue: " + err.Error()
 			return true, true
 		}
 	}
 	return false, false
 }
 
-// largeEach is how often a request has a large head and a large body: one in so many.
+// One in largeEach requests has a large head and a large body.
 const largeEach = 16
 
-// request is an op as its client sends it, with its sign.
+// request returns the op's request, signed so that mixed-up requests and answers are detected.
 func (o *outcome) request(expects bool) []byte {
-	method := [typeCount]string{readType: "GET", writeType: "POST", markedType: "PUT"}[o.opType]
+	method := [typeCount]string{readType: "GET", writeType: "POST", dedupType: "PUT"}[o.opType]
 	b := http1.AppendRequest(nil, []byte(method), []byte(sign.Path("/x", o.op)))
 	b = http1.AppendField(b, "Host", "h")
 	if expects {
@@ -199,13 +200,13 @@
 	b = http1.AppendField(b, node.TypeField, strconv.Itoa(o.opType))
 	b = http1.AppendField(b, node.TryField, strconv.Itoa(o.try))
 	b = http1.AppendField(b, node.WorkField, strconv.Itoa(o.work))
-	if o.opType == markedType {
+	if o.opType == dedupType {
 		b = http1.AppendField(b, "Idempotency-Key", "op-"+strconv.FormatUint(o.op, 10))
 	}
 	return http1.AppendBody(sign.AppendFields(b, o.op, o.large), sign.Body(o.op, o.large))
 }
 
-// cutUp cuts a request into pieces: three of a large one, at times two of another.
+// cutUp splits a request: a large one into three pieces, others sometimes into two.
 func cutUp(text []byte, rng *rand.Rand) [][]byte {
 	if len(text) > sign.LargeHead {
 		first := 1 + rng.IntN(len(text)-2)
@@ -219,7 +220,8 @@
 	return [][]byte{text}
 }
 
-// readAnswer reads an op's answer, which must be its own; true if it is the connection's last.
+// readAnswer reads the answer to an op and checks that it belongs to it; last is true if it is the last on the
+// connection.
 func (s *soak) readAnswer(in *bufio.Reader, o *outcome) (last bool) {
 	r, err := http.ReadResponse(in, nil)
 	if err != nil {
@@ -231,12 +233,12 @@
 		o.lost = "body: " + err.Error()
 		return true
 	}
-	o.status, o.bare = r.StatusCode, r.StatusCode == 503 && string(body) == "no server\n"
+	o.status, o.noServer = r.StatusCode, r.StatusCode == 503 && string(body) == "no server\n"
 	if got := r.Header.Get(sign.Field); got != "" && got != strconv.FormatUint(o.op, 10) {
-		s.failf("op %d got the answer of %s", o.op, got)
+		s.failf("op %d got the answer to op %s", o.op, got)
 	}
 	if o.status >= 400 && o.status < 500 {
-		s.failf("op %d was answered %d: %.100q", o.op, o.status, body)
+		s.failf("op %d got status %d: %.100q", o.op, o.status, body)
 	}
 	if !r.Close {
 		return false
@@ -247,7 +249,7 @@
 	return true
 }
 
-// crowd has many connections stand at the proxies, each in a manner of its own.
+// crowd keeps many badly behaved connections open to the proxies.
 func (s *soak) crowd() {
 	for i := range 2 * crowdConnections {
 		s.clients.Go(func() {
@@ -257,30 +259,31 @@
 					time.Sleep(50 * time.Millisecond)
 					continue
 				}
-				s.loiter(c, i%manners)
+				s.loiter(c, i%crowdKinds)
 				c.Close()
 			}
 		})
 	}
 }
 
-// manners are the ways of a crowd's connections: idle, half a request, slow, and one that reads none of its long answers.
-const manners = 4
+// The number of kinds of connections in the crowd: idle, an incomplete request, a slow request, and a client that reads
+// none of its long answers.
+const crowdKinds = 4
 
-// Of a connection that reads nothing.
+// For connections that do not read their answers.
 const (
-	longAnswer = 1 << 20         // bytes
-	stallFor   = 2 * time.Second // then its client closes it
+	longAnswer    = 1 << 20         // bytes
+	stallDuration = 2 * time.Second // time until the client closes the connection
 )
 
-// loiter stands on a connection until it is closed or the run ends.
-func (s *soak) loiter(c net.Conn, manner int) {
-	if manner == manners-1 { // it asks for more than the system holds for it, and reads none of it
+// loiter keeps a connection busy in one of these ways until it is closed or the run ends.
+func (s *soak) loiter(c net.Conn, connectionKind int) {
+	if connectionKind == crowdKinds-1 { // requests more than the system's buffers hold, and reads nothing
 		ask := fmt.Sprintf("GET /x HTTP/1.1\r\nHost: h\r\n%s: %d\r\n\r\n", node.SizeField, longAnswer)
 		_, _ = io.WriteString(c, strings.Repeat(ask, 8))
 		select {
 		case <-s.stop:
-		case <-time.After(stallFor):
+		case <-time.After(stallDuration):
 		}
 		return
 	}
@@ -290,11 +293,11 @@
 		close(gone)
 	}()
 	text := "GET /x HTTP/1.1\r\nHost: h\r\nX-Slow: 0123456789\r\n\r\n"
-	if manner == 1 {
+	if connectionKind == 1 {
 		_, _ = io.WriteString(c, text[:20])
 	}
 	for {
-		if manner == 2 {
+		if connectionKind == 2 {
 			_, _ = io.WriteString(c, text[:1])
 			text = text[1:] + text[:1]
 		}
@@ -310,12 +313,13 @@
 	}
 }
 
-// platformProxy keeps a stand-in's stream to the platform's pilot up, and says what it could not use.
+// platformProxy keeps a simulated proxy connected to the platform's pilot, and reports messages that it could not
+// apply.
 func (s *soak) platformProxy(number int) {
 	known := func(host string) bool { return strings.HasPrefix(host, "s-") }
-	var before *platform.Proxy
+	var previousProxy *platform.Proxy
 	for !s.ended() {
-		p, err := platform.Join(s.platform.address, number, "a", []string{"read"}, known, before)
+		p, err := platform.Join(s.platform.address, number, "a", []string{"read"}, known, previousProxy)
 		if err != nil {
 			time.Sleep(20 * time.Millisecond)
 			continue
@@ -331,6 +335,6 @@
 		if fault != nil {
 			s.failf("the platform's proxy %d: %v", number, fault)
 		}
-		before = p
+		previousProxy = p
 	}
 }
--- a/cmd/vetchdoor/soak_parts_test.go
+++ b/cmd/vetchdoor/soak_parts_test.go
@@ -19,39 +19,39 @@
 	"vetchdoor/lab/platform"
 )
 
-// Stated figures that the soak holds the parts to.
+// Documented limits that the soak test checks.
 const (
-	opTimeout       = time.Second
-	drainGrace      = 2 * time.Second
-	proxyEndsWithin = 2*time.Second + opTimeout + 3*time.Second // operating.md
-	partEndsWithin  = 6 * time.Second                           // of a list service, and of a pilot that is not killed
-	pilotKilledAt   = 700 * time.Millisecond                    // after SIGTERM, the earliest that the platform kills
-	coldFor         = 5 * time.Second
-	readyWithin     = 10 * time.Second
-	mostDescriptors = 96 // of a part with 16 clients, 2 pilots and 4 servers
+	opTimeout          = time.Second
+	drainGrace         = 2 * time.Second
+	proxyShutdownLimit = 2*time.Second + opTimeout + 3*time.Second // for a proxy with this op timeout
+	partShutdownLimit  = 6 * time.Second                           // of a list service, and of a pilot that is not killed
+	pilotKillAfter     = 700 * time.Millisecond                    // time from SIGTERM after which the platform may kill a pilot
+	coldFor            = 5 * time.Second
+	readyTimeout       = 10 * time.Second
+	maxDescriptors     = 96 // per process, with 16 clients, 2 pilots and 4 servers
 )
 
-// dumpWithin is how long a process that hangs has to write its goroutines down.
-const dumpWithin = 500 * time.Millisecond
+// dumpWithin is the time that a hanging process gets to print its goroutines.
+const dumpTimeout = 500 * time.Millisecond
 
-// Of a run with a crowd.
+// For runs with a crowd.
 const (
 	crowdConnections = 60  // to each proxy
 	descriptorLimit  = 128 // of each proxy
 )
 
-// packOf is the pack of a server, by its place: two packs of two servers each.
+// packOf returns the pack of the i-th server; there are two packs of two servers each.
 func packOf(i int) int { return 1 + i%2 }
 
-// The places of the op types in soakService.
+// Indices of the op types in soakService.
 const (
 	readType = iota
 	writeType
-	markedType // a write that bears a key, by which the servers of one pack drop its repeats
+	dedupType // a write with an idempotency key, by which the servers of a pack drop its repeats
 	typeCount
 )
 
-// soakService is what is served in the soak; the pilots, the proxies and the servers get the same.
+// soakService returns the service settings that pilots, proxies and servers share.
 func soakService() object {
 	return object{"zones": []string{"z"}, "write_packs": object{"z": []int{packOf(0), packOf(1)}}, "report_every": "100ms", "bootstrap": 4, "measures": []string{"cpu_utilization"}, "op_types": []object{
 		{"name": "read", "match": object{"method": "GET"}, "target_latency": "500ms", "op_timeout": opTimeout.String(), "revenue": 1, "repeat": "retryable"},
@@ -64,7 +64,7 @@
 	return object{"empty_for": "2s", "drain_grace": drainGrace.String(), "cold_for": coldFor.String(), "cold_share": 0.5, "overload_factor": 4, "fall_after": "2s"}
 }
 
-// decode reads an object as the program reads it from a file.
+// decode converts an object to a settings struct, through JSON.
 func decode(from object, to any) error {
 	b, err := json.Marshal(from)
 	if err != nil {
@@ -73,7 +73,7 @@
 	return json.Unmarshal(b, to)
 }
 
-// startNodes starts four servers in this process, whose ledger tells what was carried out.
+// startNodes starts four simulated servers in this process; their ledger records which ops were executed.
 func (s *soak) startNodes() {
 	var service files.Service
 	var limits files.Limits
@@ -94,7 +94,7 @@
 	}
 }
 
-// entries are the servers as the list shows them, all ready.
+// entries returns the list entries of the servers, all in mode ready.
 func (s *soak) entries() (out []object) {
 	for i, n := range s.nodes {
 		out = append(out, object{"endpoint": n.Endpoint(), "address": n.Address(), "zone": "z", "pack": packOf(i)})
@@ -102,7 +102,7 @@
 	return out
 }
 
-// setMode has the list show a server so.
+// setMode changes the mode of the i-th server in the list.
 func (s *soak) setMode(i int, mode string) {
 	s.list["entries"].([]object)[i]["mode"] = mode
 	write(s.t, filepath.Join(s.dir, "roster.json"), s.list)
@@ -110,24 +110,24 @@
 
 func (s *soak) at(port int) string { return net.JoinHostPort(s.host, fmt.Sprint(port)) }
 
-// startProcesses starts the list service, two pilots, two proxies, and a pilot on the platform.
+// startProcesses starts the list service, two pilots, two proxies and a pilot of the platform.
 func (s *soak) startProcesses() {
 	s.list = object{"kind": "roster", "listen": s.at(7000), "zones": []string{"z"}, "entries": s.entries()}
-	s.roster = s.launch("roster", "roster", s.at(7000), partEndsWithin, s.list)
+	s.roster = s.launch("roster", "roster", s.at(7000), partShutdownLimit, s.list)
 	var streams []object
 	for i := range 2 {
 		name, at := fmt.Sprint("pilot-", i), s.at(7010+i)
 		streams = append(streams, object{"address": at, "zone": "z"})
-		p := s.launch(name, "pilot", at, partEndsWithin, object{"kind": "pilot", "name": name, "zone": "z", "instance": i, "instances": 2, "proxies": 2, "listen": at,
+		p := s.launch(name, "pilot", at, partShutdownLimit, object{"kind": "pilot", "name": name, "zone": "z", "instance": i, "instances": 2, "proxies": 2, "listen": at,
 			"roster": s.at(7000), "admin": "unix:" + filepath.Join(s.dir, name+".sock"), "cache": filepath.Join(s.dir, name+"-list.json"), "leave_within": "300ms",
 			"peers":   []object{{"instance": 1 - i, "address": s.at(7010 + 1 - i)}},
 			"service": soakService(), "limits": soakLimits(), "channel": object{"lines_per_second": 2000, "message_lines": 3, "most_waiting": 2000, "report_lines_per_second": 1000}})
-		p.killedAt = pilotKilledAt
+		p.killAfter = pilotKillAfter
 		s.pilots = append(s.pilots, p)
 	}
 	for i := range 2 {
 		at := s.at(7020 + i)
-		s.proxies = append(s.proxies, s.launch(fmt.Sprint("proxy-", i), "proxy", at, proxyEndsWithin, object{"kind": "proxy", "id": i, "zone": "z", "listen": at, "rate": 300,
+		s.proxies = append(s.proxies, s.launch(fmt.Sprint("proxy-", i), "proxy", at, proxyShutdownLimit, object{"kind": "proxy", "id": i, "zone": "z", "listen": at, "rate": 300,
 			"redial": "100ms", "service": soakService(), "servers": s.entries(), "pilots": streams}))
 	}
 	var list []platform.Instance
@@ -139,32 +139,32 @@
 		s.t.Fatal(err)
 	}
 	at := s.at(7030)
-	s.platform = s.launch("platform", "platform", at, partEndsWithin, object{"name": "n0", "listen": at, "discovery": s.discovery.Address(), "seed": "8c1f30d27a5be964",
+	s.platform = s.launch("platform", "platform", at, partShutdownLimit, object{"name": "n0", "listen": at, "discovery": s.discovery.Address(), "seed": "8c1f30d27a5be964",
 		"known": s.discovery.Known(), "limits": object{"cores": 0.5, "memory_mb": 64, "sockets": 256}, "settings": json.RawMessage(platformSettings)})
-	s.platform.killedAt = pilotKilledAt
+	s.platform.killAfter = pilotKillAfter
 }
 
-// process is one part as a program; it is started again and again at its address.
+// process is one part that runs as a program and is restarted at the same address.
 type process struct {
-	s          *soak
-	name, kind string
-	path       string
-	address    string
-	endsWithin time.Duration // after SIGTERM, by its page
-	killedAt   time.Duration // it is killed so long after SIGTERM, if not 0
+	s             *soak
+	name, kind    string
+	path          string
+	address       string
+	shutdownLimit time.Duration // documented time limit from SIGTERM to the end
+	killAfter     time.Duration // if not 0, the process is killed this long after SIGTERM
 
-	mu     sync.Mutex
-	runs   int
-	cmd    *exec.Cmd
-	ended  chan struct{}
-	termed time.Time
-	early  bool // SIGTERM may have come before the program took signals
-	killed bool
+	mu              sync.Mutex
+	runs            int
+	cmd             *exec.Cmd
+	ended           chan struct{}
+	terminatedAt    time.Time
+	terminatedEarly bool // SIGTERM may have arrived before the program installed its handler
+	killed          bool
 }
 
-// launch writes a part's file and starts it.
-func (s *soak) launch(name, kind, address string, endsWithin time.Duration, file object) *process {
-	p := &process{s: s, name: name, kind: kind, path: filepath.Join(s.dir, name+".json"), address: address, endsWithin: endsWithin}
+// launch writes the settings file of a part and starts the part.
+func (s *soak) launch(name, kind, address string, shutdownLimit time.Duration, file object) *process {
+	p := &process{s: s, name: name, kind: kind, path: filepath.Join(s.dir, name+".json"), address: address, shutdownLimit: shutdownLimit}
 	write(s.t, p.path, file)
 	p.start()
 	return p
@@ -181,14 +181,14 @@
 	}
 	defer log.Close()
 	p.cmd = program(p.kind, "--file", p.path)
-	if p.kind == "proxy" { // the shell sets the limit and becomes the program
+	if p.kind == "proxy" { // the shell sets the limit, then replaces itself with the program
 		args := append([]string{"-c", fmt.Sprintf(`ulimit -n %d; exec "$0" "$@"`, descriptorLimit)}, p.cmd.Args...)
 		shell := exec.Command("/bin/sh", args...)
 		shell.Env = p.cmd.Env
 		p.cmd = shell
 	}
 	p.cmd.Stdout, p.cmd.Stderr = log, log
-	p.termed, p.early, p.killed, p.ended = time.Time{}, false, false, make(chan struct{})
+	p.terminatedAt, p.terminatedEarly, p.killed, p.ended = time.Time{}, false, false, make(chan struct{})
 	if err := p.cmd.Start(); err != nil {
 		p.s.failf("%s: %v", p.name, err)
 		close(p.ended)
@@ -200,7 +200,7 @@
 	}(p.cmd, p.ended)
 }
 
-// isReady tells whether the part answers at its address: a pilot on the platform a sign of life, any other a dial.
+// isReady reports whether the part responds: a pilot of the platform to a heartbeat, any other part to a dial.
 func (p *process) isReady() bool {
 	if p.kind != "platform" {
 		c, err := net.DialTimeout("tcp", p.address, time.Second)
@@ -219,28 +219,28 @@
 }
 
 func (p *process) awaitReady() {
-	for end := time.Now().Add(readyWithin); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(readyTimeout); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		if p.isReady() {
 			return
 		}
 		select {
 		case <-p.ended:
-			p.s.failf("%s ended as it started: %v", p.name, p.cmd.ProcessState)
+			p.s.failf("%s ended during its start: %v", p.name, p.cmd.ProcessState)
 			return
 		default:
 		}
 	}
-	p.s.failf("%s is not ready %v after its start", p.name, readyWithin)
+	p.s.failf("%s is not ready %v after its start", p.name, readyTimeout)
 }
 
-// awaitSignals waits until the program takes SIGHUP; before, the system answers it.
+// awaitSignals waits until the program catches or ignores SIGHUP; before that the default action would end it.
 func (p *process) awaitSignals() {
-	for end := time.Now().Add(readyWithin); time.Now().Before(end); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(readyTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		b, err := os.ReadFile(fmt.Sprintf("/proc/%d/cmdline", p.cmd.Process.Pid))
 		if err != nil {
 			return
 		}
-		if !bytes.HasPrefix(b, []byte("/bin/sh")) && takesHangup(p.cmd.Process.Pid) {
+		if !bytes.HasPrefix(b, []byte("/bin/sh")) && handlesHangup(p.cmd.Process.Pid) {
 			return
 		}
 	}
@@ -249,8 +249,8 @@
 func (p *process) signal(sig syscall.Signal) { _ = p.cmd.Process.Signal(sig) }
 
 func (p *process) terminate() {
-	if p.termed.IsZero() {
-		p.termed = time.Now()
+	if p.terminatedAt.IsZero() {
+		p.terminatedAt = time.Now()
 	}
 	p.signal(syscall.SIGTERM)
 }
@@ -264,26 +264,26 @@
 	<-p.ended
 }
 
-// awaitEnd waits for the end of a part that was told to end, and looks at how it ended.
+// awaitEnd waits for the end of a part after SIGTERM, and checks the time it took and its exit status.
 func (p *process) awaitEnd() {
-	within := p.endsWithin
-	if p.killedAt > 0 {
-		within = p.killedAt
+	within := p.shutdownLimit
+	if p.killAfter > 0 {
+		within = p.killAfter
 	}
 	select {
 	case <-p.ended:
-	case <-time.After(time.Until(p.termed.Add(within))):
-		if p.killedAt == 0 {
-			p.s.failf("%s has not ended %v after SIGTERM", p.name, within)
-			p.signal(syscall.SIGQUIT) // its goroutines go to its log
-			time.Sleep(dumpWithin)
+	case <-time.After(time.Until(p.terminatedAt.Add(within))):
+		if p.killAfter == 0 {
+			p.s.failf("%s has not exited %v after SIGTERM", p.name, within)
+			p.signal(syscall.SIGQUIT) // prints its goroutines to its log
+			time.Sleep(dumpTimeout)
 		}
 		p.kill()
 		return
 	}
 	status, ok := p.cmd.ProcessState.Sys().(syscall.WaitStatus)
-	byTerm := ok && status.Signaled() && status.Signal() == syscall.SIGTERM && p.early
-	if p.cmd.ProcessState.ExitCode() != exitGood && !byTerm {
+	byTerm := ok && status.Signaled() && status.Signal() == syscall.SIGTERM && p.terminatedEarly
+	if p.cmd.ProcessState.ExitCode() != exitOK && !byTerm {
 		p.s.failf("%s ended with %v", p.name, p.cmd.ProcessState)
 	}
 }
@@ -294,7 +294,7 @@
 	p.awaitReady()
 }
 
-// descriptors is how many it holds open.
+// descriptors returns the number of open file descriptors.
 func (p *process) descriptors() int {
 	d, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.cmd.Process.Pid))
 	if err != nil {
@@ -303,7 +303,7 @@
 	return len(d)
 }
 
-// step does one thing of the script to one part, or to several at once.
+// step performs one random disturbance, of one or several parts.
 func (s *soak) step() {
 	parts := s.all()
 	s.rng.Shuffle(len(parts), func(i, j int) { parts[i], parts[j] = parts[j], parts[i] })
@@ -311,18 +311,18 @@
 	if s.rng.IntN(3) == 0 {
 		count += 1 + s.rng.IntN(2)
 	}
-	manner, gap := s.rng.IntN(6), time.Duration(s.rng.IntN(20_000))*time.Microsecond
-	if s.rng.IntN(8) == 0 { // roll through all
+	pattern, gap := s.rng.IntN(6), time.Duration(s.rng.IntN(20_000))*time.Microsecond
+	if s.rng.IntN(8) == 0 { // one part after the other
 		for _, p := range parts {
-			s.disturb(p, manner, gap)
+			s.disturb(p, pattern, gap)
 		}
 		return
 	}
 	var all sync.WaitGroup
 	for _, p := range parts[:count] {
-		all.Go(func() { s.disturb(p, manner, gap) })
+		all.Go(func() { s.disturb(p, pattern, gap) })
 	}
-	if s.rng.IntN(4) == 0 { // a server is replaced meanwhile
+	if s.rng.IntN(4) == 0 { // also restart a server
 		n := s.nodes[1+s.rng.IntN(len(s.nodes)-1)]
 		vanishes := s.rng.IntN(2) == 0
 		all.Go(func() { s.replaceNode(n, vanishes) })
@@ -330,10 +330,10 @@
 	all.Wait()
 }
 
-// disturb sends a part a series of signals.
-func (s *soak) disturb(p *process, manner int, gap time.Duration) {
-	switch manner {
-	case 0: // SIGHUP there and back, and it goes on
+// disturb sends a series of signals to a part and, unless it keeps running, restarts it.
+func (s *soak) disturb(p *process, pattern int, gap time.Duration) {
+	switch pattern {
+	case 0: // several SIGHUP; the part keeps running
 		for range 4 {
 			p.signal(syscall.SIGHUP)
 			time.Sleep(gap / 4)
@@ -351,14 +351,14 @@
 		p.terminate()
 		time.Sleep(gap)
 		p.signal(syscall.SIGHUP)
-	case 4: // SIGTERM during the start that follows
+	case 4: // restart, with SIGTERM during the start
 		p.terminate()
 		p.awaitEnd()
 		p.start()
 		time.Sleep(gap)
-		p.early = true
+		p.terminatedEarly = true
 		p.terminate()
-	case 5: // a series of SIGHUP during the start that follows, then SIGTERM
+	case 5: // restart, with several SIGHUP during the start, then SIGTERM
 		p.terminate()
 		p.awaitEnd()
 		p.start()
@@ -366,14 +366,14 @@
 		for range 6 {
 			p.signal(syscall.SIGHUP)
 		}
-		p.early = true
+		p.terminatedEarly = true
 		p.terminate()
 	}
 	p.awaitEnd()
 	p.restart()
 }
 
-// replaceNode ends a server, in order or without a word to anybody, and starts it again, cold.
+// replaceNode stops a server, gracefully or abruptly, and starts it again, cold.
 func (s *soak) replaceNode(n *node.Node, vanishes bool) {
 	ctx, cancel := context.WithTimeout(context.Background(), opTimeout+time.Second)
 	defer cancel()
@@ -382,9 +382,9 @@
 	} else {
 		n.StopInOrder(ctx)
 	}
-	// A process that is just being started holds a copy of the old listener until it becomes the program.
+	// A process that is just being started holds a copy of the old listener until exec.
 	err := n.Start(true)
-	for end := time.Now().Add(readyWithin); errors.Is(err, syscall.EADDRINUSE) && time.Now().Before(end); err = n.Start(true) {
+	for end := time.Now().Add(readyTimeout); errors.Is(err, syscall.EADDRINUSE) && time.Now().Before(end); err = n.Start(true) {
 		time.Sleep(time.Millisecond)
 	}
 	if err != nil {
--- a/cmd/vetchdoor/soak_repeats_test.go
+++ b/cmd/vetchdoor/soak_repeats_test.go
@@ -12,49 +12,49 @@
 	"vetchdoor/lab/node"
 )
 
-// Of marked writes.
+// Deduplicated writes: the window, and the timing of the clients' repeats.
 const (
-	dedupWindow  = 6 * time.Second
-	repeatWithin = dedupWindow * 7 / 10 // of its first try a client repeats one; the rest is for the way
-	repeatPause  = 2 * time.Second      // at most, between two tries
-	sameEach     = 5                    // one repeat in so many goes to the same proxy again
+	dedupWindow   = 6 * time.Second
+	repeatWithin  = dedupWindow * 7 / 10 // since the first try; the rest of the window is a margin for delays
+	repeatPause   = 2 * time.Second      // maximum pause between two tries
+	sameProxyEach = 5                    // one in sameEach repeats goes to the same proxy again
 )
 
-// Of the answers that servers lose.
+// Answers that servers lose on purpose.
 const (
-	lostMost  = 0.5                    // the largest share
-	lostEvery = 400 * time.Millisecond // shares are drawn anew
+	maxLostShare = 0.5                    // maximum share of lost answers
+	lostInterval = 400 * time.Millisecond // interval at which the shares are changed
 )
 
-// leastCrossed is how many marked writes of a run, on average over all, must have reached servers through both proxies; with fewer,
-// checkRepeats sees next to nothing.
-const leastCrossed = 5
+// leastCrossed is the required number of deduplicated writes that reach servers through both proxies, as a mean over
+// the runs; with fewer, checkRepeats would check next to nothing.
+const minCrossed = 5
 
-// tally counts what became of a run's marked writes.
+// tally counts the deduplicated writes of a run.
 type tally struct {
-	writes, repeats, elsewhere, refused int // as clients saw them; elsewhere: repeats that went to another proxy than the try before
-	crossed                             int // reached servers through both proxies
-	effects, doubled, late              int // doubled and late: second effects of one write, inside the window and after it
+	writes, repeats, elsewhere, refused int // as clients saw them; elsewhere: repeats to another proxy than the previous try
+	crossed                             int // writes that reached servers through both proxies
+	effects, doubled, late              int // doubled and late: additional effects of one write, within the window and after it
 }
 
 func (y tally) String() string {
-	return fmt.Sprintf("%d marked writes, %d repeats, %d of them through another proxy, %d writes ran through both; %d effects, %d second ones in the window, %d after it; %d refusals",
+	return fmt.Sprintf("%d deduplicated writes, %d repeats, %d of them through another proxy, %d writes reached servers through both; %d effects, %d repeated within the window, %d after it; %d rejections",
 		y.writes, y.repeats, y.elsewhere, y.crossed, y.effects, y.doubled, y.late, y.refused)
 }
 
-// loseAnswers has servers lose answers until the stop is closed: each one up to lostMost of them or, half of the time, none. An op whose
-// answer is lost has run.
+// loseAnswers makes servers lose answers until stop is closed: each server a random share up to lostMost, half of the
+// time none. An op whose answer is lost has been executed.
 func (s *soak) loseAnswers(stop <-chan struct{}) {
 	rng := rand.New(rand.NewPCG(s.seed, 2))
 	for again := true; again; {
 		for _, n := range s.nodes {
-			share := lostMost * float64(rng.IntN(2)) * rng.Float64()
+			share := maxLostShare * float64(rng.IntN(2)) * rng.Float64()
 			n.Set(func(t *node.Trouble) { t.Lost = share })
 		}
 		select {
 		case <-stop:
 			again = false
-		case <-time.After(lostEvery):
+		case <-time.After(lostInterval):
 		}
 	}
 	for _, n := range s.nodes {
@@ -62,18 +62,20 @@
 	}
 }
 
-// isRepeatable tells whether a client asks again: for a marked write that was answered 5xx or not at all. One that was sent behind a
-// connection's last answer was not carried out; checkOutcomes holds that, so it is not repeated.
+// isRepeatable reports whether the client repeats the op: a deduplicated write that got status 5xx or no complete
+// answer. Writes pipelined behind the last answer of a connection are not repeated: they were not executed, which
+// checkOutcomes verifies.
 func (o *outcome) isRepeatable() bool {
-	return o.opType == markedType && !o.behind && (o.status >= 500 || o.lost != "")
+	return o.opType == dedupType && !o.pipelinedBehind && (o.status >= 500 || o.lost != "")
 }
 
-// repeat asks again for a marked write, mostly through another proxy, until it is answered well or too late for the servers to know it.
+// repeat sends a deduplicated write again, mostly through another proxy, until it succeeds or the dedup window is about
+// to end.
 func (s *soak) repeat(o outcome) {
 	rng := rand.New(rand.NewPCG(s.seed, 1000+o.op))
-	for o.isRepeatable() && s.rest(time.Duration(rng.Float64()*rng.Float64()*float64(repeatPause))) {
+	for o.isRepeatable() && s.pause(time.Duration(rng.Float64()*rng.Float64()*float64(repeatPause))) {
 		proxy := o.proxy
-		if rng.IntN(sameEach) > 0 {
+		if rng.IntN(sameProxyEach) > 0 {
 			proxy = (proxy + 1 + rng.IntN(len(s.proxies)-1)) % len(s.proxies)
 		}
 		c, err := net.DialTimeout("tcp", s.proxies[proxy].address, time.Second)
@@ -86,15 +88,15 @@
 		if err != nil {
 			continue
 		}
-		o = outcome{op: o.op, opType: o.opType, try: o.try + 1, proxy: proxy, before: o.proxy, large: o.large, work: o.work, begun: o.begun}
+		o = outcome{op: o.op, opType: o.opType, try: o.try + 1, proxy: proxy, previousProxy: o.proxy, large: o.large, work: o.work, begun: o.begun}
 		s.ask(c, bufio.NewReader(c), &o, rng)
 		c.Close()
-		s.book(o)
+		s.record(o)
 	}
 }
 
-// rest waits; false if the run ends meanwhile.
-func (s *soak) rest(d time.Duration) bool {
+// pause waits; it returns false if the run ends meanwhile.
+func (s *soak) pause(d time.Duration) bool {
 	select {
 	case <-s.stop:
 		return false
@@ -103,55 +105,56 @@
 	}
 }
 
-// checkRepeats holds that no marked write took effect twice, unless the try that had the later effect came after the window.
+// checkRepeats checks that no deduplicated write took effect twice within the window, counted from the try that took
+// effect first.
 func (s *soak) checkRepeats() {
 	s.countTries()
-	s.marked.crossed = s.countCrossed()
+	s.dedupWrites.crossed = s.countCrossed()
 	effects := map[uint64][]node.Effect{}
 	for _, e := range s.ledger.Effects() {
-		if e.OpType == markedType {
+		if e.OpType == dedupType {
 			effects[e.Op] = append(effects[e.Op], e)
-			s.marked.effects++
+			s.dedupWrites.effects++
 		}
 	}
 	for op, of := range effects {
 		slices.SortFunc(of, func(a, b node.Effect) int { return cmp.Compare(a.Arrived, b.Arrived) })
 		for i := 1; i < len(of); i++ {
 			if after := of[i].Arrived - of[i-1].Arrived; after >= dedupWindow {
-				s.marked.late++
+				s.dedupWrites.late++
 			} else {
-				s.marked.doubled++
-				s.failf("op %d took effect at server %d and, come %v later, at server %d", op, of[i-1].Endpoint, after.Round(time.Millisecond), of[i].Endpoint)
+				s.dedupWrites.doubled++
+				s.failf("op %d took effect at server %d and, with a try that arrived %v later, at server %d", op, of[i-1].Endpoint, after.Round(time.Millisecond), of[i].Endpoint)
 			}
 		}
 	}
-	s.t.Logf("seed %d: %v", s.seed, s.marked)
+	s.t.Logf("seed %d: %v", s.seed, s.dedupWrites)
 }
 
-// countTries counts the clients' tries of marked writes.
+// countTries counts the clients' tries of deduplicated writes.
 func (s *soak) countTries() {
 	for _, o := range s.outcomes {
-		if o.opType != markedType {
+		if o.opType != dedupType {
 			continue
 		}
 		if o.status == 503 {
-			s.marked.refused++
+			s.dedupWrites.refused++
 		}
 		if o.try == 0 {
-			s.marked.writes++
+			s.dedupWrites.writes++
 			continue
 		}
-		if s.marked.repeats++; o.proxy != o.before {
-			s.marked.elsewhere++
+		if s.dedupWrites.repeats++; o.proxy != o.previousProxy {
+			s.dedupWrites.elsewhere++
 		}
 	}
 }
 
-// countCrossed counts the marked writes that servers took in from more than one proxy.
+// countCrossed returns the number of deduplicated writes that servers accepted from more than one proxy.
 func (s *soak) countCrossed() (count int) {
 	from := map[uint64]map[int]bool{}
 	for _, a := range s.ledger.Arrivals() {
-		if a.OpType != markedType || !a.Taken {
+		if a.OpType != dedupType || !a.Taken {
 			continue
 		}
 		if from[a.Op] == nil {
--- a/cmd/vetchdoor/soak_test.go
+++ b/cmd/vetchdoor/soak_test.go
@@ -23,21 +23,22 @@
 	soakFirst = flag.Uint64("seed", 1, "the seed of the soak's first run")
 )
 
-// soakFor is how long signals come in one run.
-const soakFor = 8 * time.Second
+// soakFor is how long one run sends signals.
+const soakDuration = 8 * time.Second
 
-// The soak plays the built program as real processes on loopback, sends them signals in series, and holds what clients saw
-// against what the servers did. Servers lose answers meanwhile, and clients repeat marked writes, whose key the servers of one pack know
-// within a window, mostly through another proxy. One run:
+// The soak test runs the built program as real processes on loopback, sends them series of signals, and compares what
+// clients observed with what the servers executed. Meanwhile servers lose answers, and clients repeat deduplicated
+// writes, mostly through another proxy; the servers of a pack remember the key of such a write within a window. One
+// run:
 //
 //	go test ./cmd/vetchdoor -run TestSoak -seeds 1 -seed N
 //
-// and the long one: -seeds 50 -timeout 30m. The logs of a run that fails are kept, and their folder is said.
+// A long test uses -seeds 50 -timeout 30m. The logs of a failed run are kept, and their directory is printed.
 func TestSoak(t *testing.T) {
 	var crossed atomic.Int64
 	t.Cleanup(func() { // after all runs
-		if n := crossed.Load(); n < int64(leastCrossed**soakSeeds) {
-			t.Errorf("only %d marked writes reached servers through both proxies", n)
+		if n := crossed.Load(); n < int64(minCrossed**soakSeeds) {
+			t.Errorf("only %d deduplicated writes reached servers through both proxies", n)
 		}
 	})
 	for i := range *soakSeeds {
@@ -47,38 +48,38 @@
 			s := newSoak(t, seed)
 			defer s.close()
 			s.play()
-			crossed.Add(int64(s.marked.crossed))
+			crossed.Add(int64(s.dedupWrites.crossed))
 		})
 	}
 }
 
-// soak is one run.
+// soak is one run of the soak test.
 type soak struct {
 	t    *testing.T
 	seed uint64
-	rng  *rand.Rand // of the script; the clients have their own
+	rng  *rand.Rand // for the script; each client has its own
 	dir  string
 	host string
 
 	ledger    *node.Ledger
 	nodes     []*node.Node
-	list      object // the list service's file
+	list      object // settings of the list service
 	roster    *process
 	pilots    []*process
 	proxies   []*process
 	discovery *platform.Discovery
 	platform  *process
 
-	stop     chan struct{} // ends the clients
-	clients  sync.WaitGroup
-	ops      atomic.Uint64
-	mu       sync.Mutex
-	outcomes []outcome
-	failures []string
-	marked   tally
+	stop        chan struct{} // closed to end the clients
+	clients     sync.WaitGroup
+	ops         atomic.Uint64
+	mu          sync.Mutex
+	outcomes    []outcome
+	failures    []string
+	dedupWrites tally
 }
 
-// failf notes a failure; the run goes on to its end.
+// failf records a failure; the run continues to its end.
 func (s *soak) failf(format string, args ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -99,7 +100,7 @@
 	return s
 }
 
-// close ends what a run that failed may have left, and keeps its logs.
+// close stops what a failed run may have left, prints the failures, and keeps the logs of a failed run.
 func (s *soak) close() {
 	for _, p := range s.all() {
 		p.kill()
@@ -114,7 +115,7 @@
 		s.t.Error(f)
 	}
 	if s.t.Failed() {
-		s.t.Logf("alone: go test ./cmd/vetchdoor -run TestSoak -seeds 1 -seed %d; logs: %s", s.seed, s.dir)
+		s.t.Logf("to run it alone: go test ./cmd/vetchdoor -run TestSoak -seeds 1 -seed %d; logs: %s", s.seed, s.dir)
 		return
 	}
 	os.RemoveAll(s.dir)
@@ -125,7 +126,7 @@
 	return append(all, s.proxies...)
 }
 
-// play runs the script between two calm spells, ends everything and looks at what there is to show for it.
+// play runs the script between two undisturbed periods, stops everything and checks the results.
 func (s *soak) play() {
 	for _, p := range s.all() {
 		p.awaitReady()
@@ -144,7 +145,7 @@
 	calm := make(chan struct{})
 	losses.Go(func() { s.loseAnswers(calm) })
 	time.Sleep(500 * time.Millisecond)
-	for end := time.Now().Add(soakFor); time.Now().Before(end); {
+	for end := time.Now().Add(soakDuration); time.Now().Before(end); {
 		s.step()
 		s.checkChannels()
 		time.Sleep(time.Duration(s.rng.IntN(500)) * time.Millisecond)
@@ -157,21 +158,21 @@
 	s.checkRepeats()
 }
 
-// checkChannels looks at the queue of each pilot that answers (rule 5), whatever is going on.
+// checkChannels checks the queue of each pilot that responds (rule 5), also while parts restart.
 func (s *soak) checkChannels() {
 	for _, p := range s.pilots {
 		info, err := session.Ask("unix:"+filepath.Join(s.dir, p.name+".sock"), "show info", time.Second)
 		if err != nil {
-			continue // it is not there just now
+			continue // the pilot is restarting
 		}
 		if !strings.Contains(info, "Overflows: 0\n") || !strings.Contains(info, "Panics: 0\n") {
-			s.failf("rule 5: %s says %q", p.name, info)
+			s.failf("rule 5: %s reports %q", p.name, info)
 		}
 	}
 }
 
-// checkSettled looks at the rules once nothing is disturbed any more: a server that drains gets nothing after the grace, and
-// nobody is without a server.
+// checkSettled checks the rules after the disturbances have ended: a draining server gets no ops after the grace
+// period, and no proxy is without a server.
 func (s *soak) checkSettled() {
 	time.Sleep(2 * time.Second)
 	drained, began := s.nodes[0], time.Now()
@@ -181,29 +182,29 @@
 	time.Sleep(500 * time.Millisecond)
 	for _, a := range s.ledger.Arrivals() {
 		if a.Endpoint == drained.Endpoint() && a.At > after {
-			s.failf("rule 3: proxy %d sent to a server %v after the list had said that it drains", a.Proxy, s.ledger.From().Add(a.At).Sub(began))
+			s.failf("rule 3: proxy %d sent to a server %v after the list showed it as draining", a.Proxy, s.ledger.From().Add(a.At).Sub(began))
 			break
 		}
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, o := range s.outcomes {
-		if o.written.After(began) && o.bare {
-			s.failures = append(s.failures, fmt.Sprintf("rule 1: proxy %d had no server for op %d, undisturbed", o.proxy, o.op))
+		if o.written.After(began) && o.noServer {
+			s.failures = append(s.failures, fmt.Sprintf("rule 1: proxy %d had no server for op %d, with no disturbance", o.proxy, o.op))
 			break
 		}
 	}
 }
 
-// end stops the clients and every process, and looks at what they leave.
+// end stops the clients and all processes, and checks for open descriptors and files that they left.
 func (s *soak) end(crowd bool) {
 	for _, p := range append(s.pilots, s.proxies...) {
-		if n := p.descriptors(); !crowd && n > mostDescriptors {
-			s.failf("%s holds %d descriptors when all is calm", p.name, n)
+		if n := p.descriptors(); !crowd && n > maxDescriptors {
+			s.failf("%s holds %d descriptors without disturbances", p.name, n)
 		}
 	}
 	if out, err := program("ctl", "unix:"+filepath.Join(s.dir, "pilot-0.sock"), "show", "info").Output(); err != nil || !strings.Contains(string(out), "Overflows: 0\n") || !strings.Contains(string(out), "Panics: 0\n") {
-		s.failf("rule 5: pilot-0 says %q, %v", out, err)
+		s.failf("rule 5: pilot-0 reports %q, %v", out, err)
 	}
 	close(s.stop)
 	s.clients.Wait()
@@ -217,12 +218,12 @@
 	}
 	for _, path := range left {
 		if name := filepath.Base(path); !strings.HasSuffix(name, ".json") && !strings.HasSuffix(name, ".log") {
-			s.failf("%s was left", name)
+			s.failf("%s was left behind", name)
 		}
 	}
 }
 
-// checkOutcomes holds what clients saw against what servers did.
+// checkOutcomes compares what clients observed with what servers executed.
 func (s *soak) checkOutcomes() {
 	effects := map[uint64]int{}
 	for _, e := range s.ledger.Effects() {
@@ -234,24 +235,24 @@
 		s.failf("%s", what)
 	}
 	for _, f := range s.ledger.Falls() {
-		s.failf("rule 4: server %d was pushed over as it was cold, at %v", f.Endpoint, f.At.Round(time.Millisecond))
+		s.failf("rule 4: server %d was overloaded while cold, at %v", f.Endpoint, f.At.Round(time.Millisecond))
 	}
 	statuses := map[int]int{}
 	for _, o := range s.outcomes {
-		if o.behind {
+		if o.pipelinedBehind {
 			if effects[o.op] > 0 {
-				s.failf("op %d, sent behind the last answer of a connection, took effect", o.op)
+				s.failf("op %d, pipelined behind the last answer of a connection, took effect", o.op)
 			}
 			continue
 		}
 		statuses[o.status]++
 		if o.lost != "" {
-			s.failf("op %d to proxy %d, written %v after the start, got no whole answer: %s", o.op, o.proxy, o.written.Sub(s.ledger.From()).Round(time.Millisecond), o.lost)
+			s.failf("op %d to proxy %d, written %v after the start, got no complete answer: %s", o.op, o.proxy, o.written.Sub(s.ledger.From()).Round(time.Millisecond), o.lost)
 		}
-		if n := effects[o.op]; o.opType == writeType && n > 1 { // checkRepeats looks at marked ones
+		if n := effects[o.op]; o.opType == writeType && n > 1 { // checkRepeats checks deduplicated writes
 			s.failf("op %d took effect %d times", o.op, n)
 		} else if o.opType != readType && o.status == 200 && n == 0 {
-			s.failf("op %d was acked and never carried out", o.op)
+			s.failf("op %d was acked but not executed", o.op)
 		}
 	}
 	s.t.Logf("seed %d: %d ops, by status %v", s.seed, len(s.outcomes), statuses)
--- a/cmd/vetchdoor/tools.go
+++ b/cmd/vetchdoor/tools.go
@@ -18,7 +18,7 @@
 	var timeout time.Duration
 	c := &cobra.Command{
 		Use:   "ctl ADDR COMMAND...",
-		Short: "sends a command to the socket of a pilot or proxy (unix:PATH or HOST:PORT) and prints the reply",
+		Short: "sends a command to the admin socket of a pilot or proxy (unix:PATH or HOST:PORT) and prints the reply",
 		Args:  cobra.MinimumNArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			reply, err := session.Ask(args[0], strings.Join(args[1:], " "), timeout)
@@ -32,7 +32,7 @@
 			return nil
 		},
 	}
-	c.Flags().DurationVar(&timeout, "timeout", 5*time.Second, "for the whole reply")
+	c.Flags().DurationVar(&timeout, "timeout", 5*time.Second, "time limit for the whole reply")
 	return c
 }
 
@@ -40,7 +40,7 @@
 	var asJSON bool
 	c := &cobra.Command{
 		Use:   "check FILE...",
-		Short: "checks files of any kind against their schemas and for contradictions",
+		Short: "checks settings files of any kind against their schemas and for contradictions",
 		Args:  cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			bad, unread := 0, 0
@@ -49,11 +49,11 @@
 				if err != nil {
 					bad++
 				}
-				// A file of ours with a fault in it fails the check; one that is none of ours is bad input.
+				// An error in a value makes the check fail; a file that is not a settings file at all is invalid input.
 				if f := new(files.ValidationError); err != nil && (!errors.As(err, &f) || f.Pointer == "" || f.Pointer == "/kind") {
 					unread++
 				}
-				line := path + ": good, a file of kind " + kind
+				line := path + ": valid, a file of kind " + kind
 				if err != nil {
 					line = err.Error()
 				}
@@ -73,22 +73,22 @@
 				fmt.Fprintln(cmd.OutOrStdout(), line)
 			}
 			if bad > 0 && unread == 0 {
-				return failure{fmt.Errorf("%d of %d files are not good", bad, len(args))}
+				return failure{fmt.Errorf("%d of %d files are not valid", bad, len(args))}
 			}
 			if bad > 0 {
-				return fmt.Errorf("%d of %d files are not good", bad, len(args))
+				return fmt.Errorf("%d of %d files are not valid", bad, len(args))
 			}
 			return nil
 		},
 	}
-	c.Flags().BoolVar(&asJSON, "json", false, "a JSON object a file")
+	c.Flags().BoolVar(&asJSON, "json", false, "print a JSON object for each file")
 	return c
 }
 
 func schemaCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:       "schema KIND",
-		Short:     "prints the JSON Schema of a kind of file: " + strings.Join(files.Kinds, ", "),
+		Short:     "prints the JSON Schema of a kind of settings file: " + strings.Join(files.Kinds, ", "),
 		Args:      cobra.ExactArgs(1),
 		ValidArgs: files.Kinds,
 		RunE: func(cmd *cobra.Command, args []string) error {
--- a/deploy/deploy.go
+++ b/deploy/deploy.go
@@ -1,3 +1,3 @@
-// Package deploy holds how operators build and start the pilot and the adapter: balancer.toml. It has no code; its tests
-// check what the file builds.
+// Package deploy contains balancer.toml, the commands by which operators build and start the pilot and the adapter. It
+// has no code; its tests check the programs that these commands build.
 package deploy
--- a/deploy/deploy_test.go
+++ b/deploy/deploy_test.go
@@ -10,8 +10,8 @@
 	"testing"
 )
 
-// line is what balancer.toml says under a name.
-func line(t *testing.T, name string) string {
+// setting returns the value of a key in balancer.toml.
+func setting(t *testing.T, name string) string {
 	t.Helper()
 	b, err := os.ReadFile("balancer.toml")
 	if err != nil {
@@ -24,12 +24,12 @@
 	return string(m[1])
 }
 
-// TestDynamicLink builds what the deploy file builds, elsewhere, and looks at what run starts: one program by exec, which
-// the C library's loader loads, so that the operators can load a library of theirs into it.
+// TestDynamicLink runs the build command of balancer.toml, with another output directory, and checks the programs that
+// it starts: each is started by exec and linked dynamically, so that operators can preload a library into it.
 func TestDynamicLink(t *testing.T) {
-	build, dir := line(t, "build"), t.TempDir()
+	build, dir := setting(t, "build"), t.TempDir()
 	if n := strings.Count(build, " bin"); n < 2 {
-		t.Fatalf("build names its folder %d times: %s", n, build)
+		t.Fatalf("build names its output directory %d times: %s", n, build)
 	}
 	c := exec.Command("/bin/sh", "-c", strings.ReplaceAll(build, " bin", " "+dir))
 	c.Dir = ".."
@@ -37,9 +37,9 @@
 		t.Fatalf("%s: %v\n%s", build, err, out)
 	}
 	for _, name := range []string{"run", "sim"} {
-		words := strings.Fields(line(t, name))
+		words := strings.Fields(setting(t, name))
 		if len(words) < 2 || words[0] != "exec" {
-			t.Fatalf("%s does not end in its program by exec: %v", name, words)
+			t.Fatalf("%s does not start its program by exec: %v", name, words)
 		}
 		if !dynamic(t, filepath.Join(dir, filepath.Base(words[1]))) {
 			t.Errorf("%s: %s is linked statically", name, words[1])
@@ -47,8 +47,9 @@
 	}
 }
 
-// TestStaticLinkIsSeen builds a program without cgo, for which the check above must fail.
-func TestStaticLinkIsSeen(t *testing.T) {
+// TestStaticLinkIsDetected checks that TestDynamicLink can fail: it builds a program without cgo, which must not count
+// as dynamically linked.
+func TestStaticLinkIsDetected(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "adapter")
 	c := exec.Command("go", "build", "-o", path, "vetchdoor/cmd/adapter")
 	c.Env = append(os.Environ(), "CGO_ENABLED=0")
@@ -56,11 +57,11 @@
 		t.Fatalf("%v\n%s", err, out)
 	}
 	if dynamic(t, path) {
-		t.Error("a static program passes for a dynamic one")
+		t.Error("a static program counts as a dynamic one")
 	}
 }
 
-// dynamic tells whether a program names an interpreter and needs the C library.
+// dynamic reports whether a program names an interpreter and is linked with the C library.
 func dynamic(t *testing.T, path string) bool {
 	t.Helper()
 	f, err := elf.Open(path)
