--- a/cmd/vetchdoor/logs.go
+++ b/cmd/vetchdoor/logs.go
@@ -13,7 +13,8 @@
 )
 
 // facilities maps the names in settings files to facility codes.
-var facilities = map[string]syslog.Facility{"": syslog.Daemon, "daemon": syslog.Daemon, "local0": syslog.Local0, "local1": syslog.Local0 + 1,
+var facilities = map[string]syslog.Facility{"": syslog.Daemon, "daemon": syslog.Daemon,
+	"local0": syslog.Local0, "local1": syslog.Local0 + 1,
 	"local2": syslog.Local0 + 2, "local3": syslog.Local0 + 3, "local4": syslog.Local0 + 4, "local5": syslog.Local0 + 5,
 	"local6": syslog.Local0 + 6, "local7": syslog.Local0 + 7}
 
@@ -38,8 +39,8 @@
 		}
 		var h *syslog.Handler
 		ready := make(chan struct{})
-		s, err := syslog.Start(syslog.Config{Network: f.Network, Address: f.Address, Buffer: f.Buffer, Spool: f.Spool, SpoolBytes: f.SpoolBytes,
-			CA: f.CA, Cert: f.Cert, Key: f.Key, ServerName: f.Name}, slog.Default(), uint64(time.Now().UnixNano()),
+		s, err := syslog.Start(syslog.Config{Network: f.Network, Address: f.Address, Buffer: f.Buffer,
+			Spool: f.Spool, SpoolBytes: f.SpoolBytes, CA: f.CA, Cert: f.Cert, Key: f.Key, ServerName: f.Name}, slog.Default(), uint64(time.Now().UnixNano()),
 			func(dropped [syslog.Debug + 1]uint64, torn uint64) {
 				<-ready
 				h.ReportLoss(dropped, torn)
--- a/cmd/vetchdoor/main.go
+++ b/cmd/vetchdoor/main.go
@@ -60,8 +60,8 @@
 	root.CompletionOptions.DisableDefaultCmd = true
 	root.PersistentFlags().StringVar(&level, "log-level", "info", "debug, info, warn or error")
 	root.PersistentFlags().StringVar(&format, "log-format", "text", "text or json")
-	root.AddCommand(pilotCommand(), platformCommand(), proxyCommand(), nodeCommand(), rosterCommand(), ctlCommand(), checkCommand(), logCommand(),
-		schemaCommand(), labCommand())
+	root.AddCommand(pilotCommand(), platformCommand(), proxyCommand(), nodeCommand(), rosterCommand(), ctlCommand(),
+		checkCommand(), logCommand(), schemaCommand(), labCommand())
 	return root
 }
 
--- a/cmd/vetchdoor/platform.go
+++ b/cmd/vetchdoor/platform.go
@@ -28,7 +28,8 @@
 			slog.Info("ends", "signal", end.String())
 			return nil // without waiting: proxies use other pilots, and connections close with the process
 		}}
-	c.Flags().StringVarP(&path, "file", "f", os.Getenv("LB_CONFIG"), "settings file of the platform, JSON; default: the path in LB_CONFIG")
+	c.Flags().StringVarP(&path, "file", "f", os.Getenv("LB_CONFIG"),
+		"settings file of the platform, JSON; default: the path in LB_CONFIG")
 	return c
 }
 
@@ -45,8 +46,8 @@
 		restoreProcessors(given)
 	}
 	g.Limits.Keep()
-	slog.Info("keeps to its limits", "processors", runtime.GOMAXPROCS(0), "memory_mb", g.Limits.MemoryMB, "sockets", g.Limits.Sockets,
-		"collections", collections())
+	slog.Info("keeps to its limits", "processors", runtime.GOMAXPROCS(0), "memory_mb", g.Limits.MemoryMB,
+		"sockets", g.Limits.Sockets, "collections", collections())
 	return g, nil
 }
 
--- a/cmd/vetchdoor/platform_test.go
+++ b/cmd/vetchdoor/platform_test.go
@@ -20,7 +20,7 @@
 	"guarantees":{"cold":1000,"cold_share":0.3,"drain_grace":2000},"tick":2}`
 
 // The built program runs with a simulated discovery service, proxies and collectors while other clients send garbage or
-// nothing. The settings file is replaced by a truncated one and by a valid one that names another discovery service. No
+// nothing. The settings file is replaced by an invalid one and by a valid one that names another discovery service. No
 // stream to a proxy is lost, and every garbage connection is closed.
 func TestPlatform(t *testing.T) {
 	known := []platform.Instance{}
--- a/cmd/vetchdoor/signals.go
+++ b/cmd/vetchdoor/signals.go
@@ -17,8 +17,8 @@
 // signals holds the caught signals of a service. Each kind has its own channel, so that many signals of one kind, sent
 // while the program starts and does not read them, cannot displace another.
 type signals struct {
-	end    chan os.Signal // SIGTERM or SIGINT; a second one has no effect
-	reload chan os.Signal // SIGHUP
+	end    chan os.Signal // receives SIGTERM or SIGINT; a second one has no effect
+	reload chan os.Signal // receives SIGHUP
 }
 
 // catch starts to catch signals if the arguments name a service.
--- a/cmd/vetchdoor/soak_clients_test.go
+++ b/cmd/vetchdoor/soak_clients_test.go
@@ -54,7 +54,7 @@
 			time.Sleep(10 * time.Millisecond)
 			continue
 		}
-		s.converse(c, proxy, rng)
+		s.runConnection(c, proxy, rng)
 		c.Close()
 	}
 }
@@ -68,9 +68,9 @@
 	}
 }
 
-// converse sends one op after the other on a connection, sometimes several pipelined, until an answer closes the
+// runConnection sends one op after the other on a connection, sometimes several pipelined, until an answer closes the
 // connection or is lost.
-func (s *soak) converse(c net.Conn, proxy int, rng *rand.Rand) {
+func (s *soak) runConnection(c net.Conn, proxy int, rng *rand.Rand) {
 	in := bufio.NewReader(c)
 	for !s.ended() {
 		count := 1
@@ -142,7 +142,7 @@
 	_ = c.SetDeadline(time.Now().Add(clientTimeout))
 	expects := rng.IntN(expectEach) == 0
 	text := o.request(expects)
-	pieces := cutUp(text, rng)
+	pieces := splitRequest(text, rng)
 	if expects {
 		body := bytes.Index(text, []byte("\r\n\r\n")) + 4
 		pieces = [][]byte{text[:body], text[body:]}
@@ -206,8 +206,8 @@
 	return http1.AppendBody(sign.AppendFields(b, o.op, o.large), sign.Body(o.op, o.large))
 }
 
-// cutUp splits a request: a large one into three pieces, others sometimes into two.
-func cutUp(text []byte, rng *rand.Rand) [][]byte {
+// splitRequest splits a request: a large one into three pieces, others sometimes into two.
+func splitRequest(text []byte, rng *rand.Rand) [][]byte {
 	if len(text) > sign.LargeHead {
 		first := 1 + rng.IntN(len(text)-2)
 		second := first + 1 + rng.IntN(len(text)-first-1)
@@ -259,7 +259,7 @@
 					time.Sleep(50 * time.Millisecond)
 					continue
 				}
-				s.loiter(c, i%crowdKinds)
+				s.holdConnection(c, i%crowdKinds)
 				c.Close()
 			}
 		})
@@ -272,12 +272,12 @@
 
 // For connections that do not read their answers.
 const (
-	longAnswer    = 1 << 20         // bytes
+	longAnswer    = 1 << 20         // size of an answer, in bytes
 	stallDuration = 2 * time.Second // time until the client closes the connection
 )
 
-// loiter keeps a connection busy in one of these ways until it is closed or the run ends.
-func (s *soak) loiter(c net.Conn, connectionKind int) {
+// holdConnection keeps a connection busy in one of these ways until it is closed or the run ends.
+func (s *soak) holdConnection(c net.Conn, connectionKind int) {
 	if connectionKind == crowdKinds-1 { // requests more than the system's buffers hold, and reads nothing
 		ask := fmt.Sprintf("GET /x HTTP/1.1\r\nHost: h\r\n%s: %d\r\n\r\n", node.SizeField, longAnswer)
 		_, _ = io.WriteString(c, strings.Repeat(ask, 8))
--- a/cmd/vetchdoor/soak_parts_test.go
+++ b/cmd/vetchdoor/soak_parts_test.go
@@ -23,12 +23,12 @@
 const (
 	opTimeout          = time.Second
 	drainGrace         = 2 * time.Second
-	proxyShutdownLimit = 2*time.Second + opTimeout + 3*time.Second // for a proxy with this op timeout
-	partShutdownLimit  = 6 * time.Second                           // of a list service, and of a pilot that is not killed
+	proxyShutdownLimit = 2*time.Second + opTimeout + 3*time.Second // time from SIGTERM to the end of a proxy
+	partShutdownLimit  = 6 * time.Second                           // the same for a list service, and for a pilot that is not killed
 	pilotKillAfter     = 700 * time.Millisecond                    // time from SIGTERM after which the platform may kill a pilot
 	coldFor            = 5 * time.Second
 	readyTimeout       = 10 * time.Second
-	maxDescriptors     = 96 // per process, with 16 clients, 2 pilots and 4 servers
+	maxDescriptors     = 96 // open descriptors per process, with 16 clients, 2 pilots and 4 servers
 )
 
 // dumpWithin is the time that a hanging process gets to print its goroutines.
@@ -36,8 +36,8 @@
 
 // For runs with a crowd.
 const (
-	crowdConnections = 60  // to each proxy
-	descriptorLimit  = 128 // of each proxy
+	crowdConnections = 60  // number of connections to each proxy
+	descriptorLimit  = 128 // limit on the open descriptors of each proxy
 )
 
 // packOf returns the pack of the i-th server; there are two packs of two servers each.
--- a/cmd/vetchdoor/soak_repeats_test.go
+++ b/cmd/vetchdoor/soak_repeats_test.go
@@ -42,7 +42,7 @@
 		y.writes, y.repeats, y.elsewhere, y.crossed, y.effects, y.doubled, y.late, y.refused)
 }
 
-// loseAnswers makes servers lose answers until stop is closed: each server a random share up to lostMost, half of the
+// loseAnswers makes servers lose answers until stop is closed: each server a random share up to maxLostShare, half of the
 // time none. An op whose answer is lost has been executed.
 func (s *soak) loseAnswers(stop <-chan struct{}) {
 	rng := rand.New(rand.NewPCG(s.seed, 2))
--- a/cmd/vetchdoor/soak_test.go
+++ b/cmd/vetchdoor/soak_test.go
@@ -36,7 +36,7 @@
 // A long test uses -seeds 50 -timeout 30m. The logs of a failed run are kept, and their directory is printed.
 func TestSoak(t *testing.T) {
 	var crossed atomic.Int64
-	t.Cleanup(func() { // after all runs
+	t.Cleanup(func() { // runs after the parallel subtests
 		if n := crossed.Load(); n < int64(minCrossed**soakSeeds) {
 			t.Errorf("only %d deduplicated writes reached servers through both proxies", n)
 		}
--- a/files/day.go
+++ b/files/day.go
@@ -1,6 +1,6 @@
 package files
 
-// Fleet is the number of pilots, proxies and nodes of a day, or the list of them.
+// Fleet configures the pilots, proxies and nodes of a day, by number or one by one.
 type Fleet struct {
 	Pilots   int       `json:"pilots"`
 	Proxies  int       `json:"proxies"`
@@ -10,8 +10,8 @@
 	Machines []Machine `json:"machines"`
 	Exactly  []NodeAt  `json:"exactly,omitempty"` // the nodes one by one, spare nodes last, instead of random ones
 
-	ProxyList []ProxyAt `json:"proxy_list,omitempty"` // the proxies one by one, instead of random shares in zones by turns
-	PilotList []string  `json:"pilot_list,omitempty"` // the zone of each pilot, instead of zones by turns
+	ProxyList []ProxyAt `json:"proxy_list,omitempty"` // the proxies one by one, instead of random shares in alternating zones
+	PilotList []string  `json:"pilot_list,omitempty"` // the zone of each pilot, instead of alternating zones
 }
 
 // ProxyAt is one proxy of a day: its zone, and its weight in the traffic of that zone.
@@ -87,7 +87,7 @@
 	Backoff  Duration `json:"backoff,omitempty"`
 	Honour   float64  `json:"honour,omitempty"` // share of clients that respect Retry-After
 
-	Elsewhere float64 `json:"elsewhere,omitempty"` // share of retries that go to another, randomly chosen proxy
+	Elsewhere float64 `json:"elsewhere,omitempty"` // share of retries that go to a randomly chosen proxy
 }
 
 // Trouble is one fault or disturbance of a day, with its start and length.
--- a/files/files.go
+++ b/files/files.go
@@ -70,12 +70,12 @@
 	OpTypes        []OpType `json:"op_types"`
 	Measures       []string `json:"measures,omitempty"` // fields of the servers' load reports, by their ORCA names
 	ReportEvery    Duration `json:"report_every"`
-	TryShare       float64  `json:"try_share,omitempty"`     // timeout of a try that may be retried, as a share of the target latency
+	TryShare       float64  `json:"try_share,omitempty"`     // try timeout before a retry, as a share of the target latency
 	OutlierAfter   int      `json:"outlier_after,omitempty"` // consecutive failures after which a proxy avoids a server; 0: never
 	OutlierFor     Duration `json:"outlier_for,omitempty"`
 	Bootstrap      int      `json:"bootstrap"` // maximum servers in a standing table, used without a pilot's table
 	DefaultRetries string   `json:"usual_again,omitempty"`
-	WriteLifetime  Duration `json:"write_life,omitempty"` // time limit for an accepted write, successful or not; 0: twice its op timeout
+	WriteLifetime  Duration `json:"write_life,omitempty"` // time limit for an accepted write, also a failing one; 0: 2 op timeouts
 	CrossZonePrice float64  `json:"cross_zone_price,omitempty"`
 
 	// WritePacks lists, by zone, the packs among which writes with deduplication by pack are distributed. Its zones are
@@ -189,7 +189,7 @@
 	Networks   map[string][]string `json:"networks,omitempty"`
 	Known      []string            `json:"known,omitempty"`
 	Subset     int                 `json:"subset"`             // pods per tenant; 0: all
-	Bindings   string              `json:"bindings,omitempty"` // path of a file that keeps the bindings of moved tenants across restarts
+	Bindings   string              `json:"bindings,omitempty"` // file that keeps the bindings of moved tenants across restarts
 }
 
 // Proxy is the settings file of a proxy.
--- a/files/groups.go
+++ b/files/groups.go
@@ -51,7 +51,7 @@
 	return HasWriteGroup(t) && t.Group == control.GroupPack
 }
 
-// acrossCells returns the op types whose group may be in any cell, as a bit mask over the op type numbers.
+// typesAcrossCells returns the op types whose group may be in any cell, as a bit mask over the op type numbers.
 func (s *Service) typesAcrossCells() (mask uint16) {
 	for i, t := range s.Types() {
 		if groupedByPack(t) || HasWriteGroup(t) && len(s.Zones) > 1 && !t.OwnZoneOnly {
@@ -61,7 +61,7 @@
 	return mask
 }
 
-// packWrites reports whether writes of any op type go to one pack.
+// writesToPack reports whether writes of any op type go to one pack.
 func (s *Service) writesToPack() bool {
 	return slices.ContainsFunc(s.Types(), groupedByPack)
 }
--- a/files/read.go
+++ b/files/read.go
@@ -38,6 +38,7 @@
 	Allowed string
 }
 
+// Error returns the error as one line: file, pointer, value found, values allowed.
 func (f *ValidationError) Error() string {
 	s := f.File + ": "
 	if f.Pointer != "" {
--- a/logbook/entry.go
+++ b/logbook/entry.go
@@ -25,12 +25,12 @@
 	File       string
 	LineNumber int
 	Raw        string
-	ParseError error // not nil if the line is no syslog message; then only File, LineNumber, Raw and Text are set
+	ParseError error // not nil if the line is no syslog message; Text is then the line, and the parsed fields are empty
 	Time       time.Time
 	Severity   syslog.Severity
 	Host       string
 	App        string
-	Kind       string            // MSGID
+	Kind       string            // the MSGID of the message
 	Params     map[string]string // parameters of all elements; those of the element "decision" take precedence
 	Text       string
 
--- a/logbook/filter.go
+++ b/logbook/filter.go
@@ -148,7 +148,8 @@
 				return func(e *Entry) bool { return e.ParseError == nil && holds(int(s)-int(e.Severity)) }, nil
 			}
 		}
-		return nil, fmt.Errorf("the filter: %q is not a severity: emerg, alert, crit, err, warning, notice, info, debug", n.Value)
+		return nil, fmt.Errorf("the filter: %q is not a severity: emerg, alert, crit, err, warning, notice, info, debug",
+			n.Value)
 	}
 	number, err := strconv.ParseFloat(n.Value, 64)
 	numeric := err == nil
@@ -193,7 +194,8 @@
 func atFilter(value string, holds func(int) bool) (Filter, error) {
 	for _, layout := range []string{"15:04:05.999999", "15:04"} {
 		if t, err := time.Parse(layout, value); err == nil {
-			wanted := time.Duration(t.Hour())*time.Hour + time.Duration(t.Minute())*time.Minute + time.Duration(t.Second())*time.Second + time.Duration(t.Nanosecond())
+			wanted := time.Duration(t.Hour())*time.Hour + time.Duration(t.Minute())*time.Minute +
+				time.Duration(t.Second())*time.Second + time.Duration(t.Nanosecond())
 			return func(e *Entry) bool {
 				w := e.EventTime()
 				if w.IsZero() {
@@ -202,7 +204,8 @@
 				if !e.Time.IsZero() {
 					w = w.In(e.Time.Location())
 				}
-				timeOfDay := time.Duration(w.Hour())*time.Hour + time.Duration(w.Minute())*time.Minute + time.Duration(w.Second())*time.Second + time.Duration(w.Nanosecond())
+				timeOfDay := time.Duration(w.Hour())*time.Hour + time.Duration(w.Minute())*time.Minute +
+					time.Duration(w.Second())*time.Second + time.Duration(w.Nanosecond())
 				return holds(compare(timeOfDay, wanted))
 			}, nil
 		}
@@ -215,7 +218,8 @@
 	if d, err := time.ParseDuration(value); err == nil {
 		return func(e *Entry) bool { return e.Params[record.At] != "" && holds(compare(e.At, d)) }, nil
 	}
-	return nil, fmt.Errorf("the filter: %q is not a time: 20:15, 20:15:30, 2026-12-01T20:15:00Z, or a duration since the pilot's start such as 90s", value)
+	return nil, fmt.Errorf("the filter: %q is not a time: 20:15, 20:15:30, 2026-12-01T20:15:00Z, or a duration since the pilot's start such as 90s",
+		value)
 }
 
 func compare(a, b time.Duration) int {
--- a/logbook/book.go
+++ b/logbook/log.go
@@ -82,7 +82,9 @@
 		}
 		return x.EventTime().Compare(y.EventTime())
 	})
-	runs := slices.SortedFunc(maps.Keys(seen), func(a, b Run) int { return cmp.Or(cmp.Compare(a.ID, b.ID), cmp.Compare(a.Pilot, b.Pilot)) })
+	runs := slices.SortedFunc(maps.Keys(seen), func(a, b Run) int {
+		return cmp.Or(cmp.Compare(a.ID, b.ID), cmp.Compare(a.Pilot, b.Pilot))
+	})
 	for _, run := range runs {
 		numbers := slices.Sorted(maps.Keys(seen[run]))
 		next, after := uint64(1), time.Time{}
@@ -140,8 +142,9 @@
 		return s + " " + e.App + ": " + e.Text
 	}
 	s += " " + e.Kind
-	for _, k := range []string{record.Node, record.Proxy, record.Table, record.Version, record.OpType, record.Tenant, record.Weight, record.Share, record.Withdrawn,
-		record.ProxiesSent, record.ProxiesConfirmed, record.ProxiesUnconfirmed, record.Slowest, "count", "to", "rate", "hand", "fenced", "room", "held", "resumed"} {
+	for _, k := range []string{record.Node, record.Proxy, record.Table, record.Version, record.OpType, record.Tenant,
+		record.Weight, record.Share, record.Withdrawn, record.ProxiesSent, record.ProxiesConfirmed, record.ProxiesUnconfirmed,
+		record.Slowest, "count", "to", "rate", "hand", "fenced", "room", "held", "resumed"} {
 		if v := p[k]; v != "" {
 			s += " " + k + "=" + v
 		}
--- a/syslog/bench_test.go
+++ b/syslog/bench_test.go
@@ -18,7 +18,7 @@
 		slog.String("weight", "1.491"), slog.String("value", "92.7"), slog.String("limit", "89.12"))}
 }
 
-// Compares this handler, from slog to the queue, with the JSON handler of the standard library and with the message
+// BenchmarkRecord compares this handler, from slog to the queue, with the JSON handler of the standard library and with the message
 // builder of a syslog library, whose input is formatted in advance. The last case formats a message alone.
 func BenchmarkRecord(b *testing.B) {
 	b.Run("ours", func(b *testing.B) {
--- a/syslog/message.go
+++ b/syslog/message.go
@@ -36,6 +36,7 @@
 
 var severityNames = [...]string{"emerg", "alert", "crit", "err", "warning", "notice", "info", "debug"}
 
+// String returns the usual keyword of the severity, such as "err" or "notice".
 func (s Severity) String() string { return severityNames[min(s, Debug)] }
 
 // EnterpriseNumber is the private enterprise number in the SD-IDs of this program. It is the number that RFC 5612
--- a/syslog/sender.go
+++ b/syslog/sender.go
@@ -51,13 +51,13 @@
 	Logged     uint64 // records logged by this process, suppressed ones included
 	Restored   uint64 // records found in the spool at the start
 	Sent       uint64
-	Dropped    [Debug + 1]uint64 // by severity
+	Dropped    [Debug + 1]uint64 // records dropped for lack of space, by severity
 	Suppressed uint64            // records withheld because their kind exceeded its rate
 	Spooled    uint64            // records on disk now
 	Waiting    uint64            // records in memory now
 	Corrupt    uint64            // spooled records that could not be read
-	Connects   uint64
-	Failures   uint64
+	Connects   uint64            // connections opened
+	Failures   uint64            // dials that failed and connections that broke
 }
 
 // Sender delivers records to a receiver in the background. Code that logs only adds records to a bounded queue and
@@ -263,7 +263,7 @@
 	}
 	s.conn = c
 	s.peerClosed = make(chan struct{})
-	if s.config.framed() { // receivers send no data, so a read returns only when they close: this detects the end before the next write
+	if s.config.framed() { // receivers send no data: a read returns once they close
 		go func(c net.Conn, peerClosed chan struct{}) {
 			defer close(peerClosed)
 			b := make([]byte, 64)
