--- a/cmd/vetchdoor/main_test.go
+++ b/cmd/vetchdoor/main_test.go
@@ -120,19 +120,23 @@
 
 func service() object {
 	return object{"zones": []string{"z"}, "report_every": "100ms", "bootstrap": 4, "measures": []string{"cpu_utilization"},
-		"op_types": []object{{"name": "read", "match": object{"method": "GET"}, "target_latency": "5s", "op_timeout": "15s", "revenue": 1, "repeat": "retryable"}}}
+		"op_types": []object{{"name": "read", "match": object{"method": "GET"}, "target_latency": "5s", "op_timeout": "15s",
+			"revenue": 1, "repeat": "retryable"}}}
 }
 
 func limits() object {
-	return object{"empty_for": "2s", "drain_grace": "2s", "cold_for": "1s", "cold_share": 0.2, "overload_factor": 4, "fall_after": "2s"}
+	return object{"empty_for": "2s", "drain_grace": "2s", "cold_for": "1s", "cold_share": 0.2, "overload_factor": 4,
+		"fall_after": "2s"}
 }
 
 // Every part runs as a process of its own: an op is answered, a draining server is withdrawn, and on SIGTERM each
 // process answers the ops in progress and exits with 0. The pilot's log can then be read back.
 func TestPrograms(t *testing.T) {
 	nodes := launch(t, "node", object{"kind": "node", "service": service(), "limits": limits(),
-		"machines": []object{{"name": "m", "cores": 2, "speed": []int{1, 1}, "slots": 8, "queue": 10, "connections": 50, "cold_share": 0.5, "cold_for": "1s"}},
-		"nodes":    []object{{"endpoint": 1, "listen": "127.0.0.1:0", "zone": "z", "machine": "m"}, {"endpoint": 2, "listen": "127.0.0.1:0", "zone": "z", "machine": "m"}}})
+		"machines": []object{{"name": "m", "cores": 2, "speed": []int{1, 1}, "slots": 8, "queue": 10, "connections": 50,
+			"cold_share": 0.5, "cold_for": "1s"}},
+		"nodes": []object{{"endpoint": 1, "listen": "127.0.0.1:0", "zone": "z", "machine": "m"}, {"endpoint": 2,
+			"listen": "127.0.0.1:0", "zone": "z", "machine": "m"}}})
 	var entries []object
 	for range 2 {
 		m := nodes.until("node runs")
@@ -144,10 +148,13 @@
 	roster := launchFile(t, "roster", path)
 	at := roster.until("list service runs")["listen"]
 	sock, logAt := "unix:"+filepath.Join(t.TempDir(), "p.sock"), filepath.Join(t.TempDir(), "pilot.log")
-	pilot := launch(t, "pilot", object{"kind": "pilot", "name": "p", "zone": "z", "proxies": 1, "listen": "127.0.0.1:0", "roster": at, "admin": sock,
-		"cache": filepath.Join(t.TempDir(), "list.json"), "service": service(), "limits": limits(), "log": []object{{"network": "file", "address": logAt}},
+	pilot := launch(t, "pilot", object{"kind": "pilot", "name": "p", "zone": "z", "proxies": 1, "listen": "127.0.0.1:0",
+		"roster": at, "admin": sock,
+		"cache": filepath.Join(t.TempDir(), "list.json"), "service": service(), "limits": limits(),
+		"log":     []object{{"network": "file", "address": logAt}},
 		"channel": object{"lines_per_second": 1000, "message_lines": 3, "most_waiting": 1000, "report_lines_per_second": 1000}})
-	proxy := launch(t, "proxy", object{"kind": "proxy", "id": 1, "zone": "z", "listen": "127.0.0.1:0", "rate": 1, "service": service(), "servers": entries,
+	proxy := launch(t, "proxy", object{"kind": "proxy", "id": 1, "zone": "z", "listen": "127.0.0.1:0", "rate": 1,
+		"service": service(), "servers": entries,
 		"pilots": []object{{"address": pilot.until("pilot runs")["listen"], "zone": "z"}}})
 	url := fmt.Sprintf("http://%s/x", proxy.until("proxy runs")["listen"])
 	get := func(work string) (int, string) {
@@ -210,9 +217,11 @@
 			t.Errorf("%v exited with %d", p.cmd.Args[1:], code)
 		}
 	}
-	for filter, want := range map[string]string{"kind=withdrawal and node=e1": "out=true: draining", "kind=restart": "p restart: start", "kind=bind": "p1 table=t0", "kind=joined": "proxy=p1"} {
+	for filter, want := range map[string]string{"kind=withdrawal and node=e1": "out=true: draining",
+		"kind=restart": "p restart: start", "kind=bind": "p1 table=t0", "kind=joined": "proxy=p1"} {
 		out, err := program("log", "show", "-w", filter, logAt).CombinedOutput()
-		if err != nil || !strings.Contains(string(out), want) || !strings.Contains(string(out), " 0 malformed lines, 0 duplicates, 0 records missing") {
+		if err != nil || !strings.Contains(string(out), want) || !strings.Contains(string(out),
+			" 0 malformed lines, 0 duplicates, 0 records missing") {
 			t.Errorf("%s: %v\n%s", filter, err, out)
 		}
 	}
@@ -230,7 +239,8 @@
 func TestExitCodes(t *testing.T) {
 	dir := t.TempDir()
 	paths := map[string]string{}
-	for name, text := range map[string]string{"empty": "", "torn": `{"kind": "pilot", "na`, "deep": strings.Repeat("[", 200000), "other": `{"kind": "roster", "listen": "127.0.0.1:0", "zones": ["z"], "entries": []}`} {
+	for name, text := range map[string]string{"empty": "", "torn": `{"kind": "pilot", "na`, "deep": strings.Repeat("[", 200000),
+		"other": `{"kind": "roster", "listen": "127.0.0.1:0", "zones": ["z"], "entries": []}`} {
 		paths[name] = filepath.Join(dir, name+".json")
 		if err := os.WriteFile(paths[name], []byte(text), 0o600); err != nil {
 			t.Fatal(err)
@@ -242,7 +252,8 @@
 		var errs strings.Builder
 		c.Stderr = &errs
 		_ = c.Run()
-		if got := c.ProcessState.ExitCode(); got != want || names != "" && !strings.Contains(errs.String(), names) || names != "" && strings.Count(errs.String(), "\n") != 1 {
+		if got := c.ProcessState.ExitCode(); got != want || names != "" && !strings.Contains(errs.String(), names) ||
+			names != "" && strings.Count(errs.String(), "\n") != 1 {
 			t.Errorf("%v: exit %d, %q", args, got, errs.String())
 		}
 	}
@@ -261,7 +272,8 @@
 		run(2, "1 of 1", "check", paths[name])
 	}
 	faulty := filepath.Join(dir, "faulty.json")
-	write(t, faulty, object{"kind": "roster", "listen": "127.0.0.1:0", "zones": []string{"z"}, "entries": []object{{"endpoint": 1, "address": "127.0.0.1:99999", "zone": "z"}}})
+	write(t, faulty, object{"kind": "roster", "listen": "127.0.0.1:0", "zones": []string{"z"},
+		"entries": []object{{"endpoint": 1, "address": "127.0.0.1:99999", "zone": "z"}}})
 	run(1, "1 of 1", "check", faulty)
 	run(2, "2 of 2", "check", faulty, paths["torn"])
 	run(2, faulty, "roster", "--file", faulty)
--- a/cmd/vetchdoor/platform_limits_test.go
+++ b/cmd/vetchdoor/platform_limits_test.go
@@ -26,8 +26,9 @@
 func TestPlatformReadsItsFileWithinItsLimits(t *testing.T) {
 	known := []platform.Instance{}
 	for i := range knownEndpoints {
-		known = append(known, platform.Instance{ID: fmt.Sprint("s-", i), HostPort: "127.0.0.1:9", Zone: "a", Machine: "m", Lifecycle: "up",
-			Weight: 1})
+		known = append(known, platform.Instance{ID: fmt.Sprint("s-", i), HostPort: "127.0.0.1:9", Zone: "a", Machine: "m",
+			Lifecycle: "up",
+			Weight:    1})
 	}
 	discovery, err := platform.Discover(known...)
 	if err != nil {
@@ -35,14 +36,16 @@
 	}
 	defer discovery.Close()
 	path := filepath.Join(t.TempDir(), "given.json")
-	write(t, path, map[string]any{"name": "n0", "listen": "127.0.0.1:0", "discovery": discovery.Address(), "seed": "8c1f30d27a5be964",
+	write(t, path, map[string]any{"name": "n0", "listen": "127.0.0.1:0", "discovery": discovery.Address(),
+		"seed":  "8c1f30d27a5be964",
 		"known": discovery.Known(), "limits": map[string]any{"cores": 0.5, "memory_mb": 256, "sockets": 256},
 		"settings": json.RawMessage(platformSettings)})
 	t.Setenv("GOMAXPROCS", "4")
 	t.Setenv("GOGC", "100")
 	t.Setenv("GODEBUG", "gctrace=1")
 	if processors := startCollections(t, launchFile(t, "platform", path)); len(processors) == 0 || slices.Max(processors) != "1" {
-		t.Errorf("processors of each collection until the pilot runs: %v; want at least one collection, each on 1 processor", processors)
+		t.Errorf("processors of each collection until the pilot runs: %v; want at least one collection, each on 1 processor",
+			processors)
 	}
 }
 
--- a/cmd/vetchdoor/platform_test.go
+++ b/cmd/vetchdoor/platform_test.go
@@ -25,7 +25,8 @@
 func TestPlatform(t *testing.T) {
 	known := []platform.Instance{}
 	for i := range 4 {
-		known = append(known, platform.Instance{ID: fmt.Sprint("s-", i), HostPort: "127.0.0.1:9", Zone: string(rune('a' + i%2)), Machine: "m",
+		known = append(known, platform.Instance{ID: fmt.Sprint("s-", i), HostPort: "127.0.0.1:9", Zone: string(rune('a' + i%2)),
+			Machine:   "m",
 			Lifecycle: "up", Weight: 1})
 	}
 	var found [2]*platform.Discovery
@@ -38,7 +39,8 @@
 		found[i] = d
 	}
 	file := func(discovery string) map[string]any {
-		return map[string]any{"name": "n0", "listen": "127.0.0.1:0", "discovery": discovery, "seed": "8c1f30d27a5be964", "known": found[0].Known(),
+		return map[string]any{"name": "n0", "listen": "127.0.0.1:0", "discovery": discovery, "seed": "8c1f30d27a5be964",
+			"known":  found[0].Known(),
 			"limits": map[string]any{"cores": 0.5, "memory_mb": 64, "sockets": 256}, "settings": json.RawMessage(platformSettings)}
 	}
 	path := filepath.Join(t.TempDir(), "given.json")
@@ -83,7 +85,8 @@
 	defer collector.Close()
 	_ = collector.Say(`{"msg":"telemetry","az":"a"}`)
 	var badPeers []*platform.Peer
-	for _, say := range []string{"", "half", "GET / HTTP/1.1\r\n\r\n", `{"msg":"attach","sidecar":99,"az":"a","share":1,"standing":true}` + "\n",
+	for _, say := range []string{"", "half", "GET / HTTP/1.1\r\n\r\n",
+		`{"msg":"attach","sidecar":99,"az":"a","share":1,"standing":true}` + "\n",
 		`{"msg":"hb"}` + "\n", `{"msg":"telemetry","az":"mars"}` + "\n", strings.Repeat("x", 1<<20)} {
 		for range 10 {
 			s, err := platform.Dial(address)
@@ -112,7 +115,11 @@
 	gone := known[0]
 	gone.Lifecycle = "draining"
 	found[1].Set(gone)
-	until("no proxy uses the draining server", all(func(open map[string]float64) bool { _, there := open["s-0"]; return !there && len(open) > 0 }))
+	until("no proxy uses the draining server", all(func(open map[string]float64) bool {
+		_,
+			there := open["s-0"]
+		return !there && len(open) > 0
+	}))
 
 	for _, s := range badPeers {
 		for err = error(nil); err == nil; {
--- a/cmd/vetchdoor/signals_test.go
+++ b/cmd/vetchdoor/signals_test.go
@@ -20,15 +20,19 @@
 // sent twice.
 func TestSignals(t *testing.T) {
 	nodes := object{"kind": "node", "service": service(), "limits": limits(),
-		"machines": []object{{"name": "m", "cores": 2, "speed": []int{1, 1}, "slots": 8, "queue": 10, "connections": 50, "cold_share": 0.5, "cold_for": "1s"}},
-		"nodes":    []object{{"endpoint": 1, "listen": "127.0.0.1:0", "zone": "z", "machine": "m"}}}
+		"machines": []object{{"name": "m", "cores": 2, "speed": []int{1, 1}, "slots": 8, "queue": 10, "connections": 50,
+			"cold_share": 0.5, "cold_for": "1s"}},
+		"nodes": []object{{"endpoint": 1, "listen": "127.0.0.1:0", "zone": "z", "machine": "m"}}}
 	for kind, file := range map[string]object{
 		"node":   nodes,
 		"roster": {"kind": "roster", "listen": "127.0.0.1:0", "zones": []string{"z"}, "entries": []object{}},
-		"pilot": {"kind": "pilot", "name": "p", "zone": "z", "proxies": 1, "listen": "127.0.0.1:0", "roster": "127.0.0.1:1", "service": service(),
-			"limits": limits(), "channel": object{"lines_per_second": 1000, "message_lines": 3, "most_waiting": 1000, "report_lines_per_second": 1000}},
+		"pilot": {"kind": "pilot", "name": "p", "zone": "z", "proxies": 1, "listen": "127.0.0.1:0", "roster": "127.0.0.1:1",
+			"service": service(),
+			"limits":  limits(), "channel": object{"lines_per_second": 1000, "message_lines": 3, "most_waiting": 1000,
+				"report_lines_per_second": 1000}},
 		"proxy": {"kind": "proxy", "id": 1, "zone": "z", "listen": "127.0.0.1:0", "rate": 1, "service": service(),
-			"servers": []object{{"endpoint": 1, "address": "127.0.0.1:1", "zone": "z"}}, "pilots": []object{{"address": "127.0.0.1:1", "zone": "z"}}},
+			"servers": []object{{"endpoint": 1, "address": "127.0.0.1:1", "zone": "z"}}, "pilots": []object{{"address": "127.0.0.1:1",
+				"zone": "z"}}},
 	} {
 		t.Run(kind, func(t *testing.T) {
 			p := launch(t, kind, file)
--- a/cmd/vetchdoor/soak_clients_test.go
+++ b/cmd/vetchdoor/soak_clients_test.go
@@ -38,7 +38,8 @@
 
 // newOp returns an op of random type.
 func (s *soak) newOp(proxy int, rng *rand.Rand) outcome {
-	return outcome{op: s.ops.Add(1), opType: rng.IntN(typeCount), proxy: proxy, large: rng.IntN(largeEach) == 0, work: rng.IntN(8000), begun: time.Now()}
+	return outcome{op: s.ops.Add(1), opType: rng.IntN(typeCount), proxy: proxy, large: rng.IntN(largeEach) == 0,
+		work: rng.IntN(8000), begun: time.Now()}
 }
 
 // clientTimeout is the limit for every wait of a client; it exceeds all timeouts of a proxy.
--- a/cmd/vetchdoor/soak_parts_test.go
+++ b/cmd/vetchdoor/soak_parts_test.go
@@ -53,15 +53,20 @@
 
 // soakService returns the service settings that pilots, proxies and servers share.
 func soakService() object {
-	return object{"zones": []string{"z"}, "write_packs": object{"z": []int{packOf(0), packOf(1)}}, "report_every": "100ms", "bootstrap": 4, "measures": []string{"cpu_utilization"}, "op_types": []object{
-		{"name": "read", "match": object{"method": "GET"}, "target_latency": "500ms", "op_timeout": opTimeout.String(), "revenue": 1, "repeat": "retryable"},
-		{"name": "write", "match": object{"method": "POST"}, "target_latency": "500ms", "op_timeout": opTimeout.String(), "revenue": 2, "repeat": "once-only", "writes": true},
-		{"name": "marked", "match": object{"method": "PUT"}, "target_latency": "500ms", "op_timeout": opTimeout.String(), "revenue": 2, "repeat": "deduplicated", "group": "pack",
-			"dedup_window": dedupWindow.String(), "writes": true}}}
+	return object{"zones": []string{"z"}, "write_packs": object{"z": []int{packOf(0), packOf(1)}}, "report_every": "100ms",
+		"bootstrap": 4, "measures": []string{"cpu_utilization"}, "op_types": []object{
+			{"name": "read", "match": object{"method": "GET"}, "target_latency": "500ms", "op_timeout": opTimeout.String(),
+				"revenue": 1, "repeat": "retryable"},
+			{"name": "write", "match": object{"method": "POST"}, "target_latency": "500ms", "op_timeout": opTimeout.String(),
+				"revenue": 2, "repeat": "once-only", "writes": true},
+			{"name": "marked", "match": object{"method": "PUT"}, "target_latency": "500ms", "op_timeout": opTimeout.String(),
+				"revenue": 2, "repeat": "deduplicated", "group": "pack",
+				"dedup_window": dedupWindow.String(), "writes": true}}}
 }
 
 func soakLimits() object {
-	return object{"empty_for": "2s", "drain_grace": drainGrace.String(), "cold_for": coldFor.String(), "cold_share": 0.5, "overload_factor": 4, "fall_after": "2s"}
+	return object{"empty_for": "2s", "drain_grace": drainGrace.String(), "cold_for": coldFor.String(), "cold_share": 0.5,
+		"overload_factor": 4, "fall_after": "2s"}
 }
 
 // decode converts an object to a settings struct, through JSON.
@@ -84,9 +89,11 @@
 		s.t.Fatal(err)
 	}
 	s.ledger = node.NewLedger()
-	machine := files.Machine{Name: "m", Cores: 4, Speed: [2]float64{1, 1}, Slots: 32, Queue: 64, Connections: 500, ColdShare: 0.5, ColdFor: files.Duration(coldFor)}
+	machine := files.Machine{Name: "m", Cores: 4, Speed: [2]float64{1, 1}, Slots: 32, Queue: 64, Connections: 500,
+		ColdShare: 0.5, ColdFor: files.Duration(coldFor)}
 	for i := range 4 {
-		n := node.New(files.NodeAt{Endpoint: uint32(1 + i), Listen: net.JoinHostPort(s.host, fmt.Sprint(7101+i)), Zone: "z", Pack: packOf(i)}, machine, &service, limits, s.seed, s.ledger)
+		n := node.New(files.NodeAt{Endpoint: uint32(1 + i), Listen: net.JoinHostPort(s.host, fmt.Sprint(7101+i)), Zone: "z",
+			Pack: packOf(i)}, machine, &service, limits, s.seed, s.ledger)
 		if err := n.Start(false); err != nil {
 			s.t.Fatal(err)
 		}
@@ -118,29 +125,36 @@
 	for i := range 2 {
 		name, at := fmt.Sprint("pilot-", i), s.at(7010+i)
 		streams = append(streams, object{"address": at, "zone": "z"})
-		p := s.launch(name, "pilot", at, partShutdownLimit, object{"kind": "pilot", "name": name, "zone": "z", "instance": i, "instances": 2, "proxies": 2, "listen": at,
-			"roster": s.at(7000), "admin": "unix:" + filepath.Join(s.dir, name+".sock"), "cache": filepath.Join(s.dir, name+"-list.json"), "leave_within": "300ms",
+		p := s.launch(name, "pilot", at, partShutdownLimit, object{"kind": "pilot", "name": name, "zone": "z", "instance": i,
+			"instances": 2, "proxies": 2, "listen": at,
+			"roster": s.at(7000), "admin": "unix:" + filepath.Join(s.dir, name+".sock"), "cache": filepath.Join(s.dir,
+				name+"-list.json"), "leave_within": "300ms",
 			"peers":   []object{{"instance": 1 - i, "address": s.at(7010 + 1 - i)}},
-			"service": soakService(), "limits": soakLimits(), "channel": object{"lines_per_second": 2000, "message_lines": 3, "most_waiting": 2000, "report_lines_per_second": 1000}})
+			"service": soakService(), "limits": soakLimits(), "channel": object{"lines_per_second": 2000, "message_lines": 3,
+				"most_waiting": 2000, "report_lines_per_second": 1000}})
 		p.killAfter = pilotKillAfter
 		s.pilots = append(s.pilots, p)
 	}
 	for i := range 2 {
 		at := s.at(7020 + i)
-		s.proxies = append(s.proxies, s.launch(fmt.Sprint("proxy-", i), "proxy", at, proxyShutdownLimit, object{"kind": "proxy", "id": i, "zone": "z", "listen": at, "rate": 300,
+		s.proxies = append(s.proxies, s.launch(fmt.Sprint("proxy-", i), "proxy", at, proxyShutdownLimit, object{"kind": "proxy",
+			"id": i, "zone": "z", "listen": at, "rate": 300,
 			"redial": "100ms", "service": soakService(), "servers": s.entries(), "pilots": streams}))
 	}
 	var list []platform.Instance
 	for i := range 4 {
-		list = append(list, platform.Instance{ID: fmt.Sprint("s-", i), HostPort: "127.0.0.1:9", Zone: string(rune('a' + i%2)), Machine: "m", Lifecycle: "up", Weight: 1})
+		list = append(list, platform.Instance{ID: fmt.Sprint("s-", i), HostPort: "127.0.0.1:9", Zone: string(rune('a' + i%2)),
+			Machine: "m", Lifecycle: "up", Weight: 1})
 	}
 	var err error
 	if s.discovery, err = platform.Discover(list...); err != nil {
 		s.t.Fatal(err)
 	}
 	at := s.at(7030)
-	s.platform = s.launch("platform", "platform", at, partShutdownLimit, object{"name": "n0", "listen": at, "discovery": s.discovery.Address(), "seed": "8c1f30d27a5be964",
-		"known": s.discovery.Known(), "limits": object{"cores": 0.5, "memory_mb": 64, "sockets": 256}, "settings": json.RawMessage(platformSettings)})
+	s.platform = s.launch("platform", "platform", at, partShutdownLimit, object{"name": "n0", "listen": at,
+		"discovery": s.discovery.Address(), "seed": "8c1f30d27a5be964",
+		"known": s.discovery.Known(), "limits": object{"cores": 0.5, "memory_mb": 64, "sockets": 256},
+		"settings": json.RawMessage(platformSettings)})
 	s.platform.killAfter = pilotKillAfter
 }
 
@@ -164,7 +178,8 @@
 
 // launch writes the settings file of a part and starts the part.
 func (s *soak) launch(name, kind, address string, shutdownLimit time.Duration, file object) *process {
-	p := &process{s: s, name: name, kind: kind, path: filepath.Join(s.dir, name+".json"), address: address, shutdownLimit: shutdownLimit}
+	p := &process{s: s, name: name, kind: kind, path: filepath.Join(s.dir, name+".json"), address: address,
+		shutdownLimit: shutdownLimit}
 	write(s.t, p.path, file)
 	p.start()
 	return p
--- a/cmd/vetchdoor/soak_repeats_test.go
+++ b/cmd/vetchdoor/soak_repeats_test.go
@@ -88,7 +88,8 @@
 		if err != nil {
 			continue
 		}
-		o = outcome{op: o.op, opType: o.opType, try: o.try + 1, proxy: proxy, previousProxy: o.proxy, large: o.large, work: o.work, begun: o.begun}
+		o = outcome{op: o.op, opType: o.opType, try: o.try + 1, proxy: proxy, previousProxy: o.proxy, large: o.large, work: o.work,
+			begun: o.begun}
 		s.ask(c, bufio.NewReader(c), &o, rng)
 		c.Close()
 		s.record(o)
@@ -124,7 +125,8 @@
 				s.dedupWrites.late++
 			} else {
 				s.dedupWrites.doubled++
-				s.failf("op %d took effect at server %d and, with a try that arrived %v later, at server %d", op, of[i-1].Endpoint, after.Round(time.Millisecond), of[i].Endpoint)
+				s.failf("op %d took effect at server %d and, with a try that arrived %v later, at server %d", op, of[i-1].Endpoint,
+					after.Round(time.Millisecond), of[i].Endpoint)
 			}
 		}
 	}
--- a/cmd/vetchdoor/soak_test.go
+++ b/cmd/vetchdoor/soak_test.go
@@ -182,7 +182,8 @@
 	time.Sleep(500 * time.Millisecond)
 	for _, a := range s.ledger.Arrivals() {
 		if a.Endpoint == drained.Endpoint() && a.At > after {
-			s.failf("rule 3: proxy %d sent to a server %v after the list showed it as draining", a.Proxy, s.ledger.From().Add(a.At).Sub(began))
+			s.failf("rule 3: proxy %d sent to a server %v after the list showed it as draining", a.Proxy,
+				s.ledger.From().Add(a.At).Sub(began))
 			break
 		}
 	}
@@ -203,7 +204,8 @@
 			s.failf("%s holds %d descriptors without disturbances", p.name, n)
 		}
 	}
-	if out, err := program("ctl", "unix:"+filepath.Join(s.dir, "pilot-0.sock"), "show", "info").Output(); err != nil || !strings.Contains(string(out), "Overflows: 0\n") || !strings.Contains(string(out), "Panics: 0\n") {
+	if out, err := program("ctl", "unix:"+filepath.Join(s.dir, "pilot-0.sock"), "show", "info").Output(); err != nil ||
+		!strings.Contains(string(out), "Overflows: 0\n") || !strings.Contains(string(out), "Panics: 0\n") {
 		s.failf("rule 5: pilot-0 reports %q, %v", out, err)
 	}
 	close(s.stop)
@@ -247,7 +249,8 @@
 		}
 		statuses[o.status]++
 		if o.lost != "" {
-			s.failf("op %d to proxy %d, written %v after the start, got no complete answer: %s", o.op, o.proxy, o.written.Sub(s.ledger.From()).Round(time.Millisecond), o.lost)
+			s.failf("op %d to proxy %d, written %v after the start, got no complete answer: %s", o.op, o.proxy,
+				o.written.Sub(s.ledger.From()).Round(time.Millisecond), o.lost)
 		}
 		if n := effects[o.op]; o.opType == writeType && n > 1 { // checkRepeats checks deduplicated writes
 			s.failf("op %d took effect %d times", o.op, n)
--- a/logbook/logbook_test.go
+++ b/logbook/logbook_test.go
@@ -19,12 +19,15 @@
 // decision returns a log line as a pilot writes it.
 func decision(pilot string, run, seq int, at time.Duration, kind string, params ...string) string {
 	e := syslog.Element{ID: record.Element + "@" + syslog.EnterpriseNumber}
-	e.Params = append(e.Params, syslog.Param{Name: record.Pilot, Value: pilot}, syslog.Param{Name: record.Run, Value: fmt.Sprint(runStart + run)},
-		syslog.Param{Name: record.Sequence, Value: fmt.Sprint(seq)}, syslog.Param{Name: record.At, Value: fmt.Sprint(at.Microseconds())})
+	e.Params = append(e.Params, syslog.Param{Name: record.Pilot, Value: pilot}, syslog.Param{Name: record.Run,
+		Value: fmt.Sprint(runStart + run)},
+		syslog.Param{Name: record.Sequence, Value: fmt.Sprint(seq)}, syslog.Param{Name: record.At,
+			Value: fmt.Sprint(at.Microseconds())})
 	for i := 0; i < len(params); i += 2 {
 		e.Params = append(e.Params, syslog.Param{Name: params[i], Value: params[i+1]})
 	}
-	m := syslog.Message{Facility: syslog.Daemon, Severity: syslog.Notice, Time: time.UnixMicro(runStart).Add(at).UTC(), Host: "h", App: "vetchdoor-pilot", MsgID: kind,
+	m := syslog.Message{Facility: syslog.Daemon, Severity: syslog.Notice, Time: time.UnixMicro(runStart).Add(at).UTC(),
+		Host: "h", App: "vetchdoor-pilot", MsgID: kind,
 		StructuredData: []syslog.Element{e}, Text: "text"}
 	return string(m.Append(nil, 8000))
 }
@@ -32,7 +35,10 @@
 func mergeLines(t *testing.T, lines ...string) *Log {
 	t.Helper()
 	var all []*Entry
-	if err := NewReader().ReadLines("f", strings.NewReader(strings.Join(lines, "\n")+"\n"), func(e *Entry) { all = append(all, e) }); err != nil {
+	if err := NewReader().ReadLines("f", strings.NewReader(strings.Join(lines, "\n")+"\n"), func(e *Entry) {
+		all = append(all,
+			e)
+	}); err != nil {
 		t.Fatal(err)
 	}
 	return Merge(all)
@@ -46,12 +52,16 @@
 	lines := []string{
 		decision("a", 0, 1, 0, record.Restart, record.Reason, "start"),
 		decision("a", 0, 2, 1*s, record.TableLine, record.Node, "e17", record.Table, "t0", record.Weight, "4", record.Reason, "listed"),
-		decision("a", 0, 3, 10*s, record.Withdrawal, record.Node, "e17", record.Withdrawn, "true", record.Reason, "sick", record.Value, "0.98", record.Threshold, "0.31", record.Checkpoint, "7"),
+		decision("a", 0, 3, 10*s, record.Withdrawal, record.Node, "e17", record.Withdrawn, "true", record.Reason, "sick",
+			record.Value, "0.98", record.Threshold, "0.31", record.Checkpoint, "7"),
 		decision("b", 5, 1, 11*s, record.Withdrawal, record.Node, "e17", record.Withdrawn, "true", record.Reason, "draining"),
-		decision("a", 0, 4, 11*s, record.Confirmation, record.Checkpoint, "7", record.ProxiesSent, "12", record.ProxiesConfirmed, "11", record.ProxiesUnconfirmed, "p3"),
+		decision("a", 0, 4, 11*s, record.Confirmation, record.Checkpoint, "7", record.ProxiesSent, "12", record.ProxiesConfirmed,
+			"11", record.ProxiesUnconfirmed, "p3"),
 		decision("a", 0, 7, 20*s, record.Withdrawal, record.Node, "e17", record.Withdrawn, "false", record.Reason, "back"),
-		decision("a", 0, 8, 21*s, record.TableLine, record.Node, "e17", record.Table, "t0", record.Weight, "1", record.Reason, "returning"),
-		decision("a", 0, 3, 10*s, record.Withdrawal, record.Node, "e17", record.Withdrawn, "true", record.Reason, "sick", record.Value, "0.98", record.Threshold, "0.31", record.Checkpoint, "7"),
+		decision("a", 0, 8, 21*s, record.TableLine, record.Node, "e17", record.Table, "t0", record.Weight, "1", record.Reason,
+			"returning"),
+		decision("a", 0, 3, 10*s, record.Withdrawal, record.Node, "e17", record.Withdrawn, "true", record.Reason, "sick",
+			record.Value, "0.98", record.Threshold, "0.31", record.Checkpoint, "7"),
 		decision("a", 9, 1, 30*s, record.Restart, record.Reason, "panic"),
 		"<13>1 2026-12-01T13:58:40.5Z other nginx 1 - - ordinary talk",
 		"<34>Oct 11 22:14:15 mymachine su: 'su root' failed for lonvick on /dev/pts/8",
@@ -66,7 +76,8 @@
 // lines and those of other programs, and matches a decision with its confirmation.
 func TestMerge(t *testing.T) {
 	b := sampleLog(t)
-	if len(b.Entries) != 12 || b.Duplicates != 1 || b.Malformed != 1 || b.Suppressed != 2 || b.Missing() != 2 || len(b.Gaps) != 1 || b.Gaps[0].From != 5 || b.Gaps[0].To != 6 {
+	if len(b.Entries) != 12 || b.Duplicates != 1 || b.Malformed != 1 || b.Suppressed != 2 || b.Missing() != 2 ||
+		len(b.Gaps) != 1 || b.Gaps[0].From != 5 || b.Gaps[0].To != 6 {
 		t.Fatalf("%d entries, %+v", len(b.Entries), b)
 	}
 	last := map[Run]uint64{}
@@ -80,7 +91,8 @@
 		}
 		texts += b.Format(e) + "\n"
 	}
-	for _, want := range []string{"a withdrawal node=e17 out=true: sick (0.98, limit 0.31) [in force at 11 of 12]", "nginx: ordinary talk", "su: 'su root' failed",
+	for _, want := range []string{"a withdrawal node=e17 out=true: sick (0.98, limit 0.31) [in force at 11 of 12]",
+		"nginx: ordinary talk", "su: 'su root' failed",
 		"malformed", "missing=p3"} {
 		if !strings.Contains(texts, want) {
 			t.Errorf("%q is missing in\n%s", want, texts)
@@ -95,10 +107,14 @@
 func TestFilter(t *testing.T) {
 	b := sampleLog(t)
 	for text, want := range map[string]int{
-		"": 12, "node=e17": 5, "node=e17 and reason in (sick, draining)": 2, "NODE=e17 AND NOT reason in (sick)": 4, "pilot = a and seq > 3 and seq <= 8": 3,
-		"value > 0.9": 1, "value < 5": 1, "value != 0.98": 11, "kind = withdrawal or kind = restart": 5, "(kind=withdrawal or kind=restart) and pilot=b": 1,
-		`text ~ "^ordinary"`: 1, "app=nginx": 1, "severity >= crit": 1, "severity = notice": 9, "at > 13:58:46 and at < 13:58:58 and run > 0": 5, "at >= 20s": 3,
-		"at > 2026-12-01T13:58:56Z and node=e17": 2, "at < 2026-11-01": 1, `reason = "sick"`: 1, "missing ~ p": 1, "nothing = \"\"": 12, "x > 3": 0,
+		"": 12, "node=e17": 5, "node=e17 and reason in (sick, draining)": 2, "NODE=e17 AND NOT reason in (sick)": 4,
+		"pilot = a and seq > 3 and seq <= 8": 3,
+		"value > 0.9":                        1, "value < 5": 1, "value != 0.98": 11, "kind = withdrawal or kind = restart": 5,
+		"(kind=withdrawal or kind=restart) and pilot=b": 1,
+		`text ~ "^ordinary"`:                            1, "app=nginx": 1, "severity >= crit": 1, "severity = notice": 9,
+		"at > 13:58:46 and at < 13:58:58 and run > 0": 5, "at >= 20s": 3,
+		"at > 2026-12-01T13:58:56Z and node=e17": 2, "at < 2026-11-01": 1, `reason = "sick"`: 1, "missing ~ p": 1,
+		"nothing = \"\"": 12, "x > 3": 0,
 	} {
 		f, err := Compile(text)
 		if err != nil {
@@ -115,7 +131,8 @@
 			t.Errorf("%s: %d entries, want %d", text, n, want)
 		}
 	}
-	for _, bad := range []string{"node", "node=", "=e17", "node=e17 and", "(node=e17", "node in ()", "node in (a", "at > x", "severity > sunny", `x ~ "("`, "a=b c=d", strings.Repeat("(", 100) + "a=b",
+	for _, bad := range []string{"node", "node=", "=e17", "node=e17 and", "(node=e17", "node in ()", "node in (a", "at > x",
+		"severity > sunny", `x ~ "("`, "a=b c=d", strings.Repeat("(", 100) + "a=b",
 		strings.Repeat("a=b or ", 1000) + "a=b", "not not", "\x00", `a="`} {
 		if _, err := Compile(bad); err == nil {
 			t.Errorf("%.40q was accepted", bad)
@@ -129,19 +146,22 @@
 func TestTimeline(t *testing.T) {
 	b := sampleLog(t)
 	lanes := b.Timeline("e17")
-	if len(lanes) != 2 || len(lanes[0].Spans) != 4 || lanes[0].Spans[1].State != "sick" || lanes[0].Spans[2].State != "in" || lanes[0].Spans[3].Weight != 1 {
+	if len(lanes) != 2 || len(lanes[0].Spans) != 4 || lanes[0].Spans[1].State != "sick" || lanes[0].Spans[2].State != "in" ||
+		lanes[0].Spans[3].Weight != 1 {
 		t.Fatalf("%+v", lanes)
 	}
 	var text, page strings.Builder
 	if err := b.WriteText(&text, "e17", 40); err != nil {
 		t.Fatal(err)
 	}
-	if lines := strings.Split(text.String(), "\n"); !strings.Contains(lines[1], "█s") || !strings.Contains(lines[1], "▃") || !strings.Contains(lines[2], "d") {
+	if lines := strings.Split(text.String(), "\n"); !strings.Contains(lines[1], "█s") || !strings.Contains(lines[1], "▃") ||
+		!strings.Contains(lines[2], "d") {
 		t.Error(text.String())
 	}
 	hostile := decision("<script>", 99, 1, s, record.Withdrawal, record.Node, "e17", record.Withdrawn, "true", record.Reason, "<b>&")
 	b = mergeLines(t, hostile)
-	if err := b.WriteHTML(&page, "e17"); err != nil || strings.Contains(page.String(), "<script>") || strings.Contains(page.String(), "<b>") {
+	if err := b.WriteHTML(&page, "e17"); err != nil || strings.Contains(page.String(), "<script>") ||
+		strings.Contains(page.String(), "<b>") {
 		t.Errorf("%v\n%s", err, page.String())
 	}
 	if b.WriteText(&text, "e99", 40) == nil || b.WriteHTML(&page, "e99") == nil {
@@ -161,7 +181,8 @@
 		return s
 	}
 	for range 3000 {
-		m := syslog.Message{Facility: syslog.Local0, Severity: syslog.Severity(rng.IntN(8)), Time: time.Unix(rng.Int64N(4e9), 0).UTC(), Host: "h", App: "a", MsgID: "kind"}
+		m := syslog.Message{Facility: syslog.Local0, Severity: syslog.Severity(rng.IntN(8)), Time: time.Unix(rng.Int64N(4e9),
+			0).UTC(), Host: "h", App: "a", MsgID: "kind"}
 		for i := range rng.IntN(3) {
 			e := syslog.Element{ID: fmt.Sprintf("e%d@1", i)}
 			for j := range rng.IntN(4) {
@@ -178,7 +199,8 @@
 			t.Fatal(err)
 		}
 		e := NewReader().Parse(line)
-		if e.ParseError != nil || e.Text != strict.Text || !e.Time.Equal(strict.Time) || int(e.Severity) != strict.Priority&7 || e.Kind != strict.ID {
+		if e.ParseError != nil || e.Text != strict.Text || !e.Time.Equal(strict.Time) || int(e.Severity) != strict.Priority&7 ||
+			e.Kind != strict.ID {
 			t.Fatalf("%q\n%+v\n%+v", line, e, strict)
 		}
 		for _, params := range strict.Data {
@@ -193,7 +215,8 @@
 
 // Malformed and overlong lines are read as entries, without an error or a panic.
 func TestMalformedLines(t *testing.T) {
-	for _, line := range []string{"\x00\xff", "<", "<999>1 x", strings.Repeat("<1>1 - ", 1000), "<13>1 - - - - - [", `<13>1 - - - - - [a@1 b="\]"] x`, "12 <13>1 - - - - - -"} {
+	for _, line := range []string{"\x00\xff", "<", "<999>1 x", strings.Repeat("<1>1 - ", 1000), "<13>1 - - - - - [",
+		`<13>1 - - - - - [a@1 b="\]"] x`, "12 <13>1 - - - - - -"} {
 		if e := NewReader().Parse(line); e == nil || e.ParseError == nil && e.Params == nil {
 			t.Errorf("%.40q: %+v", line, e)
 		}
--- a/syslog/bench_test.go
+++ b/syslog/bench_test.go
@@ -13,13 +13,15 @@
 
 // attrs returns the attributes of a decision as a pilot logs it.
 func attrs(i int) []slog.Attr {
-	return []slog.Attr{Kind("line"), slog.Group("decision", slog.String("pilot", "pilot-0"), slog.Uint64("run", 1796133516856301), slog.Uint64("seq", uint64(i)),
-		slog.Int64("at", int64(i)*1000), Reason("eased"), slog.String("node", "e3304433030"), slog.String("table", "t3"), slog.Uint64("version", 31),
+	return []slog.Attr{Kind("line"), slog.Group("decision", slog.String("pilot", "pilot-0"), slog.Uint64("run",
+		1796133516856301), slog.Uint64("seq", uint64(i)),
+		slog.Int64("at", int64(i)*1000), Reason("eased"), slog.String("node", "e3304433030"), slog.String("table", "t3"),
+		slog.Uint64("version", 31),
 		slog.String("weight", "1.491"), slog.String("value", "92.7"), slog.String("limit", "89.12"))}
 }
 
-// BenchmarkRecord compares this handler, from slog to the queue, with the JSON handler of the standard library and with the message
-// builder of a syslog library, whose input is formatted in advance. The last case formats a message alone.
+// BenchmarkRecord compares this handler, from slog to the queue, with the JSON handler of the standard library and with the
+// message builder of a syslog library, whose input is formatted in advance. The last case formats a message alone.
 func BenchmarkRecord(b *testing.B) {
 	b.Run("ours", func(b *testing.B) {
 		s, err := Start(Config{Network: "tcp", Address: "127.0.0.1:1", Buffer: 1000}, discardLog, 1, nil)
@@ -47,7 +49,8 @@
 			m.SetPriority(30).SetVersion(1).SetTimestamp(time.Now().Format("2006-01-02T15:04:05.000000Z07:00")).SetHostname("h").SetAppname("vetchdoor-pilot").
 				SetProcID("1").SetMsgID("line").SetMessage("line of a table")
 			const id = "decision@32473"
-			for _, p := range [][2]string{{"pilot", "pilot-0"}, {"run", "1796133516856301"}, {"seq", strconv.Itoa(i)}, {"at", strconv.Itoa(i * 1000)}, {"reason", "eased"},
+			for _, p := range [][2]string{{"pilot", "pilot-0"}, {"run", "1796133516856301"}, {"seq", strconv.Itoa(i)}, {"at",
+				strconv.Itoa(i * 1000)}, {"reason", "eased"},
 				{"node", "e3304433030"}, {"table", "t3"}, {"version", "31"}, {"weight", "1.491"}, {"value", "92.7"}, {"limit", "89.12"}} {
 				m.SetParameter(id, p[0], p[1])
 			}
@@ -57,7 +60,8 @@
 		}
 	})
 	b.Run("message alone", func(b *testing.B) {
-		m := Message{Facility: Daemon, Severity: Informational, Time: time.Now(), Host: "h", App: "vetchdoor-pilot", ProcID: "1", MsgID: "line", Text: "line of a table",
+		m := Message{Facility: Daemon, Severity: Informational, Time: time.Now(), Host: "h", App: "vetchdoor-pilot", ProcID: "1",
+			MsgID: "line", Text: "line of a table",
 			StructuredData: []Element{{ID: "decision@32473"}}}
 		for i := range 11 {
 			m.StructuredData[0].Params = append(m.StructuredData[0].Params, Param{fmt.Sprint("name", i), "12345.678"})
--- a/syslog/handler_test.go
+++ b/syslog/handler_test.go
@@ -71,7 +71,8 @@
 		}
 	}
 	l := slog.New(h).With("pilot", "p")
-	l.Warn("taken out", Kind("withdrawal"), Reason("sick"), slog.Group("decision", "node", 17, "share", 0.98, slog.Group("limit", "at", 0.25)))
+	l.Warn("taken out", Kind("withdrawal"), Reason("sick"), slog.Group("decision", "node", 17, "share", 0.98,
+		slog.Group("limit", "at", 0.25)))
 	l.Error("x", "error", errors.New("a\nb"))
 	m := takeOldest()
 	if len(m) != 2 || m[0].ID != "withdrawal" || m[0].Priority != 4 || m[1].Priority != 3 || m[0].App != "vetchdoor" {
--- a/syslog/message_test.go
+++ b/syslog/message_test.go
@@ -18,10 +18,13 @@
 	for want, m := range map[string]Message{
 		"<34>1 2003-10-11T22:14:15.003000Z mymachine.example.com su - ID47 - 'su root' failed for lonvick on /dev/pts/8": {Facility: 4, Severity: Critical,
 			Time: at, Host: "mymachine.example.com", App: "su", MsgID: "ID47", Text: "'su root' failed for lonvick on /dev/pts/8"},
-		"<165>1 2003-08-24T05:14:15.000003-07:00 192.0.2.1 myproc 8710 - - %% It's time to make the do-nuts.": {Facility: 20, Severity: Notice,
-			Time: time.Date(2003, 8, 24, 5, 14, 15, 3000, time.FixedZone("", -7*3600)), Host: "192.0.2.1", App: "myproc", ProcID: "8710", Text: "%% It's time to make the do-nuts."},
+		"<165>1 2003-08-24T05:14:15.000003-07:00 192.0.2.1 myproc 8710 - - %% It's time to make the do-nuts.": {Facility: 20,
+			Severity: Notice,
+			Time:     time.Date(2003, 8, 24, 5, 14, 15, 3000, time.FixedZone("", -7*3600)), Host: "192.0.2.1", App: "myproc",
+			ProcID: "8710", Text: "%% It's time to make the do-nuts."},
 		`<165>1 2003-10-11T22:14:15.003000Z mymachine.example.com evntslog - ID47 [exampleSDID@32473 iut="3" eventSource="Application" eventID="1011"] An application event log entry...`: {
-			Facility: 20, Severity: Notice, Time: at, Host: "mymachine.example.com", App: "evntslog", MsgID: "ID47", StructuredData: []Element{event}, Text: "An application event log entry..."},
+			Facility: 20, Severity: Notice, Time: at, Host: "mymachine.example.com", App: "evntslog", MsgID: "ID47",
+			StructuredData: []Element{event}, Text: "An application event log entry..."},
 		`<165>1 2003-10-11T22:14:15.003000Z mymachine.example.com evntslog - ID47 [exampleSDID@32473 iut="3" eventSource="Application" eventID="1011"][examplePriority@32473 class="high"]`: {
 			Facility: 20, Severity: Notice, Time: at, Host: "mymachine.example.com", App: "evntslog", MsgID: "ID47",
 			StructuredData: []Element{event, {"examplePriority@32473", []Param{{"class", "high"}}}}},
@@ -39,7 +42,8 @@
 
 // hostileString returns a random string of pieces that tend to break parsers.
 func hostileString(rng *rand.Rand) string {
-	pieces := []string{"]", `"`, `\`, "\n", "\r", "\x00", "\xff", "\xc3", "a", "=", " ", "[", "ö", "🗳", "\ufeff", "x y", "-", "\u2028", strings.Repeat("long", 30)}
+	pieces := []string{"]", `"`, `\`, "\n", "\r", "\x00", "\xff", "\xc3", "a", "=", " ", "[", "ö", "🗳", "\ufeff", "x y", "-",
+		"\u2028", strings.Repeat("long", 30)}
 	var b strings.Builder
 	for range rng.IntN(6) {
 		b.WriteString(pieces[rng.IntN(len(pieces))])
@@ -51,7 +55,8 @@
 }
 
 func randomMessage(rng *rand.Rand) Message {
-	m := Message{Facility: Facility(rng.IntN(30)), Severity: Severity(rng.IntN(10)), Host: hostileString(rng), App: hostileString(rng), ProcID: hostileString(rng),
+	m := Message{Facility: Facility(rng.IntN(30)), Severity: Severity(rng.IntN(10)), Host: hostileString(rng),
+		App: hostileString(rng), ProcID: hostileString(rng),
 		MsgID: hostileString(rng), Text: hostileString(rng)}
 	if rng.IntN(4) > 0 {
 		m.Time = time.Unix(rng.Int64N(4e9), rng.Int64N(1e9)).In(time.FixedZone("", (rng.IntN(24*4)-48)*900))
@@ -109,7 +114,8 @@
 
 // A message over the size limit loses the end of its text first, then parameters from the end, and stays well-formed.
 func TestTruncation(t *testing.T) {
-	m := Message{Host: "h", StructuredData: []Element{{"a@1", []Param{{"x", strings.Repeat("v", 500)}, {"y", strings.Repeat("w", 500)}}}, {"b@1", []Param{{"z", "1"}}}},
+	m := Message{Host: "h", StructuredData: []Element{{"a@1", []Param{{"x", strings.Repeat("v", 500)}, {"y", strings.Repeat("w",
+		500)}}}, {"b@1", []Param{{"z", "1"}}}},
 		Text: strings.Repeat("ö", 400)}
 	for maxBytes := MinMessageBytes; maxBytes < 2000; maxBytes++ {
 		got, err := receiver.Parse(string(m.Append(nil, maxBytes)))
@@ -124,11 +130,16 @@
 
 // The strict parser that these tests rely on rejects everything outside the grammar of RFC 5424.
 func TestStrictParser(t *testing.T) {
-	for _, bad := range []string{"", "<192>1 - - - - - -", "<01>1 - - - - - -", "<1>2 - - - - - -", "<1>1 - - - - -", "<1>1 - - - - - [", "<1>1 - - - - - []",
-		`<1>1 - - - - - [a b="c]"]`, `<1>1 - - - - - [a b="c"`, `<1>1 - - - - - [a  b="c"]`, `<1>1 - - - - - [a b="c"]x`, `<1>1 - - - - - [a][a]`, "<1>1 - - - - - -x",
-		"<1>1 2003-10-11t22:14:15Z - - - - -", "<1>1 2003-10-11T22:14:15.0000001Z - - - - -", "<1>1 2003-10-11T22:14:15 - - - - -", "<1>1 2003-10-11T22:14:60Z - - - - -",
-		"<1>1 - " + strings.Repeat("h", 256) + " - - - -", "<1>1 - - " + strings.Repeat("a", 49) + " - - -", "<1>1 - - - - " + strings.Repeat("i", 33) + " -",
-		"<1>1 - - - - - - \xef\xbb\xbf\xff", "<1>1 - - - - - [" + strings.Repeat("n", 33) + "]", `<1>1 - - - - - [a b="` + "\xff" + `"]`, "<1111>1 - - - - - -"} {
+	for _, bad := range []string{"", "<192>1 - - - - - -", "<01>1 - - - - - -", "<1>2 - - - - - -", "<1>1 - - - - -",
+		"<1>1 - - - - - [", "<1>1 - - - - - []",
+		`<1>1 - - - - - [a b="c]"]`, `<1>1 - - - - - [a b="c"`, `<1>1 - - - - - [a  b="c"]`, `<1>1 - - - - - [a b="c"]x`,
+		`<1>1 - - - - - [a][a]`, "<1>1 - - - - - -x",
+		"<1>1 2003-10-11t22:14:15Z - - - - -", "<1>1 2003-10-11T22:14:15.0000001Z - - - - -", "<1>1 2003-10-11T22:14:15 - - - - -",
+		"<1>1 2003-10-11T22:14:60Z - - - - -",
+		"<1>1 - " + strings.Repeat("h", 256) + " - - - -", "<1>1 - - " + strings.Repeat("a", 49) + " - - -",
+		"<1>1 - - - - " + strings.Repeat("i", 33) + " -",
+		"<1>1 - - - - - - \xef\xbb\xbf\xff", "<1>1 - - - - - [" + strings.Repeat("n", 33) + "]",
+		`<1>1 - - - - - [a b="` + "\xff" + `"]`, "<1111>1 - - - - - -"} {
 		if m, err := receiver.Parse(bad); err == nil {
 			t.Errorf("%.80q was accepted: %+v", bad, m)
 		}
@@ -146,7 +157,8 @@
 func FuzzAppend(f *testing.F) {
 	f.Add("host", "id", "name", "value", "text", 700)
 	f.Fuzz(func(t *testing.T, host, id, name, value, text string, maxBytes int) {
-		m := Message{Host: host, App: name, ProcID: value, MsgID: id, StructuredData: []Element{{id, []Param{{name, value}, {value, text}}}, {name, nil}, {id, nil}}, Text: text}
+		m := Message{Host: host, App: name, ProcID: value, MsgID: id, StructuredData: []Element{{id, []Param{{name, value}, {value,
+			text}}}, {name, nil}, {id, nil}}, Text: text}
 		b := m.Append(nil, maxBytes)
 		if _, err := receiver.Parse(string(b)); err != nil || len(b) > max(maxBytes, MinMessageBytes) {
 			t.Fatalf("%d bytes of %d: %v\n%q", len(b), maxBytes, err, b)
--- a/syslog/sender_test.go
+++ b/syslog/sender_test.go
@@ -142,7 +142,10 @@
 func TestNoReceiver(t *testing.T) {
 	address := net.JoinHostPort(loopback.Host(), "6514") // nobody listens here yet
 	announced := make(chan [Debug + 1]uint64, 10)
-	s, err := Start(Config{Network: "tcp", Address: address, Buffer: 100}, discardLog, 1, func(d [Debug + 1]uint64, corrupt uint64) { announced <- d })
+	s, err := Start(Config{Network: "tcp", Address: address, Buffer: 100}, discardLog, 1, func(d [Debug + 1]uint64,
+		corrupt uint64) {
+		announced <- d
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -176,8 +179,9 @@
 // A receiver that stalls within a frame, reads one byte at a time, refuses connections or resets them does not block
 // logging. Once it works again every record that was not dropped is delivered at least once.
 func TestReceiverFaults(t *testing.T) {
-	for name, trouble := range map[string]receiver.Trouble{"stalls": {Stall: true}, "a byte at a time": {PerByte: 5 * time.Millisecond},
-		"refuses": {Refuse: true}, "cuts within a frame": {CutAt: 777}} {
+	for name, trouble := range map[string]receiver.Trouble{"stalls": {Stall: true},
+		"a byte at a time": {PerByte: 5 * time.Millisecond},
+		"refuses":          {Refuse: true}, "cuts within a frame": {CutAt: 777}} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			r := listen(t, "tcp", "127.0.0.1:0", nil)
@@ -324,7 +328,7 @@
 		s.Enqueue(Notice, numberedRecord(7, Notice))
 		waitFor(t, "connected", func() bool { return s.Counts().Connects > 0 })
 		r.Set(receiver.Trouble{})
-		for i := 8; ; i++ { // what the system buffered before it learnt of the reset is lost to the sender; the next write reports the reset
+		for i := 8; ; i++ { // records that the system buffered before the reset are lost; a later write fails
 			s.Enqueue(Notice, numberedRecord(i, Notice))
 			if got, _, _ := r.Got(); len(got) > 1 {
 				break
@@ -363,8 +367,9 @@
 
 func newCA(t *testing.T) *authority {
 	t.Helper()
-	der, key := certify(t, &x509.Certificate{SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: "test"}, NotBefore: time.Now().Add(-time.Hour),
-		NotAfter: time.Now().Add(time.Hour), IsCA: true, BasicConstraintsValid: true, KeyUsage: x509.KeyUsageCertSign}, nil, nil)
+	der, key := certify(t, &x509.Certificate{SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: "test"},
+		NotBefore: time.Now().Add(-time.Hour),
+		NotAfter:  time.Now().Add(time.Hour), IsCA: true, BasicConstraintsValid: true, KeyUsage: x509.KeyUsageCertSign}, nil, nil)
 	a := &authority{key: key, file: filepath.Join(t.TempDir(), "ca.pem")}
 	var err error
 	if a.cert, err = x509.ParseCertificate(der); err != nil {
@@ -378,8 +383,9 @@
 
 func (a *authority) server(t *testing.T, name string, lasts time.Duration) *tls.Config {
 	t.Helper()
-	der, key := certify(t, &x509.Certificate{SerialNumber: big.NewInt(2), DNSNames: []string{name}, NotBefore: time.Now().Add(-2 * time.Hour),
-		NotAfter: time.Now().Add(lasts)}, a.cert, a.key)
+	der, key := certify(t, &x509.Certificate{SerialNumber: big.NewInt(2), DNSNames: []string{name},
+		NotBefore: time.Now().Add(-2 * time.Hour),
+		NotAfter:  time.Now().Add(lasts)}, a.cert, a.key)
 	return &tls.Config{Certificates: []tls.Certificate{{Certificate: [][]byte{der}, PrivateKey: key}}}
 }
 
@@ -392,12 +398,14 @@
 	refused := func(conf *tls.Config) (*receiver.Receiver, *Sender) {
 		t.Helper()
 		r := listen(t, "tls", "127.0.0.1:0", conf)
-		s := startSender(t, Config{Network: "tls", Address: r.Address(), CA: ca.file, ServerName: "receiver.example", Timeout: 100 * time.Millisecond})
+		s := startSender(t, Config{Network: "tls", Address: r.Address(), CA: ca.file, ServerName: "receiver.example",
+			Timeout: 100 * time.Millisecond})
 		s.Enqueue(Error, numberedRecord(1, Error))
 		waitFor(t, "tried", func() bool { return s.Counts().Failures > 1 })
 		return r, s
 	}
-	for name, conf := range map[string]*tls.Config{"expired": ca.server(t, "receiver.example", -time.Hour), "another name": ca.server(t, "else.example", time.Hour),
+	for name, conf := range map[string]*tls.Config{"expired": ca.server(t, "receiver.example", -time.Hour),
+		"another name":      ca.server(t, "else.example", time.Hour),
 		"unknown authority": other.server(t, "receiver.example", time.Hour)} {
 		r, s := refused(conf)
 		if got, _, _ := r.Got(); len(got) != 0 || s.Counts().Sent != 0 {
@@ -418,7 +426,8 @@
 		t.Fatal(err)
 	}
 	waitFor(t, "reconnected after the files changed", func() bool { return s.Counts().Connects > before })
-	if _, err := Start(Config{Network: "tls", Address: r.Address(), CA: filepath.Join(t.TempDir(), "none")}, discardLog, 1, nil); err == nil {
+	if _, err := Start(Config{Network: "tls", Address: r.Address(), CA: filepath.Join(t.TempDir(), "none")}, discardLog, 1,
+		nil); err == nil {
 		t.Error("started without its certificate files")
 	}
 	if _, err := Start(Config{Network: "pigeon"}, discardLog, 1, nil); err == nil {
