--- a/pilot/moves.go
+++ b/pilot/moves.go
@@ -58,7 +58,7 @@
 		s.Close()
 		return err
 	}
-	w := tenancy.Waits{Most: f.MaxHold.AsDuration(), Abreast: f.MaxConcurrent}
+	w := tenancy.MoveLimits{Most: f.MaxHold.AsDuration(), Abreast: f.MaxConcurrent}
 	w.Write, w.Window = tenancy.Needs(p.facts.OpTypes, p.file.Service.WriteLifetime.AsDuration())
 	if w.Most <= 0 {
 		w.Most = 10 * (w.Write + w.Window)
