--- a/pilot/host/host.go
+++ b/pilot/host/host.go
@@ -30,13 +30,13 @@
 
 // Host runs a module. Its fields are set before Run.
 type Host struct {
-	Facts  control.Facts
-	Seed   uint64
-	Log    *slog.Logger
-	Silent time.Duration // the module counts as stuck after half of it
-	Stuck  func()        // nil, or called once then; nothing in this process can mend that
-	New    func() Decider
-	Front  Front
+	Facts   control.Facts
+	Seed    uint64
+	Log     *slog.Logger
+	Silent  time.Duration // the module counts as stuck after half of it
+	OnStuck func()        // nil, or called once then; nothing in this process can mend that
+	New     func() Decider
+	Front   Front
 
 	born     time.Time
 	inbox    chan func()
@@ -234,8 +234,8 @@
 		stacks := make([]byte, 64<<10)
 		stacks = stacks[:runtime.Stack(stacks, true)]
 		h.Log.Error("the module does not come back; this process must end", "for", h.Now()-since, "stacks", string(stacks))
-		if h.Stuck != nil {
-			h.Stuck()
+		if h.OnStuck != nil {
+			h.OnStuck()
 		}
 		return
 	}
