--- a/control/control.go
+++ b/control/control.go
@@ -104,7 +104,7 @@
 	MaxPushDelay         time.Duration // longest way of a message once it left the channel
 	KeepsShut            bool          // a proxy keeps what was withdrawn on an earlier stream until it is let in by name
 	ReportEvery          time.Duration
-	ReportLinesPerS      float64
+	ReportLinesPerSecond float64
 
 	Measures       []Measure // what a load report holds, in order
 	CrossZonePrice float64
--- a/pilot/pilot.go
+++ b/pilot/pilot.go
@@ -127,7 +127,7 @@
 		p.desired.budget.gap = p.facts.MessageCapWindow
 	}
 	p.channel = newChannel(p.facts.LinesPerSecond, float64(p.file.Channel.MaxWaitingLines))
-	p.intake = newIntake(p.facts.ReportLinesPerS, len(p.facts.Measures))
+	p.intake = newIntake(p.facts.ReportLinesPerSecond, len(p.facts.Measures))
 	p.intake.types = len(p.facts.OpTypes)
 	p.intake.known = func(id control.EndpointID) bool { _, ok := p.list[id]; return ok }
 	if p.uses, p.loads = nil, map[tenancy.PodID]*[2]float64{}; p.file.Tenants {
