--- a/control/control.go
+++ b/control/control.go
@@ -110,8 +110,8 @@
 	CrossZonePrice float64
 	ListedWeights  bool // the list's weights mean something
 
-	AcrossCells uint16 // op types, by bit, that every proxy may have to send to any server, whichever cell it is in
-	PackWrites  bool   // some ops go to one pack alone, and are refused while none of its servers is in use
+	CrossCellOpTypes uint16 // op types, by bit, that every proxy may have to send to any server, whichever cell it is in
+	PackWrites       bool   // some ops go to one pack alone, and are refused while none of its servers is in use
 
 	ColdFor    time.Duration
 	ColdShare  float64
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -249,8 +249,8 @@
 		}
 	}
 	a.tables = append(a.tables, &table{id: control.TableID(len(a.tables))})
-	if a.facts.AcrossCells != 0 && len(a.cells) > 1 {
-		a.wide, a.near = a.facts.AcrossCells, (1<<len(a.ops)-1)&^a.facts.AcrossCells
+	if a.facts.CrossCellOpTypes != 0 && len(a.cells) > 1 {
+		a.wide, a.near = a.facts.CrossCellOpTypes, (1<<len(a.ops)-1)&^a.facts.CrossCellOpTypes
 	}
 }
 
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -258,7 +258,7 @@
 		if key == "waiting" {
 			w.facts.MaxUnconfirmedLines = v
 		} else if key == "across" {
-			w.facts.AcrossCells = uint16(v)
+			w.facts.CrossCellOpTypes = uint16(v)
 		} else if key == "packs" {
 			w.facts.PackWrites = v > 0
 		} else if key == "shut" {
