--- a/files/files.go
+++ b/files/files.go
@@ -340,7 +340,7 @@
 		MessageCapWindow: c.MessageCapPeriod.AsDuration(), MaxPushDelay: c.MaxPushDelay.AsDuration(),
 		ReportEvery: s.ReportEvery.AsDuration(), ReportLinesPerSecond: c.ReportLinesPerSecond,
 		CrossZonePrice: s.CrossZonePrice, ListedWeights: true, WarmUpTime: l.ColdFor.AsDuration(),
-		ColdShare: l.ColdShare, DrainGrace: l.DrainGrace.AsDuration(), CrossCellOpTypes: s.typesAcrossCells(), PackWrites: s.writesToPack(),
+		ColdCapacityShare: l.ColdShare, DrainGrace: l.DrainGrace.AsDuration(), CrossCellOpTypes: s.typesAcrossCells(), PackWrites: s.writesToPack(),
 	}
 	for _, m := range s.Measures {
 		f.Measures = append(f.Measures, measureByName[m])
