--- a/control/control.go
+++ b/control/control.go
@@ -106,9 +106,9 @@
 	ReportEvery          time.Duration
 	ReportLinesPerSecond float64
 
-	Measures       []Measure // what a load report holds, in order
-	CrossZonePrice float64
-	ListedWeights  bool // the list's weights mean something
+	Measures         []Measure // what a load report holds, in order
+	CrossZonePrice   float64
+	UseListedWeights bool // the list's weights mean something
 
 	CrossCellOpTypes uint16 // op types, by bit, that every proxy may have to send to any server, whichever cell it is in
 	PackWrites       bool   // some ops go to one pack alone, and are refused while none of its servers is in use
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -293,7 +293,7 @@
 			a.listed = append(a.listed, e)
 		}
 		e.mode, e.weight, e.group = n.Mode, 1, [2]int{n.Zone, n.Pack}
-		if a.facts.ListedWeights && n.Weight > 0 && !math.IsInf(n.Weight, 0) {
+		if a.facts.UseListedWeights && n.Weight > 0 && !math.IsInf(n.Weight, 0) {
 			e.weight = n.Weight
 		}
 		if fresh || n.Started > e.started {
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -114,7 +114,7 @@
 		MessageOverheadLines: x.Envelope, LinesPerSecond: x.LinesPerS, MaxUnconfirmedLines: x.MostWaiting,
 		MessageCap: x.UpdateCap, MessageCapWindow: Span(x.MessagesOver),
 		MaxPushDelay: Span(x.TransitMax), ReportEvery: Span(x.Cycle), ReportLinesPerSecond: x.IntakePerS,
-		CrossZonePrice: o.Prices.CrossZone, ListedWeights: o.Weights != "off",
+		CrossZonePrice: o.Prices.CrossZone, UseListedWeights: o.Weights != "off",
 		WarmUpTime: Span(o.Rules.Cold), ColdCapacityShare: o.Rules.ColdShare, DrainGrace: Span(o.Rules.DrainGrace),
 	}
 	switch x.Admit {
