--- a/cmd/vetchdoor/platform.go
+++ b/cmd/vetchdoor/platform.go
@@ -20,7 +20,7 @@
 				return err
 			}
 			p := platform.New(g, slog.Default())
-			p.Stuck = func() { os.Exit(exitControllerStuck) }
+			p.OnStuck = func() { os.Exit(exitControllerStuck) }
 			if err := p.Start(); err != nil {
 				return err
 			}
