--- a/cmd/vetchdoor/daemons.go
+++ b/cmd/vetchdoor/daemons.go
@@ -52,7 +52,7 @@
 			return nil, err
 		}
 		p.Records, p.Info = l.records, l.info
-		p.Stuck = func() {
+		p.OnStuck = func() {
 			l.close()
 			os.Exit(exitControllerStuck)
 		}
--- a/pilot/fleet_test.go
+++ b/pilot/fleet_test.go
@@ -230,7 +230,7 @@
 	f := pilotFile("127.0.0.1:1")
 	f.SilenceTimeout = files.Duration(200 * time.Millisecond)
 	p, release, noticed = newPilot(t, f), make(hanging), make(chan time.Time, 1)
-	p.Stuck = func() { noticed <- time.Now() }
+	p.OnStuck = func() { noticed <- time.Now() }
 	return p, release, noticed
 }
 
--- a/pilot/lifecycle.go
+++ b/pilot/lifecycle.go
@@ -51,7 +51,7 @@
 	}
 	p.records = newRecorder(p.Records, p.file.Name, types, p.run, p.host.Now)
 	p.records.began(p.run, "start")
-	p.host.OnStuck = p.Stuck
+	p.host.OnStuck = p.OnStuck
 	p.host.Fresh()
 	if p.ln, err = stream.Listen(p.Net, p.file.Listen, p.accept); err != nil {
 		return err
--- a/pilot/pilot.go
+++ b/pilot/pilot.go
@@ -38,9 +38,9 @@
 	// Records, if not nil at Start, gets a record of each decision; it must not hold up who logs.
 	Records *slog.Logger
 
-	// Stuck, if not nil at Start, is called once when the module has not come back for half of the time after which proxies
+	// OnStuck, if not nil at Start, is called once when the module has not come back for half of the time after which proxies
 	// take the pilot for silent. Nothing in this process can mend that; the program ends, and a new one starts over.
-	Stuck func()
+	OnStuck func()
 
 	// Info, if not nil at Start, adds lines to show info.
 	Info func(io.Writer)
