--- a/files/files.go
+++ b/files/files.go
@@ -338,7 +338,7 @@
 		LinesPerSecond: c.LinesPerSecond, MaxUnconfirmedLines: float64(c.MaxWaitingLines - p.ReservedLines()),
 		MessageCap:       max(0, c.MessageCap-1), // one message is reserved for the pilot itself
 		MessageCapWindow: c.MessageCapPeriod.AsDuration(), MaxPushDelay: c.MaxPushDelay.AsDuration(),
-		ReportEvery: s.ReportEvery.AsDuration(), ReportLinesPerSecond: c.ReportLinesPerSecond,
+		ReportInterval: s.ReportEvery.AsDuration(), ReportLinesPerSecond: c.ReportLinesPerSecond,
 		CrossZonePrice: s.CrossZonePrice, UseListedWeights: true, WarmUpTime: l.ColdFor.AsDuration(),
 		ColdCapacityShare: l.ColdShare, DrainGrace: l.DrainGrace.AsDuration(), CrossCellOpTypes: s.typesAcrossCells(), PackWrites: s.writesToPack(),
 	}
