--- a/cmd/vetchdoor/platform.go
+++ b/cmd/vetchdoor/platform.go
@@ -45,7 +45,7 @@
 	if g.Limits.Cores <= 0 {
 		restoreProcessors(given)
 	}
-	g.Limits.Keep()
+	g.Limits.Apply()
 	slog.Info("keeps to its limits", "processors", runtime.GOMAXPROCS(0), "memory_mb", g.Limits.MemoryMB,
 		"sockets", g.Limits.Sockets, "collections", collections())
 	return g, nil
