--- a/control/control.go
+++ b/control/control.go
@@ -111,7 +111,7 @@
 	UseListedWeights bool // the list's weights mean something
 
 	CrossCellOpTypes uint16 // op types, by bit, that every proxy may have to send to any server, whichever cell it is in
-	PackWrites       bool   // some ops go to one pack alone, and are refused while none of its servers is in use
+	SinglePackWrites bool   // some ops go to one pack alone, and are refused while none of its servers is in use
 
 	WarmUpTime        time.Duration
 	ColdCapacityShare float64
--- a/files/files.go
+++ b/files/files.go
@@ -340,7 +340,7 @@
 		MessageCapWindow: c.MessageCapPeriod.AsDuration(), MaxPushDelay: c.MaxPushDelay.AsDuration(),
 		ReportInterval: s.ReportEvery.AsDuration(), ReportLinesPerSecond: c.ReportLinesPerSecond,
 		CrossZonePrice: s.CrossZonePrice, UseListedWeights: true, WarmUpTime: l.ColdFor.AsDuration(),
-		ColdCapacityShare: l.ColdShare, DrainGrace: l.DrainGrace.AsDuration(), CrossCellOpTypes: s.typesAcrossCells(), PackWrites: s.writesToPack(),
+		ColdCapacityShare: l.ColdShare, DrainGrace: l.DrainGrace.AsDuration(), CrossCellOpTypes: s.typesAcrossCells(), SinglePackWrites: s.writesToPack(),
 	}
 	for _, m := range s.Measures {
 		f.Measures = append(f.Measures, measureByName[m])
--- a/files/groups_test.go
+++ b/files/groups_test.go
@@ -19,7 +19,7 @@
 	if names := service.UnplaceableOpTypes(); !slices.Equal(names, []string{"by pack"}) {
 		t.Errorf("without packs the unplaceable op types are %q", names)
 	}
-	if pilot := (&files.Pilot{Service: *service}); !pilot.ControlConfig().PackWrites {
+	if pilot := (&files.Pilot{Service: *service}); !pilot.ControlConfig().SinglePackWrites {
 		t.Error("the controller is not told that writes go to one pack")
 	}
 	service.WritePacks = map[string][]int{"a": {1}}
@@ -27,7 +27,7 @@
 		t.Errorf("with packs the unplaceable op types are %q", names)
 	}
 	service.OpTypes = service.OpTypes[1:]
-	if pilot := (&files.Pilot{Service: *service}); pilot.ControlConfig().PackWrites {
+	if pilot := (&files.Pilot{Service: *service}); pilot.ControlConfig().SinglePackWrites {
 		t.Error("the controller is told that writes go to one pack, but none do")
 	}
 }
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -473,7 +473,7 @@
 		limit := rest + sickMargin*(1+unsure*leastTries/e.tries)
 		other := func(o *endpoint) bool { return o != e && o.group == e.group && o.usable() }
 		if share > limit && (calmer || silent) && (few || share > lost && a.stands(e.cell)) &&
-			(!a.facts.PackWrites || slices.ContainsFunc(a.listed, other)) { // else its pack's writes are refused
+			(!a.facts.SinglePackWrites || slices.ContainsFunc(a.listed, other)) { // else its pack's writes are refused
 			e.sickFor = time.Duration((1 + a.chance()) * float64(a.lag()<<min(e.spells, settledLags)))
 			e.sick, e.turnAt, e.spells = true, a.now, e.spells+1
 			e.why = control.Why{Reason: control.Sick, Value: share, Limit: limit}
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -260,7 +260,7 @@
 		} else if key == "across" {
 			w.facts.CrossCellOpTypes = uint16(v)
 		} else if key == "packs" {
-			w.facts.PackWrites = v > 0
+			w.facts.SinglePackWrites = v > 0
 		} else if key == "shut" {
 			w.facts.KeepsShut = v > 0
 		} else if count == nil {
