--- a/files/files.go
+++ b/files/files.go
@@ -334,7 +334,7 @@
 	f := control.Facts{
 		Instance: p.Instance, Instances: max(1, p.Instances), Zone: s.ZoneIndex(p.Zone), Zones: len(s.Zones),
 		OpTypes: s.Types(), Tick: p.Tick.AsDuration(), Levels: control.LevelShare,
-		OutlierAfter: s.OutlierAfter, StandingTableLines: s.Bootstrap, Proxies: p.Proxies, MessageOverheadLines: float64(c.MessageLines),
+		AvoidAfterFailures: s.OutlierAfter, StandingTableLines: s.Bootstrap, Proxies: p.Proxies, MessageOverheadLines: float64(c.MessageLines),
 		LinesPerSecond: c.LinesPerSecond, MaxUnconfirmedLines: float64(c.MaxWaitingLines - p.ReservedLines()),
 		MessageCap:       max(0, c.MessageCap-1), // one message is reserved for the pilot itself
 		MessageCapWindow: c.MessageCapPeriod.AsDuration(), MaxPushDelay: c.MaxPushDelay.AsDuration(),
