--- a/cmd/vetchdoor/soak_test.go
+++ b/cmd/vetchdoor/soak_test.go
@@ -161,7 +161,7 @@
 // checkChannels checks the queue of each pilot that responds (rule 5), also while parts restart.
 func (s *soak) checkChannels() {
 	for _, p := range s.pilots {
-		info, err := session.Ask("unix:"+filepath.Join(s.dir, p.name+".sock"), "show info", time.Second)
+		info, err := session.Query("unix:"+filepath.Join(s.dir, p.name+".sock"), "show info", time.Second)
 		if err != nil {
 			continue // the pilot is restarting
 		}
