--- a/files/files.go
+++ b/files/files.go
@@ -308,7 +308,7 @@
 		"once-only": control.OnceOnly}
 	groupByName = map[string]control.Group{"": control.GroupAll, "all": control.GroupAll, "zone": control.GroupZone,
 		"pack": control.GroupPack}
-	retryPolicyByName = map[string]control.Again{"": control.Never, "never": control.Never, "if-unrun": control.IfUnrun,
+	retryPolicyByName = map[string]control.RetryPolicy{"": control.Never, "never": control.Never, "if-unrun": control.IfUnrun,
 		"once": control.OnceMore, "twice": control.TwiceMore}
 	measureByName = map[string]control.Measure{"cpu_utilization": control.Util, "inflight": control.Inflight,
 		"queue": control.Queue, "latency_ms": control.Latency, "rps_fractional": control.Rate, "eps": control.ErrorRate}
@@ -326,7 +326,9 @@
 }
 
 // DefaultRetryPolicy returns the retry policy of op types whose level does not include one.
-func (s *Service) DefaultRetryPolicy() control.Again { return retryPolicyByName[s.DefaultRetries] }
+func (s *Service) DefaultRetryPolicy() control.RetryPolicy {
+	return retryPolicyByName[s.DefaultRetries]
+}
 
 // ControlConfig returns the configuration of the controller, the part of a pilot that makes the decisions.
 func (p *Pilot) ControlConfig() control.Facts {
