--- a/lab/orders_test.go
+++ b/lab/orders_test.go
@@ -261,7 +261,7 @@
 // load has ops come to each proxy from now on.
 func (f *tiny) load(span time.Duration) {
 	f.ops = &source{day: f.day, ledger: f.ledger, types: f.day.Service.Types(), rng: rand.New(rand.NewPCG(1, 3)),
-		pool: &upstream.Pool{PerServer: 64, IdleClose: 5 * time.Second, Bounds: http1.Usual, Net: f.net}}
+		pool: &upstream.Pool{PerServer: 64, IdleTimeout: 5 * time.Second, Bounds: http1.Usual, Net: f.net}}
 	for i := range f.proxies {
 		f.ops.targets = append(f.ops.targets, fmt.Sprintf("10.0.1.%d:80", i+1))
 	}
--- a/lab/run.go
+++ b/lab/run.go
@@ -58,7 +58,7 @@
 	}
 	f.plan()
 	s := &source{day: day, ledger: f.ledger, large: true, types: day.Service.Types(), rng: rand.New(rand.NewPCG(day.Seed, 3)),
-		pool: &upstream.Pool{PerServer: 4096, IdleClose: 5 * time.Second, Bounds: http1.Usual}}
+		pool: &upstream.Pool{PerServer: 4096, IdleTimeout: 5 * time.Second, Bounds: http1.Usual}}
 	defer s.pool.Close()
 	for _, at := range f.proxies {
 		s.targets = append(s.targets, at.address)
