--- a/proxy/proxy_test.go
+++ b/proxy/proxy_test.go
@@ -211,7 +211,7 @@
 		after time.Duration
 		want  bool
 	}{
-		{"never", free, false, true, control.Never, 1, 0, false},
+		{"never", free, false, true, control.RetryNever, 1, 0, false},
 		{"unrun", once, false, true, control.IfUnrun, 1, 0, true},
 		{"unrun, by a wider order", once, false, true, control.TwiceMore, 1, 0, true},
 		{"may have run", once, true, false, control.TwiceMore, 1, 0, false},
--- a/runtime/parse_change.go
+++ b/runtime/parse_change.go
@@ -117,7 +117,7 @@
 		}
 	}
 	w.fail("%q is no way of trying again", word)
-	return control.Never
+	return control.RetryNever
 }
 
 func (w *wordReader) setTenant(c *Change) {
