--- a/control/control.go
+++ b/control/control.go
@@ -61,10 +61,10 @@
 type RetryPolicy int
 
 const (
-	RetryNever RetryPolicy = iota
-	IfUnrun                // once, after proof that the first try never ran
-	OnceMore               // once after any failure
-	TwiceMore              // twice after any failure
+	RetryNever   RetryPolicy = iota
+	RetryIfUnrun             // once, after proof that the first try never ran
+	OnceMore                 // once after any failure
+	TwiceMore                // twice after any failure
 )
 
 // Measure is one value of a load report.
--- a/files/files.go
+++ b/files/files.go
@@ -308,7 +308,7 @@
 		"once-only": control.OnceOnly}
 	groupByName = map[string]control.Group{"": control.GroupAll, "all": control.GroupAll, "zone": control.GroupZone,
 		"pack": control.GroupPack}
-	retryPolicyByName = map[string]control.RetryPolicy{"": control.RetryNever, "never": control.RetryNever, "if-unrun": control.IfUnrun,
+	retryPolicyByName = map[string]control.RetryPolicy{"": control.RetryNever, "never": control.RetryNever, "if-unrun": control.RetryIfUnrun,
 		"once": control.OnceMore, "twice": control.TwiceMore}
 	measureByName = map[string]control.Measure{"cpu_utilization": control.Util, "inflight": control.Inflight,
 		"queue": control.Queue, "latency_ms": control.Latency, "rps_fractional": control.Rate, "eps": control.ErrorRate}
--- a/proxy/again.go
+++ b/proxy/again.go
@@ -33,7 +33,7 @@
 // most tries that an order allows, the first among them.
 func most(again control.RetryPolicy) int {
 	switch again {
-	case control.IfUnrun, control.OnceMore:
+	case control.RetryIfUnrun, control.OnceMore:
 		return 2
 	case control.TwiceMore:
 		return 3
@@ -49,7 +49,7 @@
 	if len(t.ran) == 0 {
 		return true
 	}
-	if again == control.IfUnrun || t.opType.Repeat == control.OnceOnly {
+	if again == control.RetryIfUnrun || t.opType.Repeat == control.OnceOnly {
 		return false
 	}
 	return t.opType.Repeat == control.Retryable || t.keyed
--- a/proxy/proxy_test.go
+++ b/proxy/proxy_test.go
@@ -147,7 +147,7 @@
 		}
 	}
 	if len(x.byType[0].lines) != 1 || x.byType[1] != x.standing || x.level(0, 0) != (level{0.5, control.OnceMore}) ||
-		x.level(1, 0) != (level{0.5, control.IfUnrun}) {
+		x.level(1, 0) != (level{0.5, control.RetryIfUnrun}) {
 		t.Fatalf("%+v %+v", x.level(0, 0), x.level(1, 0))
 	}
 	m := message(1, "clear table t0", lineOf(2, 1), "set map op-types 1 t0")
@@ -212,10 +212,10 @@
 		want  bool
 	}{
 		{"never", free, false, true, control.RetryNever, 1, 0, false},
-		{"unrun", once, false, true, control.IfUnrun, 1, 0, true},
+		{"unrun", once, false, true, control.RetryIfUnrun, 1, 0, true},
 		{"unrun, by a wider order", once, false, true, control.TwiceMore, 1, 0, true},
 		{"may have run", once, true, false, control.TwiceMore, 1, 0, false},
-		{"retryable, only if unrun", free, false, false, control.IfUnrun, 1, 0, false},
+		{"retryable, only if unrun", free, false, false, control.RetryIfUnrun, 1, 0, false},
 		{"retryable", free, false, false, control.OnceMore, 1, time.Hour, true},
 		{"in its group", dedup, true, false, control.OnceMore, 2, 0, true},
 		{"without a key", dedup, false, false, control.OnceMore, 2, 0, false},
