--- a/cmd/vetchdoor/daemons.go
+++ b/cmd/vetchdoor/daemons.go
@@ -76,7 +76,7 @@
 		}
 		p, err := proxy.New(&f, l.combined)
 		if err == nil {
-			p.More = l.info
+			p.ExtraInfo = l.info
 			err = p.Start()
 		}
 		if err != nil {
--- a/proxy/admin.go
+++ b/proxy/admin.go
@@ -59,8 +59,8 @@
 	fmt.Fprintf(w, "Ops: %d\nAcked: %d\nRejected: %d\nAborted: %d\nRetried: %d\nConnections: %d\nApplied: %d\nApplied_again: %d\n", p.tally.ops.Load(),
 		p.tally.acked.Load(), p.tally.rejected.Load(), p.tally.aborted.Load(), p.tally.retried.Load(), p.pool.OpenConnections(),
 		p.tally.applied.Load(), p.tally.again.Load())
-	if p.More != nil {
-		p.More(w)
+	if p.ExtraInfo != nil {
+		p.ExtraInfo(w)
 	}
 	fmt.Fprintf(w, "Held: %d\nBorrowed: %d\nUnplaced: %d\nBindings: %d\nBindings_behind: %t\n", p.tally.held.Load(), p.tally.borrowed.Load(),
 		p.tally.unplaced.Load(), len(t.bindings.of), p.keeper.behind())
--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -55,8 +55,8 @@
 	groups   *writeGroups
 	keeper   *keeper // of bindings; nil: they are not kept
 
-	// More, if not nil at Start, adds lines to show info.
-	More func(io.Writer)
+	// ExtraInfo, if not nil at Start, adds lines to show info.
+	ExtraInfo func(io.Writer)
 
 	// Net, if not nil at Start, is what connections to clients, servers and pilots run over; else sockets.
 	Net stream.Net
