--- a/control/control.go
+++ b/control/control.go
@@ -64,7 +64,7 @@
 	RetryNever   RetryPolicy = iota
 	RetryIfUnrun             // once, after proof that the first try never ran
 	RetryOnce                // once after any failure
-	TwiceMore                // twice after any failure
+	RetryTwice               // twice after any failure
 )
 
 // Measure is one value of a load report.
--- a/files/files.go
+++ b/files/files.go
@@ -309,7 +309,7 @@
 	groupByName = map[string]control.Group{"": control.GroupAll, "all": control.GroupAll, "zone": control.GroupZone,
 		"pack": control.GroupPack}
 	retryPolicyByName = map[string]control.RetryPolicy{"": control.RetryNever, "never": control.RetryNever, "if-unrun": control.RetryIfUnrun,
-		"once": control.RetryOnce, "twice": control.TwiceMore}
+		"once": control.RetryOnce, "twice": control.RetryTwice}
 	measureByName = map[string]control.Measure{"cpu_utilization": control.Util, "inflight": control.Inflight,
 		"queue": control.Queue, "latency_ms": control.Latency, "rps_fractional": control.Rate, "eps": control.ErrorRate}
 )
--- a/proxy/again.go
+++ b/proxy/again.go
@@ -35,7 +35,7 @@
 	switch again {
 	case control.RetryIfUnrun, control.RetryOnce:
 		return 2
-	case control.TwiceMore:
+	case control.RetryTwice:
 		return 3
 	}
 	return 1
--- a/proxy/proxy_test.go
+++ b/proxy/proxy_test.go
@@ -213,8 +213,8 @@
 	}{
 		{"never", free, false, true, control.RetryNever, 1, 0, false},
 		{"unrun", once, false, true, control.RetryIfUnrun, 1, 0, true},
-		{"unrun, by a wider order", once, false, true, control.TwiceMore, 1, 0, true},
-		{"may have run", once, true, false, control.TwiceMore, 1, 0, false},
+		{"unrun, by a wider order", once, false, true, control.RetryTwice, 1, 0, true},
+		{"may have run", once, true, false, control.RetryTwice, 1, 0, false},
 		{"retryable, only if unrun", free, false, false, control.RetryIfUnrun, 1, 0, false},
 		{"retryable", free, false, false, control.RetryOnce, 1, time.Hour, true},
 		{"in its group", dedup, true, false, control.RetryOnce, 2, 0, true},
@@ -235,7 +235,7 @@
 	for i := range 3 {
 		x.sent()
 		x.failedAt(s.byID[0], t0, false)
-		if x.may(control.TwiceMore) != (i < 2) || i > 0 && x.may(control.RetryOnce) {
+		if x.may(control.RetryTwice) != (i < 2) || i > 0 && x.may(control.RetryOnce) {
 			t.Errorf("after %d tries", i+1)
 		}
 	}
--- a/runtime/change.go
+++ b/runtime/change.go
@@ -57,7 +57,7 @@
 }
 
 var agains = [...]string{control.RetryNever: "never", control.RetryIfUnrun: "if-unrun", control.RetryOnce: "once",
-	control.TwiceMore: "twice"}
+	control.RetryTwice: "twice"}
 
 // LimitOf is the change that says a tenant's limit.
 func LimitOf(l tenancy.Limit) Change {
--- a/runtime/runtime_test.go
+++ b/runtime/runtime_test.go
@@ -97,7 +97,7 @@
 		{Verb: SetMap, Table: 65534, OpTypes: 1<<15 | 5},
 		{Verb: ClearTable, Table: 0},
 		{Verb: SetLevel, Table: control.Everywhere, OpTypes: 2, Level: 0.86, Again: control.RetryIfUnrun},
-		{Verb: SetLevel, Table: 9, Level: 0, Again: control.TwiceMore},
+		{Verb: SetLevel, Table: 9, Level: 0, Again: control.RetryTwice},
 		{Verb: SetTenant, Tenant: "a b;", Rate: -1, Tries: 0.2, Hand: -1, Room: 1},
 		{Verb: SetTenant, Tenant: "", Rate: 0.5, Fenced: true, Hand: 2.5, Room: 1.5},
 		{Verb: SetBinding, Tenant: "a <<", Number: 1 << 63, Seat: tenancy.Seat{Draw: 3, Size: 2, Pods: []tenancy.PodID{1<<16 | 7, 9}}, Held: true},
