--- a/pilot/moves.go
+++ b/pilot/moves.go
@@ -437,7 +437,7 @@
 	moving, waiting := p.mover.Moving(p.host.Now())
 	fmt.Fprintln(w, "# tenant,phase,from,to,held_ms,left_ms,awaited,away,")
 	for _, m := range moving {
-		fmt.Fprintf(w, "%s,%s,%s,%s,%d,%d,%s,%s,\n", runtime.Quote("="+m.Tenant), m.Phase, m.Seat, m.To, m.Held.Milliseconds(), m.Left.Milliseconds(),
+		fmt.Fprintf(w, "%s,%s,%s,%s,%d,%d,%s,%s,\n", runtime.Quote("="+m.Tenant), m.Phase, m.Seat, m.To, m.Held.Milliseconds(), m.Remaining.Milliseconds(),
 			someIDs(m.Awaited), someIDs(m.Away))
 	}
 	joined, away := p.mover.Known()
--- a/tenancy/move_test.go
+++ b/tenancy/move_test.go
@@ -378,7 +378,7 @@
 	if d = m.Step(now); len(d.Ended) != 0 || d.Wake != tick {
 		t.Errorf("%+v", d)
 	}
-	if moving, _ := m.Moving(now); !slices.Equal(moving[0].Awaited, []ProxyID{2}) || moving[0].Left != tick || moving[0].Phase != Holding {
+	if moving, _ := m.Moving(now); !slices.Equal(moving[0].Awaited, []ProxyID{2}) || moving[0].Remaining != tick || moving[0].Phase != Holding {
 		t.Errorf("%+v", moving)
 	}
 	now = 10 * tick
