--- a/control/control.go
+++ b/control/control.go
@@ -154,8 +154,8 @@
 type (
 	// Start is the first event of an instance.
 	Start struct {
-		Facts Facts
-		Seed  uint64
+		Config Facts
+		Seed   uint64
 	}
 	Listing struct {
 		Kind    ListKind
--- a/pilot/host/host.go
+++ b/pilot/host/host.go
@@ -161,7 +161,7 @@
 func (h *Host) Fresh() {
 	h.module = h.NewDecider()
 	h.run++
-	h.events = append([]control.Event{control.Start{Facts: h.Facts, Seed: h.Seed}}, h.Front.Begin()...)
+	h.events = append([]control.Event{control.Start{Config: h.Facts, Seed: h.Seed}}, h.Front.Begin()...)
 	h.Seed++
 	if h.batch != nil {
 		h.batch.Reset(h.Facts.Tick)
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -214,7 +214,7 @@
 }
 
 func (a *Assigner) start(s control.Start) {
-	*a = Assigner{facts: s.Facts, now: a.now, carry: s.Seed>>1 | 1, admitted: 1, lagged: 1, trim: 1,
+	*a = Assigner{facts: s.Config, now: a.now, carry: s.Seed>>1 | 1, admitted: 1, lagged: 1, trim: 1,
 		wroteAt: control.LongAgo, endpoints: map[control.EndpointID]*endpoint{},
 		proxies: map[control.ProxyID]*proxy{}}
 	a.facts.ReportInterval = max(a.facts.ReportInterval, a.facts.Tick, 100*time.Millisecond)
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -88,7 +88,7 @@
 	w.bound, w.waits = map[control.ProxyID][]control.TableID{}, map[control.ProxyID]float64{}
 	w.lines, w.out = map[control.TableID]map[control.EndpointID]float64{}, map[control.EndpointID]bool{}
 	w.levels = make([]control.SetLevel, len(w.facts.OpTypes))
-	w.turn(control.Start{Facts: w.facts, Seed: 7})
+	w.turn(control.Start{Config: w.facts, Seed: 7})
 }
 
 // turn hands events over and plays the orders on what the proxies hold.
