--- a/adapter/serve.go
+++ b/adapter/serve.go
@@ -123,7 +123,7 @@
 		}
 		in = &instance{assigner: &policy.Assigner{}, born: clock}
 		h.instances[who] = in
-		event = control.Start{Config: start.Facts, Seed: seed}
+		event = control.Start{Config: start.Config, Seed: seed}
 	case evKilled:
 		delete(h.instances, who)
 	case evDirectoryUpdate:
--- a/control/control.go
+++ b/control/control.go
@@ -80,8 +80,8 @@
 	ErrorRate            // errors a second
 )
 
-// Facts are what an instance is told when it starts.
-type Facts struct {
+// Config are what an instance is told when it starts.
+type Config struct {
 	Instance, Instances int
 	Zone, Zones         int
 	OpTypes             []OpType
@@ -154,7 +154,7 @@
 type (
 	// Start is the first event of an instance.
 	Start struct {
-		Config Facts
+		Config Config
 		Seed   uint64
 	}
 	Listing struct {
--- a/files/files.go
+++ b/files/files.go
@@ -331,9 +331,9 @@
 }
 
 // ControlConfig returns the configuration of the controller, the part of a pilot that makes the decisions.
-func (p *Pilot) ControlConfig() control.Facts {
+func (p *Pilot) ControlConfig() control.Config {
 	s, l, c := &p.Service, &p.Limits, &p.Channel
-	f := control.Facts{
+	f := control.Config{
 		Instance: p.Instance, Instances: max(1, p.Instances), Zone: s.ZoneIndex(p.Zone), Zones: len(s.Zones),
 		OpTypes: s.Types(), Tick: p.Tick.AsDuration(), Levels: control.LevelShare,
 		AvoidAfterFailures: s.OutlierAfter, StandingTableLines: s.Bootstrap, Proxies: p.Proxies, MessageOverheadLines: float64(c.MessageLines),
--- a/pilot/host/host.go
+++ b/pilot/host/host.go
@@ -30,7 +30,7 @@
 
 // Host runs a module. Its fields are set before Run.
 type Host struct {
-	Facts      control.Facts
+	Facts      control.Config
 	Seed       uint64
 	Log        *slog.Logger
 	Silent     time.Duration // the module counts as stuck after half of it
@@ -57,7 +57,7 @@
 }
 
 // New makes a host; its time begins now.
-func New(f control.Facts, seed uint64, log *slog.Logger) *Host {
+func New(f control.Config, seed uint64, log *slog.Logger) *Host {
 	if f.Tick <= 0 {
 		f.Tick = 5 * time.Millisecond
 	}
--- a/pilot/host/host_test.go
+++ b/pilot/host/host_test.go
@@ -79,7 +79,7 @@
 
 func begin(t *testing.T) *script {
 	s := &script{}
-	s.host = New(control.Facts{Tick: time.Millisecond}, 7, slog.New(slog.DiscardHandler))
+	s.host = New(control.Config{Tick: time.Millisecond}, 7, slog.New(slog.DiscardHandler))
 	s.host.Front, s.host.NewDecider = s, func() Decider { return s }
 	s.next = []control.Order{control.Wake{After: time.Millisecond, Label: 5}, control.Note{Text: "x"}}
 	go s.host.Run()
@@ -140,7 +140,7 @@
 
 // A loop that never ran is stopped without waiting for it, twice, and does not run after that.
 func TestStopWithoutRun(t *testing.T) {
-	h := New(control.Facts{}, 1, slog.New(slog.DiscardHandler))
+	h := New(control.Config{}, 1, slog.New(slog.DiscardHandler))
 	h.Stop()
 	h.Stop()
 	h.Run()
--- a/pilot/pilot.go
+++ b/pilot/pilot.go
@@ -32,7 +32,7 @@
 type Pilot struct {
 	file  *files.Pilot
 	log   *slog.Logger
-	facts control.Facts
+	facts control.Config
 	host  *host.Host
 
 	// Records, if not nil at Start, gets a record of each decision; it must not hold up who logs.
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -129,7 +129,7 @@
 
 // Assigner is one instance; its first event is its start.
 type Assigner struct {
-	facts                   control.Facts
+	facts                   control.Config
 	now, window             time.Duration // window: what sums span
 	carry                   uint64        // of the generator
 	endpoints               map[control.EndpointID]*endpoint
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -36,7 +36,7 @@
 type world struct {
 	t         *testing.T
 	line      string
-	facts     control.Facts
+	facts     control.Config
 	asg       *policy.Assigner
 	now       time.Duration
 	wakes     []time.Duration
@@ -72,7 +72,7 @@
 func newWorld(t *testing.T) *world {
 	return &world{t: t, entries: map[control.EndpointID]control.Entry{}, confirmed: true,
 		zones: map[control.ProxyID]int{}, hears: map[control.EndpointID][3]float64{},
-		asks: map[control.ProxyID]float64{}, facts: control.Facts{
+		asks: map[control.ProxyID]float64{}, facts: control.Config{
 			Zones: 2, Proxies: 4, Instances: 1, Levels: control.LevelShare, ReportInterval: time.Second, MaxPushDelay: time.Second / 2,
 			LinesPerSecond: 2000, MaxUnconfirmedLines: 4000, MessageCapWindow: 10 * time.Second, MessageOverheadLines: 5, UseListedWeights: true,
 			Measures: []control.Measure{control.Util}, CrossZonePrice: 0.08, WarmUpTime: 16 * time.Second,
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -13,7 +13,7 @@
 
 // Settings is what an instance is told, and the names that the settings give to what it knows by number.
 type Settings struct {
-	control.Facts
+	control.Config
 	Zones    []string
 	Machines []string
 	OpTypes  []string
@@ -107,7 +107,7 @@
 	}
 	x := &o.Extra
 	f := &Settings{Zones: o.Zones, Machines: o.Machines, Probes: o.Limits.Probes}
-	f.Facts = control.Facts{
+	f.Config = control.Config{
 		Instance: o.Me, Instances: o.Peers, Zone: o.Zone, Zones: len(o.Zones),
 		AskForList: o.Registry == "ask", Tick: Milliseconds(o.Tick),
 		Slices: x.Shards, AvoidAfterFailures: x.OutlierAfter, StandingTableLines: x.Bootstrap, Proxies: x.ProxyCount,
@@ -125,7 +125,7 @@
 	}
 	if o.Report.How == "inline" || o.Report.How == "on_probe" {
 		for _, name := range o.Report.Names {
-			f.Facts.Measures = append(f.Facts.Measures, measures[name])
+			f.Config.Measures = append(f.Config.Measures, measures[name])
 			f.Measures = append(f.Measures, name)
 		}
 	}
@@ -147,7 +147,7 @@
 		case "zone":
 			t.Group = control.GroupZone
 		}
-		f.Facts.OpTypes = append(f.Facts.OpTypes, t)
+		f.Config.OpTypes = append(f.Config.OpTypes, t)
 		f.OpTypes = append(f.OpTypes, g.Name)
 	}
 	return f, nil
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -14,7 +14,7 @@
 
 func TestUnknownRepeatsAllowLeast(t *testing.T) {
 	f, err := Read([]byte(settings))
-	if err != nil || f.Facts.OpTypes[0].Repeat != control.OnceOnly || f.Facts.OpTypes[0].Group != control.GroupPack {
+	if err != nil || f.Config.OpTypes[0].Repeat != control.OnceOnly || f.Config.OpTypes[0].Group != control.GroupPack {
 		t.Fatalf("%+v, %v", f, err)
 	}
 }
@@ -27,12 +27,12 @@
 	if f.Tick != 5*time.Millisecond || f.WarmUpTime != 9*time.Second || f.ReportInterval != time.Second {
 		t.Errorf("%v, %v, %v", f.Tick, f.WarmUpTime, f.ReportInterval)
 	}
-	if !slices.Equal(f.Zones, []string{"a", "b"}) || f.Facts.Zones != 2 || !slices.Equal(f.OpTypes, []string{"read"}) {
-		t.Errorf("%v, %d, %v", f.Zones, f.Facts.Zones, f.OpTypes)
+	if !slices.Equal(f.Zones, []string{"a", "b"}) || f.Config.Zones != 2 || !slices.Equal(f.OpTypes, []string{"read"}) {
+		t.Errorf("%v, %d, %v", f.Zones, f.Config.Zones, f.OpTypes)
 	}
 	if !f.Probes || !slices.Equal(f.Machines, []string{"m"}) || !slices.Equal(f.Measures, []string{"util", "odd"}) ||
-		!slices.Equal(f.Facts.Measures, []control.Measure{control.Util, control.OtherMeasure}) {
-		t.Errorf("%v, %v, %v, %v", f.Probes, f.Machines, f.Measures, f.Facts.Measures)
+		!slices.Equal(f.Config.Measures, []control.Measure{control.Util, control.OtherMeasure}) {
+		t.Errorf("%v, %v, %v, %v", f.Probes, f.Machines, f.Measures, f.Config.Measures)
 	}
 }
 
