--- a/pilot/session.go
+++ b/pilot/session.go
@@ -149,6 +149,6 @@
 // away tells the mover that a proxy cannot be told anything now.
 func (p *Pilot) away(id control.ProxyID) {
 	if p.mover != nil {
-		p.mover.Left(tenancy.ProxyID(id))
+		p.mover.ProxyLeft(tenancy.ProxyID(id))
 	}
 }
--- a/tenancy/move.go
+++ b/tenancy/move.go
@@ -222,8 +222,8 @@
 	return joined, away
 }
 
-// Left says that a proxy's stream is down; what it was told it keeps.
-func (m *Mover) Left(p ProxyID) {
+// ProxyLeft says that a proxy's stream is down; what it was told it keeps.
+func (m *Mover) ProxyLeft(p ProxyID) {
 	if m.proxies[p] {
 		m.proxies[p] = false
 	}
--- a/tenancy/move_test.go
+++ b/tenancy/move_test.go
@@ -141,7 +141,7 @@
 		if p.joined = !p.joined; p.joined {
 			w.step(Event{Joined: &Joined{Proxy: id, Has: p.has}})
 		} else {
-			w.m.Left(id)
+			w.m.ProxyLeft(id)
 		}
 	case 11:
 		switch w.rng.IntN(8) {
@@ -164,7 +164,7 @@
 	case 12: // a proxy starts anew with what it kept on disk
 		if w.rng.IntN(4) == 0 {
 			p.Binding, p.joined, p.orders, p.answers = p.Kept(w.now), false, nil, nil
-			w.m.Left(id)
+			w.m.ProxyLeft(id)
 		}
 	case 13, 14: // time passes; no try stays in hand longer than a write does
 		w.now += tick / 2
