--- a/proxy/bindings.go
+++ b/proxy/bindings.go
@@ -145,7 +145,7 @@
 		}
 		switch {
 		case l.Tenant != nil && l.Binding != nil:
-			b.of[*l.Tenant] = l.Binding.Kept(now)
+			b.of[*l.Tenant] = l.Binding.AfterRestart(now)
 		case l.Tenant != nil:
 			delete(b.of, *l.Tenant)
 		default:
--- a/tenancy/move_test.go
+++ b/tenancy/move_test.go
@@ -163,7 +163,7 @@
 		}
 	case 12: // a proxy starts anew with what it kept on disk
 		if w.rng.IntN(4) == 0 {
-			p.Binding, p.joined, p.orders, p.answers = p.Kept(w.now), false, nil, nil
+			p.Binding, p.joined, p.orders, p.answers = p.AfterRestart(w.now), false, nil, nil
 			w.m.ProxyLeft(id)
 		}
 	case 13, 14: // time passes; no try stays in hand longer than a write does
@@ -304,7 +304,7 @@
 				}
 			case 4:
 				if rng.IntN(10) == 0 {
-					b = b.Kept(w.now)
+					b = b.AfterRestart(w.now)
 				}
 			case 5:
 				w.now += tick / 2
--- a/tenancy/seat.go
+++ b/tenancy/seat.go
@@ -118,8 +118,8 @@
 // Bound is a binding that was never ordered: the tenant is where its name draws it.
 func Bound() Binding { return Binding{open: true} }
 
-// Kept is a binding that was on disk when the proxy started: writes may have gone until then.
-func (b Binding) Kept(now time.Duration) Binding {
+// AfterRestart is a binding that was on disk when the proxy started: writes may have gone until then.
+func (b Binding) AfterRestart(now time.Duration) Binding {
 	b.either = !b.Held && !b.Seat.Equal(b.Wrote) // the wait may have been over
 	b.open, b.shut = !b.Held && !b.either, now
 	return b
