--- a/files/contradictions.go
+++ b/files/contradictions.go
@@ -157,7 +157,7 @@
 				return invalid("/channel/message_cap", c, "0, because limits and bindings of tenants are sent as additional messages")
 			}
 			if m := p.Moves; m != nil && m.MaxHold > 0 {
-				if write, window := tenancy.Needs(p.Service.Types(),
+				if write, window := tenancy.MoveDurations(p.Service.Types(),
 					p.Service.WriteLifetime.AsDuration()); m.MaxHold.AsDuration() <= write+window {
 					return invalid("/moves/most", m.MaxHold, "more than %v, the time that each move waits", write+window)
 				}
--- a/lab/packs.go
+++ b/lab/packs.go
@@ -33,7 +33,7 @@
 // with the new ones alone. Both rolls and the wait between them take the trouble's length.
 func (f *fleet) changePacks(t *files.Trouble) {
 	down := time.Duration(max(t.Extra, 0.2) * float64(time.Second))
-	write, window := tenancy.Needs(f.day.Service.Types(), f.day.Service.WriteLifetime.AsDuration())
+	write, window := tenancy.MoveDurations(f.day.Service.Types(), f.day.Service.WriteLifetime.AsDuration())
 	roll := max(0, (t.Length.AsDuration()-write-window)/2-down)
 	all := packsOf(slices.Concat(f.nodes, f.spare))
 	second := t.At.AsDuration() + roll + down + write + window
--- a/pilot/moves.go
+++ b/pilot/moves.go
@@ -59,7 +59,7 @@
 		return err
 	}
 	w := tenancy.MoveLimits{Most: f.MaxHold.AsDuration(), Abreast: f.MaxConcurrent}
-	w.WriteLifetime, w.Window = tenancy.Needs(p.facts.OpTypes, p.file.Service.WriteLifetime.AsDuration())
+	w.WriteLifetime, w.Window = tenancy.MoveDurations(p.facts.OpTypes, p.file.Service.WriteLifetime.AsDuration())
 	if w.Most <= 0 {
 		w.Most = 10 * (w.WriteLifetime + w.Window)
 	}
