--- a/pilot/moves.go
+++ b/pilot/moves.go
@@ -419,7 +419,7 @@
 		if p.mover != nil {
 			r, _ = p.mover.Of(name)
 		}
-		var u tenancy.Use
+		var u tenancy.Usage
 		if p.quarantine != nil {
 			u = p.quarantine.Met(name)
 		}
--- a/pilot/moves_test.go
+++ b/pilot/moves_test.go
@@ -245,7 +245,7 @@
 	r := newMovesRig(t, func(f *files.Pilot) { f.Tenants = true })
 	r.p.post(func() {
 		for i := range 10 {
-			x := tenancy.Use{Tenant: fmt.Sprint("t", i), Pod: 1, Ops: 10, Failed: 2, Busy: time.Second}
+			x := tenancy.Usage{Tenant: fmt.Sprint("t", i), Pod: 1, Ops: 10, Failed: 2, Busy: time.Second}
 			if i == 3 {
 				x.Ops, x.Failed, x.Busy = 1000, 900, time.Minute
 			}
--- a/pilot/pilot.go
+++ b/pilot/pilot.go
@@ -65,7 +65,7 @@
 	channel      *channel
 	intake       *intake
 	quarantine   *tenancy.Quarantine // nil: tenants are not limited
-	uses         []tenancy.Use
+	uses         []tenancy.Usage
 	loads        map[tenancy.PodID]*[2]float64 // what servers said since the last look: sum and number
 	mover        *mover                        // nil: tenants are not moved
 	records      *recorder
@@ -305,7 +305,7 @@
 	}
 	for _, t := range s.Tenants {
 		if len(p.uses) < mostUses {
-			p.uses = append(p.uses, tenancy.Use{Tenant: t.Tenant, Pod: tenancy.PodID(t.Pod), Ops: float64(t.Ops), Failed: float64(t.Failed), Busy: t.Busy})
+			p.uses = append(p.uses, tenancy.Usage{Tenant: t.Tenant, Pod: tenancy.PodID(t.Pod), Ops: float64(t.Ops), Failed: float64(t.Failed), Busy: t.Busy})
 		}
 	}
 }
--- a/tenancy/bench_test.go
+++ b/tenancy/bench_test.go
@@ -9,10 +9,10 @@
 // A period of ten thousand tenants, each at three pods.
 func BenchmarkWarden(b *testing.B) {
 	w := NewQuarantine(time.Second)
-	var uses []Use
+	var uses []Usage
 	for i := range 10_000 {
 		for p := range 3 {
-			uses = append(uses, Use{Tenant: fmt.Sprint("newsroom-", i), Pod: PodID((i*7 + p*31) % 150), Ops: 3, Busy: time.Duration(i) * time.Millisecond})
+			uses = append(uses, Usage{Tenant: fmt.Sprint("newsroom-", i), Pod: PodID((i*7 + p*31) % 150), Ops: 3, Busy: time.Duration(i) * time.Millisecond})
 		}
 	}
 	var health []Health
--- a/tenancy/quarantine.go
+++ b/tenancy/quarantine.go
@@ -37,8 +37,8 @@
 // at least those that failed.
 func (t *watched) opsAt(p *[2]float64) float64 { return max(p[1], t.ops*p[0]/max(t.busy, 1e-9)) }
 
-// Use is what proxies met of a tenant at a pod over a period. Busy is the time that servers held its ops.
-type Use struct {
+// Usage is what proxies met of a tenant at a pod over a period. Busy is the time that servers held its ops.
+type Usage struct {
 	Tenant      string
 	Pod         PodID
 	Ops, Failed float64
@@ -111,7 +111,7 @@
 const Folded = "\x00folded"
 
 // Step takes a period's sums and returns the limits that changed, by tenant.
-func (w *Quarantine) Step(uses []Use, health []Health) []Limit {
+func (w *Quarantine) Step(uses []Usage, health []Health) []Limit {
 	for _, h := range health {
 		w.load[h.Pod] = h.Load
 	}
@@ -151,12 +151,12 @@
 }
 
 // Met returns the running mean of what was met of a tenant over a period.
-func (w *Quarantine) Met(name string) Use {
+func (w *Quarantine) Met(name string) Usage {
 	t := w.tenants[name]
 	if t == nil {
-		return Use{Tenant: name}
+		return Usage{Tenant: name}
 	}
-	return Use{Tenant: name, Ops: t.ops, Failed: t.failed, Busy: time.Duration(t.busy * float64(time.Second))}
+	return Usage{Tenant: name, Ops: t.ops, Failed: t.failed, Busy: time.Duration(t.busy * float64(time.Second))}
 }
 
 // Restore takes back what a pilot that ended had said. Its periods of good behaviour begin anew.
@@ -179,7 +179,7 @@
 }
 
 // fold keeps the number of tenants within its bound: those that are kept already and the busiest of the new ones.
-func (w *Quarantine) fold(uses []Use) []Use {
+func (w *Quarantine) fold(uses []Usage) []Usage {
 	fresh := map[string]time.Duration{}
 	for _, u := range uses {
 		if w.tenants[u.Tenant] == nil {
@@ -213,7 +213,7 @@
 	}
 }
 
-func (t *watched) add(u Use) {
+func (t *watched) add(u Usage) {
 	t.idle = 0
 	t.ops += smoothing * u.Ops
 	t.failed += smoothing * min(u.Failed, u.Ops)
--- a/tenancy/quarantine_test.go
+++ b/tenancy/quarantine_test.go
@@ -7,12 +7,12 @@
 )
 
 // evening plays periods of twenty tenants on three pods, of which one may do as the case says, and keeps the last limits.
-func evening(w *Quarantine, periods int, limits map[string]Limit, play func(i int, u *Use), load float64) (changes int) {
+func evening(w *Quarantine, periods int, limits map[string]Limit, play func(i int, u *Usage), load float64) (changes int) {
 	for range periods {
-		var uses []Use
+		var uses []Usage
 		for i := range 20 {
 			for p := range PodID(3) {
-				u := Use{Tenant: fmt.Sprintf("t%d", i), Pod: p, Ops: 10, Busy: time.Second}
+				u := Usage{Tenant: fmt.Sprintf("t%d", i), Pod: p, Ops: 10, Busy: time.Second}
 				play(i, &u)
 				uses = append(uses, u)
 			}
@@ -27,8 +27,8 @@
 
 // The tenant that harms is limited, then fenced, and nobody else is; it is let back once it behaves, later each time.
 func TestWarden(t *testing.T) {
-	fine := func(int, *Use) {}
-	flood := func(i int, u *Use) {
+	fine := func(int, *Usage) {}
+	flood := func(i int, u *Usage) {
 		if i == 7 { // a tool that tries again at once for ever
 			u.Ops, u.Failed, u.Busy = 2000, 1500, 60*time.Second
 		} else {
@@ -37,20 +37,20 @@
 	}
 	for _, c := range []struct {
 		name  string
-		play  func(int, *Use)
+		play  func(int, *Usage)
 		load  float64
 		fence bool
 	}{
 		{"all fine", fine, 0.5, false},
 		{"busy, nobody unfair", fine, 0.99, false},
-		{"all fail alike", func(i int, u *Use) { u.Failed = 6 }, 0.5, false},
-		{"a big one that harms nobody", func(i int, u *Use) {
+		{"all fail alike", func(i int, u *Usage) { u.Failed = 6 }, 0.5, false},
+		{"a big one that harms nobody", func(i int, u *Usage) {
 			if i == 7 {
 				u.Ops, u.Busy = 2000, 60*time.Second
 			}
 		}, 0.6, false},
 		{"a flood of repeats", flood, 0.6, true},
-		{"ops that cost thirty times", func(i int, u *Use) {
+		{"ops that cost thirty times", func(i int, u *Usage) {
 			if i == 7 {
 				u.Busy = 60 * time.Second
 			}
@@ -69,7 +69,7 @@
 	// While the queues that a flood left still make pods suffer, the biggest of the others is no cause.
 	w, limits := NewQuarantine(time.Second), map[string]Limit{}
 	evening(w, 4, limits, flood, 0.6)
-	evening(w, 3, limits, func(i int, u *Use) {
+	evening(w, 3, limits, func(i int, u *Usage) {
 		if u.Failed = 3; i == 2 {
 			u.Busy = 30 * time.Second
 		} else if i == 7 {
@@ -107,8 +107,8 @@
 // A tenant whose ops ruin what serves them takes hardly any time; it is fenced at once when it is known. One whose own ops
 // are at fault and harm nobody is not, nor one that fails as all do where it is.
 func TestRuins(t *testing.T) {
-	poison := func(others float64) func(int, *Use) {
-		return func(i int, u *Use) {
+	poison := func(others float64) func(int, *Usage) {
+		return func(i int, u *Usage) {
 			if u.Failed = others; i == 7 {
 				u.Ops, u.Failed, u.Busy = 3, 3, time.Millisecond
 			}
@@ -116,7 +116,7 @@
 	}
 	for _, c := range []struct {
 		name   string
-		play   func(int, *Use)
+		play   func(int, *Usage)
 		fenced bool
 	}{{"ruins", poison(2), true}, {"fails alone", poison(0), false}, {"all fail", poison(9), false}} {
 		w, limits := NewQuarantine(time.Second), map[string]Limit{}
@@ -130,7 +130,7 @@
 // A big tenant that fares well gets more pods, slowly and up to a bound, and gives them back when it is small again; one
 // that harms has none beyond its own.
 func TestRoom(t *testing.T) {
-	big := func(i int, u *Use) {
+	big := func(i int, u *Usage) {
 		if i == 7 {
 			u.Ops, u.Busy = 1000, 20*time.Second
 		}
@@ -148,7 +148,7 @@
 	if l := limits["t7"]; l.Room != mostRoom {
 		t.Errorf("%+v", l)
 	}
-	evening(w, 2, limits, func(i int, u *Use) {
+	evening(w, 2, limits, func(i int, u *Usage) {
 		if big(i, u); i == 7 {
 			u.Failed = 500
 		}
@@ -158,7 +158,7 @@
 	}
 	w, limits = NewQuarantine(time.Second), map[string]Limit{}
 	evening(w, 2*asking, limits, big, 0.7)
-	evening(w, 3*asking*doublings, limits, func(int, *Use) {}, 0.5)
+	evening(w, 3*asking*doublings, limits, func(int, *Usage) {}, 0.5)
 	if l := limits["t7"]; !l.Free() {
 		t.Errorf("%+v", l)
 	}
@@ -168,7 +168,7 @@
 // no end.
 func TestRestore(t *testing.T) {
 	w, limits := NewQuarantine(time.Second), map[string]Limit{}
-	bad := func(i int, u *Use) {
+	bad := func(i int, u *Usage) {
 		if u.Failed = 3; i == 7 {
 			u.Ops, u.Failed, u.Busy = 2000, 1500, 60*time.Second
 		}
@@ -183,10 +183,10 @@
 	if got := w.Sentences(); len(got) != 1 || got[0] != kept[0] {
 		t.Errorf("%+v", got)
 	}
-	if n := evening(w, forgiving-1, limits, func(int, *Use) {}, 0.5); n != 0 {
+	if n := evening(w, forgiving-1, limits, func(int, *Usage) {}, 0.5); n != 0 {
 		t.Errorf("%d changes", n)
 	}
-	evening(w, forgiving, limits, func(int, *Use) {}, 0.5)
+	evening(w, forgiving, limits, func(int, *Usage) {}, 0.5)
 	if l := limits["t7"]; l.Fenced || l.Free() {
 		t.Errorf("%+v", l)
 	}
@@ -195,11 +195,11 @@
 // Tenants by the ten thousand, hostile names among them, are kept within bounds; those that stay away are forgotten.
 func TestManyTenants(t *testing.T) {
 	w := NewQuarantine(time.Second)
-	var uses []Use
+	var uses []Usage
 	for i := range 10_000 {
-		uses = append(uses, Use{Tenant: fmt.Sprintf("tenant %d\n;<<", i), Pod: PodID(i % 30), Ops: 1, Busy: time.Duration(i) * time.Millisecond})
+		uses = append(uses, Usage{Tenant: fmt.Sprintf("tenant %d\n;<<", i), Pod: PodID(i % 30), Ops: 1, Busy: time.Duration(i) * time.Millisecond})
 	}
-	uses = append(uses, Use{Tenant: "", Pod: 1, Ops: 1}, Use{Tenant: string(make([]byte, 1<<16)), Pod: 1, Ops: 1, Failed: 50})
+	uses = append(uses, Usage{Tenant: "", Pod: 1, Ops: 1}, Usage{Tenant: string(make([]byte, 1<<16)), Pod: 1, Ops: 1, Failed: 50})
 	for range 5 {
 		w.Step(uses, nil)
 	}
