--- a/proxy/tenants.go
+++ b/proxy/tenants.go
@@ -281,7 +281,7 @@
 	x.mu.Lock()
 	pod, away := x.lent.BorrowedPod(now, wait)
 	lends := !x.shared && !limited && x.credit.Lends() && (!writes || x.lent.May(now, wait))
-	long := x.lent.Long(now)
+	long := x.lent.MustReturn(now)
 	x.mu.Unlock()
 	if away = away && writes && !x.shared; away && long && pick(subset) != nil {
 		return nil, false // it must come home, so its writes wait
--- a/tenancy/pods.go
+++ b/tenancy/pods.go
@@ -101,9 +101,9 @@
 	l.pod, l.away, l.wrote, l.last = pod, away, true, now
 }
 
-// Long tells whether writes have been away for so long that those to come must wait rather than stay, once the subset can be
+// MustReturn tells whether writes have been away for so long that those to come must wait rather than stay, once the subset can be
 // used again.
-func (l BorrowState) Long(now time.Duration) bool { return l.away && now-l.since >= Linger }
+func (l BorrowState) MustReturn(now time.Duration) bool { return l.away && now-l.since >= Linger }
 
 // Credit is how a proxy knows a tenant whose ops usually succeed: only such a one may borrow. It has none at first, and one
 // that spoils what it borrows has soon none left.
--- a/tenancy/pods_test.go
+++ b/tenancy/pods_test.go
@@ -66,8 +66,8 @@
 		t.Error("never home")
 	}
 	for at := 15 * time.Second; at <= 73*time.Second; at += 2 * time.Second {
-		if l.Long(at) != (at >= 73*time.Second) {
-			t.Errorf("away since 13s, at %v: %t", at, l.Long(at))
+		if l.MustReturn(at) != (at >= 73*time.Second) {
+			t.Errorf("away since 13s, at %v: %t", at, l.MustReturn(at))
 		}
 		l.Wrote(at, 7, true)
 	}
