--- a/files/groups.go
+++ b/files/groups.go
@@ -31,7 +31,7 @@
 // zoneIDs returns the zones of the packs, or all zones of the service if there are no packs.
 func (s *Service) zoneIDs(packs []tenancy.PodID) (ids []tenancy.PodID) {
 	for _, p := range packs {
-		ids = append(ids, tenancy.ZoneOf(p))
+		ids = append(ids, tenancy.ZoneGroup(p))
 	}
 	if len(packs) == 0 {
 		for zone := range s.Zones {
--- a/proxy/placement.go
+++ b/proxy/placement.go
@@ -79,7 +79,7 @@
 	if !g.zone {
 		return e.pod() == g.group
 	}
-	return tenancy.ZoneOf(e.pod()) == g.group && (g.pods == nil || slices.Contains(g.pods, e.pod()))
+	return tenancy.ZoneGroup(e.pod()) == g.group && (g.pods == nil || slices.Contains(g.pods, e.pod()))
 }
 
 // place returns where a write of a type may go; nil: wherever its tenant's ops may, for it may run anywhere or no server knows a
--- a/proxy/repeat_test.go
+++ b/proxy/repeat_test.go
@@ -90,7 +90,7 @@
 			t.Fatalf("write %d: no server of its group", i)
 		}
 		if group.zone {
-			return tenancy.ZoneOf(e.pod()), true
+			return tenancy.ZoneGroup(e.pod()), true
 		}
 		return e.pod(), true
 	}
--- a/proxy/tenants.go
+++ b/proxy/tenants.go
@@ -162,7 +162,7 @@
 func zonesOf(live []tenancy.Pod) map[tenancy.PodID]*zonePods {
 	zones := map[tenancy.PodID]*zonePods{}
 	for _, pod := range live {
-		zone := tenancy.ZoneOf(pod.ID)
+		zone := tenancy.ZoneGroup(pod.ID)
 		if zones[zone] == nil {
 			zones[zone] = &zonePods{}
 		}
--- a/tenancy/groups.go
+++ b/tenancy/groups.go
@@ -46,14 +46,14 @@
 
 // Within returns the groups of one zone.
 func (g Groups) Within(zone PodID) Groups {
-	elsewhere := func(id PodID) bool { return ZoneOf(id) != zone }
+	elsewhere := func(id PodID) bool { return ZoneGroup(id) != zone }
 	g.now = newGroupSet(slices.DeleteFunc(slices.Clone(g.now.ids), elsewhere))
 	g.next = newGroupSet(slices.DeleteFunc(slices.Clone(g.next.ids), elsewhere))
 	return g
 }
 
-// ZoneOf is the group that stands for all servers of a pod's zone.
-func ZoneOf(p PodID) PodID { return p &^ 0xffff }
+// ZoneGroup is the group that stands for all servers of a pod's zone.
+func ZoneGroup(p PodID) PodID { return p &^ 0xffff }
 
 // Write is what a deduplicated write's group is drawn by.
 type Write struct {
--- a/tenancy/seat.go
+++ b/tenancy/seat.go
@@ -31,7 +31,7 @@
 		if i == 0 {
 			s.Pods = nil
 		}
-		s.Pods = append(s.Pods, ZoneOf(p))
+		s.Pods = append(s.Pods, ZoneGroup(p))
 	}
 	return s
 }
