--- a/serve/trace_test.go
+++ b/serve/trace_test.go
@@ -50,7 +50,7 @@
 		handle(c, m)
 		tr.note("%s answered", c.Remote())
 	}
-	s.Net = tracedNet{stream.Over(s.Net), tr}
+	s.Net = tracedNet{stream.NetOrSockets(s.Net), tr}
 	go tr.beat()
 	return tr
 }
--- a/stream/ends_test.go
+++ b/stream/ends_test.go
@@ -40,7 +40,7 @@
 }
 
 func (n lateNet) Dial(network, address string, timeout time.Duration) (netpoll.Connection, error) {
-	nc, err := Over(nil).Dial(network, address, timeout)
+	nc, err := NetOrSockets(nil).Dial(network, address, timeout)
 	if err != nil {
 		return nil, err
 	}
@@ -272,7 +272,7 @@
 	for range diallers {
 		done.Go(func() {
 			for i := range dials {
-				nc, err := Over(nil).Dial("tcp", peers, 5*time.Second)
+				nc, err := NetOrSockets(nil).Dial("tcp", peers, 5*time.Second)
 				if err != nil {
 					failed.Add(1)
 					continue
@@ -334,7 +334,7 @@
 // dialAndClose opens connections and closes each as its peer does.
 func dialAndClose(ctx context.Context, address string) {
 	for ctx.Err() == nil {
-		nc, err := Over(nil).Dial("tcp", address, 5*time.Second)
+		nc, err := NetOrSockets(nil).Dial("tcp", address, 5*time.Second)
 		if err != nil {
 			continue
 		}
--- a/stream/net.go
+++ b/stream/net.go
@@ -37,8 +37,8 @@
 	Stop(ctx context.Context)
 }
 
-// Over is the net given, or sockets.
-func Over(n Net) Net {
+// NetOrSockets is the net given, or sockets.
+func NetOrSockets(n Net) Net {
 	if n == nil {
 		return sockets{}
 	}
--- a/stream/stream.go
+++ b/stream/stream.go
@@ -59,7 +59,7 @@
 // Dial connects over a net; nil: sockets. No data comes to the handler before something was sent.
 func Dial(over Net, address string, timeout time.Duration, h Handler) (*Conn, error) {
 	n, a := network(address)
-	nc, err := Over(over).Dial(n, a, timeout)
+	nc, err := NetOrSockets(over).Dial(n, a, timeout)
 	if err != nil {
 		return nil, fmt.Errorf("dial %s: %w", address, err)
 	}
@@ -267,7 +267,7 @@
 		return nc.Close()
 	}
 	var err error
-	if l.server, err = Over(over).Serve(n, a, Hooks{Prepare: prepare, Request: request}); err != nil {
+	if l.server, err = NetOrSockets(over).Serve(n, a, Hooks{Prepare: prepare, Request: request}); err != nil {
 		return nil, err
 	}
 	if n == "tcp" {
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -276,7 +276,7 @@
 	var nc netpoll.Connection
 	err := error(netpoll.ErrDialTimeout)
 	if timeout > 0 {
-		nc, err = stream.Over(p.Net).Dial("tcp", address, timeout)
+		nc, err = stream.NetOrSockets(p.Net).Dial("tcp", address, timeout)
 	}
 	if err != nil {
 		p.mu.Lock()
