--- a/pilot/moves.go
+++ b/pilot/moves.go
@@ -258,7 +258,7 @@
 		d.next, d.known, d.limit, d.bound = map[string]tenancy.Record{}, nil, nil, nil
 		d.mu.Unlock()
 		for {
-			err := d.store.Keep(next, limits)
+			err := d.store.Save(next, limits)
 			d.mu.Lock()
 			d.err = err
 			d.mu.Unlock()
