--- a/members/members.go
+++ b/members/members.go
@@ -44,14 +44,14 @@
 
 // Config is what is needed to take part.
 type Config struct {
-	Name   string // a pilot's, one each
-	Bind   string // HOST:PORT, UDP and TCP
-	Others []string
-	Keys   []string // base64 of 16, 24 or 32 bytes, the first one writes
-	Allow  []string // networks whose addresses are heard; empty: none but loopback
-	Log    *slog.Logger
-	Tell   func() PilotStatus // called now and then, by a goroutine of its own; must not wait
-	Every  time.Duration
+	Name     string // a pilot's, one each
+	Bind     string // HOST:PORT, UDP and TCP
+	Others   []string
+	Keys     []string // base64 of 16, 24 or 32 bytes, the first one writes
+	Allow    []string // networks whose addresses are heard; empty: none but loopback
+	Log      *slog.Logger
+	Tell     func() PilotStatus // called now and then, by a goroutine of its own; must not wait
+	Interval time.Duration
 }
 
 // Members is a running gossip.
@@ -70,8 +70,8 @@
 // Start joins. Others that are not there are tried again for as long as it runs.
 func Start(g Config) (*Members, error) {
 	m := &Members{g: g, heard: map[string]Member{}}
-	if m.g.Every <= 0 {
-		m.g.Every = time.Second
+	if m.g.Interval <= 0 {
+		m.g.Interval = time.Second
 	}
 	keys := make([][]byte, 0, len(g.Keys))
 	for i, k := range g.Keys {
@@ -134,7 +134,7 @@
 
 // run tells the others what is new here, and looks for those that are not there.
 func (m *Members) run(ctx context.Context) {
-	t := time.NewTicker(m.g.Every)
+	t := time.NewTicker(m.g.Interval)
 	defer t.Stop()
 	for i := 0; ; i++ {
 		if i%10 == 0 && m.list.NumMembers() <= len(m.g.Others) && len(m.g.Others) > 0 {
@@ -148,7 +148,7 @@
 		case <-t.C:
 		}
 		if m.refresh() {
-			_ = m.list.UpdateNode(m.g.Every)
+			_ = m.list.UpdateNode(m.g.Interval)
 		}
 	}
 }
