--- a/lab/check.go
+++ b/lab/check.go
@@ -170,7 +170,7 @@
 }
 
 func (e *evidence) readStream(s *streamSeen, pieces []link.Passed) error {
-	blocks, scan := runtime.NewBlocks(1<<24), runtime.NewScanner(runtime.Orders)
+	blocks, scan := runtime.NewBlocks(1<<24), runtime.NewScanner(runtime.StreamBounds)
 	byNumber := map[uint64]*messageSeen{}
 	for _, p := range pieces {
 		switch {
