--- a/lab/check.go
+++ b/lab/check.go
@@ -193,7 +193,7 @@
 				switch b := b.(type) {
 				case *runtime.Hello:
 					s.hello = b
-				case runtime.InForce:
+				case runtime.Confirmation:
 					if m := byNumber[b.Number]; m != nil && m.inForce < 0 {
 						m.inForce, m.again = p.Came, b.Again
 					}
--- a/lab/check_test.go
+++ b/lab/check_test.go
@@ -76,7 +76,7 @@
 		m.Changes = append(m.Changes, x)
 	}
 	c.pass(sent, "stream 3 0", 2, link.Down, string(m.Append(nil)))
-	c.pass(confirmed, "stream 3 0", 2, link.Up, string(runtime.InForce{Run: m.Run, Number: m.Number, Checkpoint: -1}.Append(nil)))
+	c.pass(confirmed, "stream 3 0", 2, link.Up, string(runtime.Confirmation{Run: m.Run, Number: m.Number, Checkpoint: -1}.Append(nil)))
 }
 
 // try is one that reached a node.
