--- a/lab/orders_test.go
+++ b/lab/orders_test.go
@@ -443,7 +443,7 @@
 		"tried again after it may have run": {rule: 2, order: "tick,tick,tick,tick", alter: func(m *wire.Message) {
 			for i := range m.Changes {
 				if m.Changes[i].Verb == wire.SetLevel {
-					m.Changes[i].Again = control.RetryOnce
+					m.Changes[i].RetryPolicy = control.RetryOnce
 				}
 			}
 		}, trust: func(s *files.Service) { s.OpTypes[2].Repeat = "retryable" }, trouble: func(t *node.Trouble) { t.Lost = 0.3 }},
