--- a/lab/check.go
+++ b/lab/check.go
@@ -289,7 +289,7 @@
 				}
 			}
 		case runtime.SetState:
-			if delete(x.out, c.Endpoint); c.Out {
+			if delete(x.out, c.Endpoint); c.Drained {
 				x.out[c.Endpoint] = true
 			}
 		case runtime.ClearState:
--- a/lab/check_test.go
+++ b/lab/check_test.go
@@ -218,7 +218,7 @@
 					p.ApplyFor = func(m *runtime.Message) time.Duration {
 						kept := m.Changes[:0]
 						for _, c := range m.Changes {
-							if !c.Out && c.Verb != runtime.DelServer {
+							if !c.Drained && c.Verb != runtime.DelServer {
 								kept = append(kept, c)
 							}
 						}
--- a/lab/records_test.go
+++ b/lab/records_test.go
@@ -79,7 +79,7 @@
 	for _, x := range h.streams {
 		for _, m := range x.messages {
 			for _, c := range m.Changes {
-				if c.Verb != runtime.SetState || !c.Out {
+				if c.Verb != runtime.SetState || !c.Drained {
 					continue
 				}
 				seen++
