--- a/runtime/grammar.go
+++ b/runtime/grammar.go
@@ -71,8 +71,8 @@
 	}
 }
 
-// Waiting tells whether a payload is being read, as an interactive session shows by its prompt.
-func (s *Scanner) Waiting() bool { return s.payload }
+// ReadingPayload tells whether a payload is being read, as an interactive session shows by its prompt.
+func (s *Scanner) ReadingPayload() bool { return s.payload }
 
 // Next returns the commands of the next whole line, with its payload; ok is false until there is one. After an error it
 // returns that error for good.
--- a/session/session.go
+++ b/session/session.go
@@ -117,7 +117,7 @@
 			break
 		}
 		if !ok {
-			if s.interactive && s.scan.Waiting() {
+			if s.interactive && s.scan.ReadingPayload() {
 				_ = c.Send([]byte("+ "))
 			}
 			return
