--- a/lab/check.go
+++ b/lab/check.go
@@ -195,7 +195,7 @@
 					s.hello = b
 				case runtime.Confirmation:
 					if m := byNumber[b.Number]; m != nil && m.inForce < 0 {
-						m.inForce, m.again = p.Came, b.Again
+						m.inForce, m.again = p.Came, b.Duplicate
 					}
 				}
 			}
