--- a/files/contradictions_test.go
+++ b/files/contradictions_test.go
@@ -16,7 +16,8 @@
 const rosterText = `{"kind": "roster", "listen": "127.0.0.1:7001", "zones": ["a"], "entries": [
   {"endpoint": 1, "address": "127.0.0.1:80", "zone": "a", "weight": 1}, {"endpoint": 2, "address": "127.0.0.1:81", "zone": "a", "weight": 1}]}`
 
-// Values that are each allowed and contradict each other are refused at the later of the two places.
+// Values that the schema allows but that contradict each other are rejected, and the error points to the later of the
+// two places.
 func TestContradictions(t *testing.T) {
 	day, err := os.ReadFile("../lab/days/calm-evening.json")
 	if err != nil {
@@ -32,16 +33,23 @@
 		{"pilot", pilotText, `"drain_grace": "2s"`, `"drain_grace": "0s"`, "/limits/drain_grace"},
 		{"pilot", pilotText, `"fall_after": "2s"`, `"fall_after": "0s"`, "/limits/fall_after"},
 		{"pilot", pilotText, `"most_waiting": 9000`, `"most_waiting": 9000, "message_cap": 5`, "/channel/message_cap_over"},
-		{"pilot", pilotText, `"most_waiting": 9000`, `"most_waiting": 9000, "message_cap": 1, "message_cap_over": "10s"`, "/channel/message_cap"},
+		{"pilot", pilotText, `"most_waiting": 9000`, `"most_waiting": 9000, "message_cap": 1, "message_cap_over": "10s"`,
+			"/channel/message_cap"},
 		{"pilot", pilotText, `"name": "p"`, `"name": "p", "instance": 3, "instances": 2`, "/instance"},
-		{"pilot", pilotText, `"retryable"}]},`, `"once-only", "writes": true}]}, "moves": {"store": "s", "most": "1s"},`, "/moves/most"},
-		{"pilot", pilotText, `"report_lines_per_second": 300}`, `"report_lines_per_second": 300, "message_cap": 5, "message_cap_over": "10s"}, "tenants": true`,
+		{"pilot", pilotText, `"retryable"}]},`, `"once-only", "writes": true}]}, "moves": {"store": "s", "most": "1s"},`,
+			"/moves/most"},
+		{"pilot", pilotText, `"report_lines_per_second": 300}`,
+			`"report_lines_per_second": 300, "message_cap": 5, "message_cap_over": "10s"}, "tenants": true`,
 			"/channel/message_cap"},
 		{"pilot", pilotText, `"name": "p"`, `"name": "p", "log": [{"network": "udp", "address": "nowhere"}]`, "/log/0/address"},
-		{"pilot", pilotText, `"name": "p"`, `"name": "p", "log": [{"network": "udp", "address": "127.0.0.1:1", "ca": "x"}]`, "/log/0/network"},
-		{"pilot", pilotText, `"name": "p"`, `"name": "p", "log": [{"network": "tls", "address": "127.0.0.1:1", "cert": "x"}]`, "/log/0/key"},
-		{"pilot", pilotText, `"name": "p"`, `"name": "p", "log": [{"network": "udp", "address": "127.0.0.1:1", "spool_bytes": 9000}]`, "/log/0/spool_bytes"},
-		{"pilot", pilotText, `"name": "p"`, `"name": "p", "log": [{"network": "tcp", "address": "127.0.0.1:1", "spool": "s"}, {"network": "tcp", "address": "127.0.0.1:2", "spool": "s"}]`, "/log/1/spool"},
+		{"pilot", pilotText, `"name": "p"`, `"name": "p", "log": [{"network": "udp", "address": "127.0.0.1:1", "ca": "x"}]`,
+			"/log/0/network"},
+		{"pilot", pilotText, `"name": "p"`, `"name": "p", "log": [{"network": "tls", "address": "127.0.0.1:1", "cert": "x"}]`,
+			"/log/0/key"},
+		{"pilot", pilotText, `"name": "p"`,
+			`"name": "p", "log": [{"network": "udp", "address": "127.0.0.1:1", "spool_bytes": 9000}]`, "/log/0/spool_bytes"},
+		{"pilot", pilotText, `"name": "p"`,
+			`"name": "p", "log": [{"network": "tcp", "address": "127.0.0.1:1", "spool": "s"}, {"network": "tcp", "address": "127.0.0.1:2", "spool": "s"}]`, "/log/1/spool"},
 		{"proxy", proxyText, `"id": 1, "zone": "a"`, `"id": 1, "zone": "c"`, "/zone"},
 		{"proxy", proxyText, `:7000", "zone": "a"`, `:7000", "zone": "c"`, "/pilots/0/zone"},
 		{"proxy", proxyText, `:80", "zone": "a"`, `:80", "zone": "c"`, "/servers/0/zone"},
@@ -64,7 +72,7 @@
 		}
 		text := strings.Replace(c.text, c.from, c.to, 1)
 		if text == c.text {
-			t.Fatalf("%s changes nothing", c.from)
+			t.Fatalf("the replacement %s changes nothing", c.from)
 		}
 		err := files.Parse("f.json", []byte(text), c.kind, to)
 		if err == nil || !strings.HasPrefix(err.Error(), "f.json: "+c.at+": found ") || strings.Contains(err.Error(), "\n") {
