--- a/pilot/pilot_test.go
+++ b/pilot/pilot_test.go
@@ -335,7 +335,7 @@
 // passedData returns the bytes that the relay forwarded in one direction.
 func passedData(tap *link.Tap, d link.Direction) string {
 	var b strings.Builder
-	for _, p := range tap.All() {
+	for _, p := range tap.Transfers() {
 		if p.Direction == d {
 			b.Write(p.Data)
 		}
