--- a/syslog/sender_test.go
+++ b/syslog/sender_test.go
@@ -185,7 +185,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			r := listen(t, "tcp", "127.0.0.1:0", nil)
-			r.Set(trouble)
+			r.SetFaults(trouble)
 			s := startSender(t, Config{Network: "tcp", Address: r.Address(), Buffer: 4000, Timeout: 50 * time.Millisecond})
 			start := time.Now()
 			big := strings.Repeat("x", 800)
@@ -198,7 +198,7 @@
 			}
 			checkTotals(t, s.Counts())
 			time.Sleep(300 * time.Millisecond)
-			r.Set(receiver.Faults{})
+			r.SetFaults(receiver.Faults{})
 			r.Break()
 			waitFor(t, "sent", func() bool { return s.Counts().Waiting == 0 })
 			c := s.Counts()
@@ -232,14 +232,14 @@
 			for range rng.IntN(30) {
 				switch rng.IntN(6) {
 				case 0:
-					r.Set(receiver.Faults{Stall: true})
+					r.SetFaults(receiver.Faults{Stall: true})
 				case 1:
-					r.Set(receiver.Faults{CutAt: 1 + rng.IntN(2000)})
+					r.SetFaults(receiver.Faults{CutAt: 1 + rng.IntN(2000)})
 				case 2:
-					r.Set(receiver.Faults{Refuse: true})
+					r.SetFaults(receiver.Faults{Refuse: true})
 					r.Break()
 				case 3:
-					r.Set(receiver.Faults{})
+					r.SetFaults(receiver.Faults{})
 				default:
 					for range rng.IntN(300) {
 						severity := Severity(rng.IntN(8))
@@ -253,7 +253,7 @@
 				checkTotals(t, s.Counts())
 			}
 			if rng.IntN(2) == 0 {
-				r.Set(receiver.Faults{})
+				r.SetFaults(receiver.Faults{})
 			}
 			s.Close()
 			c := s.Counts()
@@ -320,14 +320,14 @@
 	frameBytes := len(numberedRecord(7, Notice)) + 3
 	for cut := 1; cut <= 2*frameBytes; cut++ {
 		r := listen(t, "tcp", "127.0.0.1:0", nil)
-		r.Set(receiver.Faults{CutAt: cut})
+		r.SetFaults(receiver.Faults{CutAt: cut})
 		s, err := Start(Config{Network: "tcp", Address: r.Address(), Timeout: 50 * time.Millisecond}, discardLog, uint64(cut), nil)
 		if err != nil {
 			t.Fatal(err)
 		}
 		s.Enqueue(Notice, numberedRecord(7, Notice))
 		waitFor(t, "connected", func() bool { return s.Counts().Connects > 0 })
-		r.Set(receiver.Faults{})
+		r.SetFaults(receiver.Faults{})
 		for i := 8; ; i++ { // records that the system buffered before the reset are lost; a later write fails
 			s.Enqueue(Notice, numberedRecord(i, Notice))
 			if got, _, _ := r.Got(); len(got) > 1 {
