--- a/pilot/records_test.go
+++ b/pilot/records_test.go
@@ -35,7 +35,7 @@
 // closeAfter waits until a receiver has n records, some of which may still be in transit, and closes it.
 func closeAfter(t *testing.T, got *receiver.Receiver, n int) {
 	t.Helper()
-	waitFor(t, time.Millisecond, "the records", func() bool { m, _, _ := got.Got(); return len(m) == n })
+	waitFor(t, time.Millisecond, "the records", func() bool { m, _, _ := got.Received(); return len(m) == n })
 	got.Close()
 }
 
@@ -71,7 +71,7 @@
 	r.close()
 	out.Close()
 	closeAfter(t, got, 9)
-	m, bad, _ := got.Got()
+	m, bad, _ := got.Received()
 	want := []string{record.Restart, record.TableLine, record.TableCleared, record.TableAssigned, record.Level, record.Withdrawal, record.ControllerNote,
 		record.Confirmation, record.Confirmation}
 	if len(m) != len(want) || len(bad) > 0 {
@@ -126,7 +126,7 @@
 	}
 	all.Wait()
 	closeAfter(t, got, 1000)
-	m, bad, torn := got.Got()
+	m, bad, torn := got.Received()
 	if len(m) != 1000 || len(bad) > 0 || torn > 0 {
 		t.Fatalf("%d records, %v, %d torn", len(m), bad, torn)
 	}
--- a/syslog/sender_test.go
+++ b/syslog/sender_test.go
@@ -81,7 +81,7 @@
 
 func receivedIDs(t *testing.T, r *receiver.Receiver) (out []string) {
 	t.Helper()
-	got, bad, _ := r.Got()
+	got, bad, _ := r.Received()
 	if len(bad) > 0 {
 		t.Fatalf("%d messages could not be parsed: %v", len(bad), bad[0])
 	}
@@ -122,10 +122,10 @@
 				s.Enqueue(Informational, numberedRecord(i, Informational))
 				if network != "tcp" && i%20 == 19 { // the system drops datagrams that arrive faster than they are read
 					waitFor(t, "sent", func() bool { return s.Counts().Sent == uint64(i+1) })
-					waitFor(t, "received", func() bool { got, _, _ := r.Got(); return len(got) == i+1 })
+					waitFor(t, "received", func() bool { got, _, _ := r.Received(); return len(got) == i+1 })
 				}
 			}
-			waitFor(t, "received", func() bool { got, _, _ := r.Got(); return len(got) == 500 })
+			waitFor(t, "received", func() bool { got, _, _ := r.Received(); return len(got) == 500 })
 			for i, id := range receivedIDs(t, r) {
 				if id != fmt.Sprint(i) {
 					t.Fatalf("record %s at position %d", id, i)
@@ -167,7 +167,7 @@
 		t.Errorf("%+v", c)
 	}
 	r := listen(t, "tcp", address, nil)
-	waitFor(t, "all received", func() bool { got, _, _ := r.Got(); return len(got) == 100 })
+	waitFor(t, "all received", func() bool { got, _, _ := r.Received(); return len(got) == 100 })
 	if d := <-announced; d[Debug] != 900 || sumOf(d) != 900 {
 		t.Errorf("announced drops: %v", d)
 	}
@@ -262,7 +262,7 @@
 			}
 		}
 		r.Close()
-		if _, bad, _ := r.Got(); len(bad) > 0 {
+		if _, bad, _ := r.Received(); len(bad) > 0 {
 			t.Fatalf("seed %d: %v", seed, bad[0])
 		}
 	}
@@ -330,7 +330,7 @@
 		r.SetFaults(receiver.Faults{})
 		for i := 8; ; i++ { // records that the system buffered before the reset are lost; a later write fails
 			s.Enqueue(Notice, numberedRecord(i, Notice))
-			if got, _, _ := r.Got(); len(got) > 1 {
+			if got, _, _ := r.Received(); len(got) > 1 {
 				break
 			}
 			time.Sleep(2 * time.Millisecond)
@@ -408,7 +408,7 @@
 		"another name":      ca.server(t, "else.example", time.Hour),
 		"unknown authority": other.server(t, "receiver.example", time.Hour)} {
 		r, s := refused(conf)
-		if got, _, _ := r.Got(); len(got) != 0 || s.Counts().Sent != 0 {
+		if got, _, _ := r.Received(); len(got) != 0 || s.Counts().Sent != 0 {
 			t.Errorf("%s: records were sent", name)
 		}
 	}
