--- a/syslog/sender_test.go
+++ b/syslog/sender_test.go
@@ -180,7 +180,7 @@
 // logging. Once it works again every record that was not dropped is delivered at least once.
 func TestReceiverFaults(t *testing.T) {
 	for name, trouble := range map[string]receiver.Faults{"stalls": {Stall: true},
-		"a byte at a time": {PerByte: 5 * time.Millisecond},
+		"a byte at a time": {ByteDelay: 5 * time.Millisecond},
 		"refuses":          {Refuse: true}, "cuts within a frame": {CutAt: 777}} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
