--- a/syslog/sender_test.go
+++ b/syslog/sender_test.go
@@ -181,7 +181,7 @@
 func TestReceiverFaults(t *testing.T) {
 	for name, trouble := range map[string]receiver.Faults{"stalls": {Stall: true},
 		"a byte at a time": {ByteDelay: 5 * time.Millisecond},
-		"refuses":          {Refuse: true}, "cuts within a frame": {CutAt: 777}} {
+		"refuses":          {Refuse: true}, "cuts within a frame": {ResetAfter: 777}} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			r := listen(t, "tcp", "127.0.0.1:0", nil)
@@ -234,7 +234,7 @@
 				case 0:
 					r.SetFaults(receiver.Faults{Stall: true})
 				case 1:
-					r.SetFaults(receiver.Faults{CutAt: 1 + rng.IntN(2000)})
+					r.SetFaults(receiver.Faults{ResetAfter: 1 + rng.IntN(2000)})
 				case 2:
 					r.SetFaults(receiver.Faults{Refuse: true})
 					r.Break()
@@ -320,7 +320,7 @@
 	frameBytes := len(numberedRecord(7, Notice)) + 3
 	for cut := 1; cut <= 2*frameBytes; cut++ {
 		r := listen(t, "tcp", "127.0.0.1:0", nil)
-		r.SetFaults(receiver.Faults{CutAt: cut})
+		r.SetFaults(receiver.Faults{ResetAfter: cut})
 		s, err := Start(Config{Network: "tcp", Address: r.Address(), Timeout: 50 * time.Millisecond}, discardLog, uint64(cut), nil)
 		if err != nil {
 			t.Fatal(err)
