--- a/syslog/sender_test.go
+++ b/syslog/sender_test.go
@@ -199,7 +199,7 @@
 			checkTotals(t, s.Counts())
 			time.Sleep(300 * time.Millisecond)
 			r.SetFaults(receiver.Faults{})
-			r.Break()
+			r.ResetConnections()
 			waitFor(t, "sent", func() bool { return s.Counts().Waiting == 0 })
 			c := s.Counts()
 			checkTotals(t, c)
@@ -237,7 +237,7 @@
 					r.SetFaults(receiver.Faults{ResetAfter: 1 + rng.IntN(2000)})
 				case 2:
 					r.SetFaults(receiver.Faults{Refuse: true})
-					r.Break()
+					r.ResetConnections()
 				case 3:
 					r.SetFaults(receiver.Faults{})
 				default:
