--- a/cmd/vetchdoor/soak_repeats_test.go
+++ b/cmd/vetchdoor/soak_repeats_test.go
@@ -156,7 +156,7 @@
 func (s *soak) countCrossed() (count int) {
 	from := map[uint64]map[int]bool{}
 	for _, a := range s.ledger.Arrivals() {
-		if a.OpType != dedupType || !a.Taken {
+		if a.OpType != dedupType || !a.Accepted {
 			continue
 		}
 		if from[a.Op] == nil {
