--- a/cmd/vetchdoor/platform_limits_test.go
+++ b/cmd/vetchdoor/platform_limits_test.go
@@ -30,7 +30,7 @@
 			Lifecycle: "up",
 			Weight:    1})
 	}
-	discovery, err := platform.Discover(known...)
+	discovery, err := platform.NewDiscovery(known...)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/vetchdoor/soak_parts_test.go
+++ b/cmd/vetchdoor/soak_parts_test.go
@@ -147,7 +147,7 @@
 			Machine: "m", Lifecycle: "up", Weight: 1})
 	}
 	var err error
-	if s.discovery, err = platform.Discover(list...); err != nil {
+	if s.discovery, err = platform.NewDiscovery(list...); err != nil {
 		s.t.Fatal(err)
 	}
 	at := s.at(7030)
