--- a/lab/orders_test.go
+++ b/lab/orders_test.go
@@ -37,7 +37,7 @@
 		f.list.Set(f.entry(0, "ready", 2), f.entry(2, "ready", 1.5))
 	},
 	"drain": func(f *tiny) { // one is told to finish
-		f.nodes[1].Set(func(t *node.Trouble) { t.Draining = true })
+		f.nodes[1].Set(func(t *node.Faults) { t.Draining = true })
 		f.list.Set(f.entry(1, "draining", 1))
 	},
 	"cold": func(f *tiny) { // one dies and is back cold before anybody knew
@@ -94,7 +94,7 @@
 	believe func(*files.Pilot)   // what pilots take for true
 	trust   func(*files.Service) // what proxies take for true
 	lose    bool                 // nothing comes to the proxies from the second event on
-	trouble func(*node.Trouble)  // of all nodes
+	trouble func(*node.Faults)   // of all nodes
 	work    time.Duration        // of each op; 0: the usual
 	every   time.Duration        // comes an op; 0: the usual
 }
@@ -446,7 +446,7 @@
 					m.Changes[i].Again = control.OnceMore
 				}
 			}
-		}, trust: func(s *files.Service) { s.OpTypes[2].Repeat = "retryable" }, trouble: func(t *node.Trouble) { t.Lost = 0.3 }},
+		}, trust: func(s *files.Service) { s.OpTypes[2].Repeat = "retryable" }, trouble: func(t *node.Faults) { t.Lost = 0.3 }},
 		"withdrawals that never come": {rule: 3, order: "tick,drain,tick,tick,tick", lose: true, every: 40 * time.Millisecond},
 		"a cold one at its whole weight": {rule: 4, order: "tick,cold,tick,tick", work: 60 * time.Millisecond, every: 20 * time.Millisecond, day: func(d *files.Day) {
 			d.Limits.OverloadFactor, d.Limits.DrainGrace = 1, files.Duration(100*time.Millisecond)
