--- a/lab/orders_test.go
+++ b/lab/orders_test.go
@@ -37,7 +37,7 @@
 		f.list.Set(f.entry(0, "ready", 2), f.entry(2, "ready", 1.5))
 	},
 	"drain": func(f *tiny) { // one is told to finish
-		f.nodes[1].Set(func(t *node.Faults) { t.Draining = true })
+		f.nodes[1].UpdateFaults(func(t *node.Faults) { t.Draining = true })
 		f.list.Set(f.entry(1, "draining", 1))
 	},
 	"cold": func(f *tiny) { // one dies and is back cold before anybody knew
@@ -135,7 +135,7 @@
 			t.Fatal(err)
 		}
 		if f.nodes = append(f.nodes, n); plant.trouble != nil {
-			n.Set(plant.trouble)
+			n.UpdateFaults(plant.trouble)
 		}
 		if i < len(places)-plant.unlisted {
 			f.day.Service.WritePacks = withPack(f.day.Service.WritePacks, places[i])
--- a/lab/trouble.go
+++ b/lab/trouble.go
@@ -27,7 +27,7 @@
 	"vanish": func(f *fleet, t *files.Trouble) {
 		for _, n := range f.someNodes(t) {
 			f.at(t, func() {
-				n.Set(func(x *node.Faults) { x.Silent = true })
+				n.UpdateFaults(func(x *node.Faults) { x.Silent = true })
 				f.tell(f.day.List.SilentNotice.Span(), n, "gone")
 			}, func() { f.bringBack(n) })
 		}
@@ -50,7 +50,7 @@
 		for _, n := range f.someNodes(t) {
 			for i := range steps {
 				f.later(t.At.Span()+t.Length.Span()*time.Duration(i)/steps, func() {
-					n.Set(func(x *node.Faults) { x.Slow = 1 + (max(t.Size, 1)-1)*float64(i+1)/steps })
+					n.UpdateFaults(func(x *node.Faults) { x.Slow = 1 + (max(t.Size, 1)-1)*float64(i+1)/steps })
 				})
 			}
 			end := t.At.Span() + t.Length.Span()
@@ -178,7 +178,7 @@
 				}
 				return late, 1 - (1-t.Extra)*(1-t.Extra)
 			}
-			f.at(t, func() { n.Set(func(x *node.Faults) { x.Far = far }) }, func() { n.Set(func(x *node.Faults) { x.Far = nil }) })
+			f.at(t, func() { n.UpdateFaults(func(x *node.Faults) { x.Far = far }) }, func() { n.UpdateFaults(func(x *node.Faults) { x.Far = nil }) })
 		}
 	},
 }
@@ -194,8 +194,8 @@
 func nodeTrouble(set func(x *node.Faults, t *files.Trouble, on bool)) func(*fleet, *files.Trouble) {
 	return func(f *fleet, t *files.Trouble) {
 		for _, n := range f.someNodes(t) {
-			f.at(t, func() { n.Set(func(x *node.Faults) { set(x, t, true) }) },
-				func() { n.Set(func(x *node.Faults) { set(x, t, false) }) })
+			f.at(t, func() { n.UpdateFaults(func(x *node.Faults) { set(x, t, true) }) },
+				func() { n.UpdateFaults(func(x *node.Faults) { set(x, t, false) }) })
 		}
 	}
 }
@@ -279,7 +279,7 @@
 	for i, n := range chosen {
 		at := t.At.Span() + t.Length.Span()*time.Duration(i/batch)/time.Duration(max(batches, 1))
 		f.tell(at+f.day.List.Add.Span(), n, "draining")
-		f.later(at+drain, func() { n.Set(func(x *node.Faults) { x.Draining = true }) })
+		f.later(at+drain, func() { n.UpdateFaults(func(x *node.Faults) { x.Draining = true }) })
 		f.later(at+drain+time.Second, func() { f.bringBack(n) })
 	}
 }
@@ -294,14 +294,14 @@
 			begin, end := t.At.Span()+at, t.At.Span()+at+down
 			switch t.How {
 			case "hang":
-				f.later(begin, func() { n.Set(func(x *node.Faults) { x.Hang = true }) })
-				f.later(end, func() { n.Set(func(x *node.Faults) { x.Hang = false }) })
+				f.later(begin, func() { n.UpdateFaults(func(x *node.Faults) { x.Hang = true }) })
+				f.later(end, func() { n.UpdateFaults(func(x *node.Faults) { x.Hang = false }) })
 			case "errors":
-				f.later(begin, func() { n.Set(func(x *node.Faults) { x.Errors = 1 }) })
-				f.later(end, func() { n.Set(func(x *node.Faults) { x.Errors = 0 }) })
+				f.later(begin, func() { n.UpdateFaults(func(x *node.Faults) { x.Errors = 1 }) })
+				f.later(end, func() { n.UpdateFaults(func(x *node.Faults) { x.Errors = 0 }) })
 			case "silence":
 				f.later(begin, func() {
-					n.Set(func(x *node.Faults) { x.Silent = true })
+					n.UpdateFaults(func(x *node.Faults) { x.Silent = true })
 					f.tell(f.day.List.SilentNotice.Span(), n, "gone")
 				})
 				f.later(end, func() { f.bringBack(n) })
@@ -325,7 +325,7 @@
 		}
 		f.at(t, func() {
 			if t.Extra > 0.5 {
-				n.Set(func(x *node.Faults) { x.Silent = true })
+				n.UpdateFaults(func(x *node.Faults) { x.Silent = true })
 				f.tell(f.day.List.SilentNotice.Span(), n, "gone")
 				return
 			}
@@ -361,7 +361,7 @@
 	for _, n := range f.nodes {
 		inside := n.At().Zone == f.day.Service.Zones[zone]
 		deaf := func(p int) bool { return p >= 0 && p < len(f.proxies) && (f.proxies[p].zone == zone) != inside }
-		f.at(t, func() { n.Set(func(x *node.Faults) { x.Deaf = deaf }) }, func() { n.Set(func(x *node.Faults) { x.Deaf = nil }) })
+		f.at(t, func() { n.UpdateFaults(func(x *node.Faults) { x.Deaf = deaf }) }, func() { n.UpdateFaults(func(x *node.Faults) { x.Deaf = nil }) })
 	}
 }
 
