--- a/lab/trouble.go
+++ b/lab/trouble.go
@@ -361,7 +361,7 @@
 	for _, n := range f.nodes {
 		inside := n.At().Zone == f.day.Service.Zones[zone]
 		deaf := func(p int) bool { return p >= 0 && p < len(f.proxies) && (f.proxies[p].zone == zone) != inside }
-		f.at(t, func() { n.UpdateFaults(func(x *node.Faults) { x.Deaf = deaf }) }, func() { n.UpdateFaults(func(x *node.Faults) { x.Deaf = nil }) })
+		f.at(t, func() { n.UpdateFaults(func(x *node.Faults) { x.SilentTo = deaf }) }, func() { n.UpdateFaults(func(x *node.Faults) { x.SilentTo = nil }) })
 	}
 }
 
