--- a/lab/trouble.go
+++ b/lab/trouble.go
@@ -178,7 +178,7 @@
 				}
 				return late, 1 - (1-t.Extra)*(1-t.Extra)
 			}
-			f.at(t, func() { n.UpdateFaults(func(x *node.Faults) { x.Far = far }) }, func() { n.UpdateFaults(func(x *node.Faults) { x.Far = nil }) })
+			f.at(t, func() { n.UpdateFaults(func(x *node.Faults) { x.PathFrom = far }) }, func() { n.UpdateFaults(func(x *node.Faults) { x.PathFrom = nil }) })
 		}
 	},
 }
