--- a/lab/trouble.go
+++ b/lab/trouble.go
@@ -33,7 +33,7 @@
 		}
 	},
 	"hang":        nodeTrouble(func(x *node.Faults, t *files.Trouble, on bool) { x.Hang = on }),
-	"fast_errors": nodeTrouble(func(x *node.Faults, t *files.Trouble, on bool) { x.Errors = when(on, t.Size) }),
+	"fast_errors": nodeTrouble(func(x *node.Faults, t *files.Trouble, on bool) { x.ErrorShare = when(on, t.Size) }),
 	"answer_lost": nodeTrouble(func(x *node.Faults, t *files.Trouble, on bool) { x.Lost = when(on, t.Size) }),
 	"shared_slow": nodeTrouble(func(x *node.Faults, t *files.Trouble, on bool) { x.Slow = when(on, t.Size) }),
 	"handshake_slow": nodeTrouble(func(x *node.Faults, t *files.Trouble, on bool) {
@@ -297,8 +297,8 @@
 				f.later(begin, func() { n.UpdateFaults(func(x *node.Faults) { x.Hang = true }) })
 				f.later(end, func() { n.UpdateFaults(func(x *node.Faults) { x.Hang = false }) })
 			case "errors":
-				f.later(begin, func() { n.UpdateFaults(func(x *node.Faults) { x.Errors = 1 }) })
-				f.later(end, func() { n.UpdateFaults(func(x *node.Faults) { x.Errors = 0 }) })
+				f.later(begin, func() { n.UpdateFaults(func(x *node.Faults) { x.ErrorShare = 1 }) })
+				f.later(end, func() { n.UpdateFaults(func(x *node.Faults) { x.ErrorShare = 0 }) })
 			case "silence":
 				f.later(begin, func() {
 					n.UpdateFaults(func(x *node.Faults) { x.Silent = true })
