--- a/lab/orders_test.go
+++ b/lab/orders_test.go
@@ -446,7 +446,7 @@
 					m.Changes[i].Again = control.OnceMore
 				}
 			}
-		}, trust: func(s *files.Service) { s.OpTypes[2].Repeat = "retryable" }, trouble: func(t *node.Faults) { t.Lost = 0.3 }},
+		}, trust: func(s *files.Service) { s.OpTypes[2].Repeat = "retryable" }, trouble: func(t *node.Faults) { t.LostAnswerShare = 0.3 }},
 		"withdrawals that never come": {rule: 3, order: "tick,drain,tick,tick,tick", lose: true, every: 40 * time.Millisecond},
 		"a cold one at its whole weight": {rule: 4, order: "tick,cold,tick,tick", work: 60 * time.Millisecond, every: 20 * time.Millisecond, day: func(d *files.Day) {
 			d.Limits.OverloadFactor, d.Limits.DrainGrace = 1, files.Duration(100*time.Millisecond)
--- a/lab/repeats_test.go
+++ b/lab/repeats_test.go
@@ -290,7 +290,7 @@
 func loseAnswers(share float64) func(f *tiny) {
 	return func(f *tiny) {
 		for _, n := range f.nodes {
-			n.UpdateFaults(func(t *node.Faults) { t.Lost = share })
+			n.UpdateFaults(func(t *node.Faults) { t.LostAnswerShare = share })
 		}
 	}
 }
