--- a/lab/trouble.go
+++ b/lab/trouble.go
@@ -37,7 +37,7 @@
 	"answer_lost": nodeTrouble(func(x *node.Faults, t *files.Trouble, on bool) { x.LostAnswerShare = when(on, t.Size) }),
 	"shared_slow": nodeTrouble(func(x *node.Faults, t *files.Trouble, on bool) { x.SlowFactor = when(on, t.Size) }),
 	"handshake_slow": nodeTrouble(func(x *node.Faults, t *files.Trouble, on bool) {
-		x.Handshake, x.FirstOpDelay = when(on, t.Extra), time.Duration(when(on, t.Size)*float64(time.Millisecond))
+		x.HandshakeFactor, x.FirstOpDelay = when(on, t.Extra), time.Duration(when(on, t.Size)*float64(time.Millisecond))
 	}),
 	"heavy_tail": func(f *fleet, t *files.Trouble) {
 		kind := f.rng.IntN(len(f.day.Service.OpTypes))
