--- a/lab/check.go
+++ b/lab/check.go
@@ -36,7 +36,7 @@
 	arrivals []node.Arrival
 	effects  []node.Effect
 	ops      []*op
-	falls    []node.Fall
+	falls    []node.Crash
 	mixed    []string // requests and answers that were mixed with others
 	until    time.Duration
 }
--- a/lab/check_test.go
+++ b/lab/check_test.go
@@ -151,13 +151,13 @@
 			c.join(s)
 			c.order(3*s, 3*s, 3*s, 5, one, two, bind)
 			c.try(4*s, 2, 1, 0, true)
-			c.falls = []node.Fall{{At: 4 * s, Endpoint: 2}}
+			c.falls = []node.Crash{{At: 4 * s, Endpoint: 2}}
 		}},
 		{"cold, pushed over unknowingly", "", func(c *scene) {
 			c.list(2*s, "changes", "started", 2)
 			c.join(s)
 			c.try(3*s, 2, 1, 0, true)
-			c.falls = []node.Fall{{At: 3 * s, Endpoint: 2}}
+			c.falls = []node.Crash{{At: 3 * s, Endpoint: 2}}
 		}},
 		{"a full queue", "", func(c *scene) { c.join(s); c.order(2*s, 4*s, 5*s, 9600, one, two, bind) }},
 		{"a queue past its bound", "5", func(c *scene) {
