--- a/lab/run.go
+++ b/lab/run.go
@@ -114,13 +114,13 @@
 func (f *fleet) report(s *source, begin time.Time, start, until time.Duration, connections float64) (*Report, error) {
 	d := f.day
 	e := &evidence{service: &d.Service, limits: &d.Limits, channel: &d.Channel, from: f.ledger.From(), passed: f.tap.All(),
-		arrivals: f.ledger.Arrivals(), effects: f.ledger.Effects(), ops: s.ops, falls: f.ledger.Falls(), mixed: f.ledger.Mixed(), until: until}
+		arrivals: f.ledger.Arrivals(), effects: f.ledger.Effects(), ops: s.ops, falls: f.ledger.Crashes(), mixed: f.ledger.Mixed(), until: until}
 	h, err := e.read(len(f.pilots))
 	if err != nil {
 		return nil, err
 	}
 	r := &Report{Day: d.Name, Seed: d.Seed, Took: time.Since(begin), Nodes: len(f.nodes), Proxies: len(f.proxies),
-		Pilots: len(f.pilots), PerSecond: f.perSecond(), Ops: len(s.ops), Breaks: e.check(h), Falls: len(f.ledger.Falls())}
+		Pilots: len(f.pilots), PerSecond: f.perSecond(), Ops: len(s.ops), Breaks: e.check(h), Falls: len(f.ledger.Crashes())}
 	for _, x := range h.streams {
 		if x.joined >= 0 && x.resumed {
 			r.Resumes++
