--- a/lab/load.go
+++ b/lab/load.go
@@ -307,9 +307,9 @@
 // checkSign notes an answer that is another op's, and one that blames the request, for each is well formed.
 func (s *source) checkSign(o *op, a *upstream.Answer) {
 	if a.Status >= 400 && a.Status < 500 {
-		s.ledger.Mix(fmt.Sprintf("op %d was answered %d", o.number, a.Status))
+		s.ledger.RecordMixUp(fmt.Sprintf("op %d was answered %d", o.number, a.Status))
 	}
 	if got := a.Get(sign.Field); got != nil && string(got) != strconv.FormatUint(o.number, 10) {
-		s.ledger.Mix(fmt.Sprintf("op %d got the answer of %s", o.number, got))
+		s.ledger.RecordMixUp(fmt.Sprintf("op %d got the answer of %s", o.number, got))
 	}
 }
