--- a/lab/orders_test.go
+++ b/lab/orders_test.go
@@ -278,7 +278,7 @@
 // check returns the rules that are broken by now.
 func (f *tiny) check() []Break {
 	e := &evidence{service: &f.day.Service, limits: &f.day.Limits, channel: &f.day.Channel, from: f.ledger.From(), passed: f.tap.All(),
-		arrivals: f.ledger.Arrivals(), falls: f.ledger.Crashes(), mixed: f.ledger.Mixed(), until: time.Since(f.ledger.From())}
+		arrivals: f.ledger.Arrivals(), falls: f.ledger.Crashes(), mixed: f.ledger.MixUps(), until: time.Since(f.ledger.From())}
 	h, err := e.read(2)
 	if err != nil {
 		f.t.Error(err)
