--- a/cmd/vetchdoor/daemons.go
+++ b/cmd/vetchdoor/daemons.go
@@ -104,7 +104,7 @@
 			defer cancel()
 			var all sync.WaitGroup
 			for _, n := range running {
-				all.Go(func() { n.StopInOrder(ctx) })
+				all.Go(func() { n.Shutdown(ctx) })
 			}
 			all.Wait()
 			slog.Info("nodes ended", "tries", len(ledger.Arrivals()), "effects", len(ledger.Effects()))
--- a/cmd/vetchdoor/soak_parts_test.go
+++ b/cmd/vetchdoor/soak_parts_test.go
@@ -380,7 +380,7 @@
 	if vanishes {
 		n.Stop()
 	} else {
-		n.StopInOrder(ctx)
+		n.Shutdown(ctx)
 	}
 	// A process that is just being started holds a copy of the old listener until it becomes the program.
 	err := n.Start(true)
--- a/lab/node/node.go
+++ b/lab/node/node.go
@@ -184,9 +184,9 @@
 // keepIdle is how long a process that ends in order keeps a connection on which no request comes.
 const keepIdle = time.Second
 
-// StopInOrder answers what is in hand and what still comes on open connections, until they have gone or the context ends;
+// Shutdown answers what is in hand and what still comes on open connections, until they have gone or the context ends;
 // then it ends the process.
-func (n *Node) StopInOrder(ctx context.Context) {
+func (n *Node) Shutdown(ctx context.Context) {
 	n.mu.Lock()
 	s := n.server
 	n.mu.Unlock()
--- a/lab/node/node_test.go
+++ b/lab/node/node_test.go
@@ -227,7 +227,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	stopped := make(chan struct{})
-	go func() { n.StopInOrder(context.Background()); close(stopped) }()
+	go func() { n.Shutdown(context.Background()); close(stopped) }()
 	for {
 		c, err := net.DialTimeout("tcp", n.Address(), 50*time.Millisecond)
 		if err != nil {
