--- a/lab/fleet.go
+++ b/lab/fleet.go
@@ -374,7 +374,7 @@
 	}
 	power := 0.0
 	for _, n := range f.nodes {
-		power += n.Power()
+		power += n.Capacity()
 	}
 	return f.day.Load.OfCapacity * power / meanWork(&f.day.Load).Seconds()
 }
