--- a/lab/trouble.go
+++ b/lab/trouble.go
@@ -265,7 +265,7 @@
 // bringBack starts a node anew, cold; the list hears of it in time.
 func (f *fleet) bringBack(n *node.Node) {
 	n.Stop()
-	if n.Start(true) == nil && n.Up() {
+	if n.Start(true) == nil && n.Running() {
 		f.tell(f.day.List.Add.Span(), n, "ready")
 	}
 }
