--- a/lab/fleet.go
+++ b/lab/fleet.go
@@ -179,7 +179,7 @@
 
 // entry is how the list shows a node.
 func (f *fleet) entry(n *node.Node, mode string) (roster.Entry, error) {
-	a := n.At()
+	a := n.Config()
 	at, err := netip.ParseAddrPort(n.Address())
 	if err != nil {
 		return roster.Entry{}, err
--- a/lab/orders_test.go
+++ b/lab/orders_test.go
@@ -193,7 +193,7 @@
 
 func (f *tiny) entry(i int, mode string, weight float64) roster.Entry {
 	n := f.nodes[i]
-	e := roster.Entry{Endpoint: n.Endpoint(), Address: netip.MustParseAddrPort(n.Address()), Zone: n.At().Zone, Pack: n.At().Pack,
+	e := roster.Entry{Endpoint: n.Endpoint(), Address: netip.MustParseAddrPort(n.Address()), Zone: n.Config().Zone, Pack: n.Config().Pack,
 		Weight: weight, Mode: mode}
 	if s := n.Started(); !s.IsZero() {
 		e.Started = s.UnixMilli()
--- a/lab/packs.go
+++ b/lab/packs.go
@@ -12,7 +12,7 @@
 // packsOf are the packs of nodes, by zone, as settings name them.
 func packsOf(nodes []*node.Node) (packs map[string][]int) {
 	for _, n := range nodes {
-		packs = withPack(packs, n.At())
+		packs = withPack(packs, n.Config())
 	}
 	return packs
 }
--- a/lab/repeats_test.go
+++ b/lab/repeats_test.go
@@ -207,7 +207,7 @@
 
 // group is where a server stands, as zone and pack.
 func (f *tiny) group(id int) string {
-	at := f.nodes[id].At()
+	at := f.nodes[id].Config()
 	return fmt.Sprintf("%s.%d", at.Zone, at.Pack)
 }
 
--- a/lab/run.go
+++ b/lab/run.go
@@ -156,7 +156,7 @@
 		channel: f.day.Channel.LinesPerSecond * span.Seconds() * float64(len(f.pilots))}
 	zones := map[control.EndpointID]string{}
 	for id, n := range f.nodeByID() {
-		zones[id] = n.At().Zone
+		zones[id] = n.Config().Zone
 	}
 	for _, a := range f.ledger.Arrivals() {
 		r.Tries++
--- a/lab/trouble.go
+++ b/lab/trouble.go
@@ -167,7 +167,7 @@
 		}
 		late := time.Duration(2 * t.Size * float64(aim)) // there and back
 		for _, n := range f.nodes {
-			at := f.day.Service.ZoneIndex(n.At().Zone)
+			at := f.day.Service.ZoneIndex(n.Config().Zone)
 			far := func(p int) (time.Duration, float64) {
 				if p < 0 || p >= len(f.proxies) {
 					return 0, 0
@@ -239,7 +239,7 @@
 	}
 	var out []*node.Node
 	for _, i := range pick(f, len(f.nodes), part, nil) {
-		if t.Zone == "" || f.nodes[i].At().Zone == t.Zone {
+		if t.Zone == "" || f.nodes[i].Config().Zone == t.Zone {
 			out = append(out, f.nodes[i])
 		}
 	}
@@ -320,7 +320,7 @@
 func (f *fleet) loseZone(t *files.Trouble) {
 	zone := f.zoneOf(t)
 	for _, n := range f.nodes {
-		if n.At().Zone != f.day.Service.Zones[zone] {
+		if n.Config().Zone != f.day.Service.Zones[zone] {
 			continue
 		}
 		f.at(t, func() {
@@ -359,7 +359,7 @@
 		}
 	}
 	for _, n := range f.nodes {
-		inside := n.At().Zone == f.day.Service.Zones[zone]
+		inside := n.Config().Zone == f.day.Service.Zones[zone]
 		deaf := func(p int) bool { return p >= 0 && p < len(f.proxies) && (f.proxies[p].zone == zone) != inside }
 		f.at(t, func() { n.UpdateFaults(func(x *node.Faults) { x.SilentTo = deaf }) }, func() { n.UpdateFaults(func(x *node.Faults) { x.SilentTo = nil }) })
 	}
