--- a/lab/check.go
+++ b/lab/check.go
@@ -32,7 +32,7 @@
 	limits   *files.Limits
 	channel  *files.Channel
 	from     time.Time // when the times of the rest begin
-	passed   []link.Passed
+	passed   []link.Transfer
 	arrivals []node.Arrival
 	effects  []node.Effect
 	ops      []*op
@@ -86,7 +86,7 @@
 // read makes a history of the taps. What cannot be read is an error: the parts speak a wire that this checker knows.
 func (e *evidence) read(pilots int) (*history, error) {
 	h := &history{lists: make([][]listed, pilots), places: places{}}
-	byConn := map[int][]link.Passed{}
+	byConn := map[int][]link.Transfer{}
 	var order []int
 	for _, p := range e.passed {
 		if byConn[p.Conn] == nil {
@@ -121,7 +121,7 @@
 	return h, nil
 }
 
-func (e *evidence) readList(to []listed, at places, pieces []link.Passed) ([]listed, error) {
+func (e *evidence) readList(to []listed, at places, pieces []link.Transfer) ([]listed, error) {
 	now := map[control.EndpointID]bool{}
 	for _, l := range to {
 		now[l.endpoint] = true
@@ -169,7 +169,7 @@
 	return to, nil
 }
 
-func (e *evidence) readStream(s *streamSeen, pieces []link.Passed) error {
+func (e *evidence) readStream(s *streamSeen, pieces []link.Transfer) error {
 	blocks, scan := runtime.NewBlocks(1<<24), runtime.NewScanner(runtime.Orders)
 	byNumber := map[uint64]*messageSeen{}
 	for _, p := range pieces {
