--- a/lab/check.go
+++ b/lab/check.go
@@ -195,7 +195,7 @@
 					s.hello = b
 				case runtime.InForce:
 					if m := byNumber[b.Number]; m != nil && m.inForce < 0 {
-						m.inForce, m.again = p.Came, b.Again
+						m.inForce, m.again = p.ReceivedAt, b.Again
 					}
 				}
 			}
@@ -221,7 +221,7 @@
 					if err != nil {
 						return err
 					}
-					seen := &messageSeen{Message: m, left: p.Came, reached: p.Gone, inForce: -1}
+					seen := &messageSeen{Message: m, left: p.ReceivedAt, reached: p.Gone, inForce: -1}
 					seen.ordered = time.UnixMicro(int64(m.Run)).Sub(e.from) + m.At
 					byNumber[m.Number] = seen
 					s.messages = append(s.messages, seen)
--- a/lab/links_test.go
+++ b/lab/links_test.go
@@ -196,7 +196,7 @@
 			time.Sleep(100 * time.Millisecond)
 			heard := false
 			for _, p := range f.tap.All() {
-				heard = heard || p.Direction == link.Up && p.Came >= begin && strings.HasPrefix(p.Link, "stream 2 ") && strings.HasPrefix(string(p.Data), "sums ")
+				heard = heard || p.Direction == link.Up && p.ReceivedAt >= begin && strings.HasPrefix(p.Link, "stream 2 ") && strings.HasPrefix(string(p.Data), "sums ")
 			}
 			if !heard {
 				f.t.Error("its last sums are lost")
