--- a/lab/check.go
+++ b/lab/check.go
@@ -152,7 +152,7 @@
 				if x.Started > 0 {
 					started = time.UnixMilli(x.Started).Sub(e.from)
 				}
-				to = append(to, listed{p.Gone, x.Endpoint, mode, started})
+				to = append(to, listed{p.ForwardedAt, x.Endpoint, mode, started})
 				if named[x.Endpoint], now[x.Endpoint] = true, true; mode != control.Gone {
 					at[x.Endpoint] = place{x.Zone, x.Pack}
 				}
@@ -160,7 +160,7 @@
 			if u.Kind == "full" {
 				for id := range now {
 					if !named[id] {
-						to = append(to, listed{p.Gone, id, control.Gone, 0})
+						to = append(to, listed{p.ForwardedAt, id, control.Gone, 0})
 					}
 				}
 			}
@@ -175,7 +175,7 @@
 	for _, p := range pieces {
 		switch {
 		case p.End:
-			s.ended = p.Gone
+			s.ended = p.ForwardedAt
 		case p.Direction == link.Up:
 			blocks.Feed(p.Data)
 			for {
@@ -215,13 +215,13 @@
 					if err != nil {
 						return err
 					}
-					s.joined, s.run, s.resumed = p.Gone, w.Run, w.Resumed
+					s.joined, s.run, s.resumed = p.ForwardedAt, w.Run, w.Resumed
 				case c.Is("apply"):
 					m, err := runtime.ParseMessage(c)
 					if err != nil {
 						return err
 					}
-					seen := &messageSeen{Message: m, left: p.ReceivedAt, reached: p.Gone, inForce: -1}
+					seen := &messageSeen{Message: m, left: p.ReceivedAt, reached: p.ForwardedAt, inForce: -1}
 					seen.ordered = time.UnixMicro(int64(m.Run)).Sub(e.from) + m.At
 					byNumber[m.Number] = seen
 					s.messages = append(s.messages, seen)
--- a/lab/check_test.go
+++ b/lab/check_test.go
@@ -39,7 +39,7 @@
 }
 
 func (c *scene) pass(at time.Duration, name string, conn int, d link.Direction, text string) {
-	c.passed = append(c.passed, link.Transfer{Link: name, Conn: conn, Direction: d, ReceivedAt: at, Gone: at, Data: []byte(text)})
+	c.passed = append(c.passed, link.Transfer{Link: name, Conn: conn, Direction: d, ReceivedAt: at, ForwardedAt: at, Data: []byte(text)})
 }
 
 func (c *scene) list(at time.Duration, kind, mode string, ids ...control.EndpointID) {
