--- a/lab/links_test.go
+++ b/lab/links_test.go
@@ -137,7 +137,7 @@
 
 // streams are those of the day so far, by proxy and pilot.
 func (f *tiny) streams() (out []string) {
-	for _, p := range f.tap.All() {
+	for _, p := range f.tap.Transfers() {
 		if p.Direction == link.Up && strings.HasPrefix(string(p.Data), "hello ") {
 			out = append(out, fmt.Sprint(p.Link, " ", p.Conn))
 		}
@@ -173,7 +173,7 @@
 		inTiny(t, breach{}, func(f *tiny) {
 			f.pilots[0].Stop()
 			heard := 0
-			for _, p := range f.tap.All() {
+			for _, p := range f.tap.Transfers() {
 				if p.Direction == link.Down && strings.HasPrefix(string(p.Data), "away ") {
 					heard++
 				}
@@ -195,7 +195,7 @@
 			f.proxies[2].Stop(context.Background())
 			time.Sleep(100 * time.Millisecond)
 			heard := false
-			for _, p := range f.tap.All() {
+			for _, p := range f.tap.Transfers() {
 				heard = heard || p.Direction == link.Up && p.ReceivedAt >= begin && strings.HasPrefix(p.Link, "stream 2 ") && strings.HasPrefix(string(p.Data), "sums ")
 			}
 			if !heard {
--- a/lab/orders_test.go
+++ b/lab/orders_test.go
@@ -277,7 +277,7 @@
 
 // check returns the rules that are broken by now.
 func (f *tiny) check() []Break {
-	e := &evidence{service: &f.day.Service, limits: &f.day.Limits, channel: &f.day.Channel, from: f.ledger.From(), passed: f.tap.All(),
+	e := &evidence{service: &f.day.Service, limits: &f.day.Limits, channel: &f.day.Channel, from: f.ledger.From(), passed: f.tap.Transfers(),
 		arrivals: f.ledger.Arrivals(), falls: f.ledger.Crashes(), mixed: f.ledger.MixUps(), until: time.Since(f.ledger.From())}
 	h, err := e.read(2)
 	if err != nil {
@@ -347,7 +347,7 @@
 		}
 		broken, after = f.check(), "the end"
 		if *one != "" || plant.rule > 0 {
-			t.Logf("%d arrivals, %d effects, %d falls, %d pieces", len(f.ledger.Arrivals()), len(f.ledger.Effects()), len(f.ledger.Crashes()), len(f.tap.All()))
+			t.Logf("%d arrivals, %d effects, %d falls, %d pieces", len(f.ledger.Arrivals()), len(f.ledger.Effects()), len(f.ledger.Crashes()), len(f.tap.Transfers()))
 			for _, p := range f.proxies {
 				t.Log(p.Info(), p.Stat())
 			}
--- a/lab/run.go
+++ b/lab/run.go
@@ -113,7 +113,7 @@
 // report checks the rules and adds up the service.
 func (f *fleet) report(s *source, begin time.Time, start, until time.Duration, connections float64) (*Report, error) {
 	d := f.day
-	e := &evidence{service: &d.Service, limits: &d.Limits, channel: &d.Channel, from: f.ledger.From(), passed: f.tap.All(),
+	e := &evidence{service: &d.Service, limits: &d.Limits, channel: &d.Channel, from: f.ledger.From(), passed: f.tap.Transfers(),
 		arrivals: f.ledger.Arrivals(), effects: f.ledger.Effects(), ops: s.ops, falls: f.ledger.Crashes(), mixed: f.ledger.MixUps(), until: until}
 	h, err := e.read(len(f.pilots))
 	if err != nil {
