--- a/lab/fleet.go
+++ b/lab/fleet.go
@@ -195,7 +195,7 @@
 }
 
 // way is how long a piece takes between two zones.
-func (f *fleet) way(a, b int, extra files.Duration, seed uint64) link.Way {
+func (f *fleet) way(a, b int, extra files.Duration, seed uint64) link.Delay {
 	base := f.day.Net.Same.Span()
 	if a != b {
 		base = f.day.Net.Cross.Span()
--- a/lab/orders_test.go
+++ b/lab/orders_test.go
@@ -149,14 +149,14 @@
 	f.pilots, f.proxies = make([]*pilot.Pilot, 2), make([]*proxy.Proxy, 3)
 	for j := range f.pilots {
 		f.lists[j] = &link.Road{Name: fmt.Sprintf("list %d", j), Target: "10.0.3.1:80",
-			Ways: [2]link.Way{steady(time.Millisecond), steady(time.Duration(5+20*j) * time.Millisecond)}}
+			Ways: [2]link.Delay{steady(time.Millisecond), steady(time.Duration(5+20*j) * time.Millisecond)}}
 		f.net.Road(fmt.Sprintf("list-%d", j), f.lists[j])
 		f.startPilot(j)
 	}
 	for i := range f.proxies {
 		for j := range f.pilots {
 			hears := time.Duration(7+i) * time.Millisecond
-			r := &link.Road{Name: fmt.Sprintf("stream %d %d", i, j), Target: f.pilots[j].Address(), Ways: [2]link.Way{
+			r := &link.Road{Name: fmt.Sprintf("stream %d %d", i, j), Target: f.pilots[j].Address(), Ways: [2]link.Delay{
 				func() time.Duration { return hears + time.Duration(f.late.Load()) }, steady(time.Duration(40+i) * time.Millisecond)}}
 			if plant.alter != nil {
 				r.Alter = f.altered
@@ -169,7 +169,7 @@
 	return f
 }
 
-func steady(d time.Duration) link.Way { return func() time.Duration { return d } }
+func steady(d time.Duration) link.Delay { return func() time.Duration { return d } }
 
 // altered rewrites the messages of a pilot.
 func (f *tiny) altered(d link.Direction, b []byte) []byte {
