--- a/lab/orders_test.go
+++ b/lab/orders_test.go
@@ -71,8 +71,8 @@
 	list    *stand.Server
 	pilots  []*pilot.Pilot
 	proxies []*proxy.Proxy
-	roads   [3][2]*link.Road
-	lists   [2]*link.Road // from the list to the pilots
+	roads   [3][2]*link.MemoryLink
+	lists   [2]*link.MemoryLink // from the list to the pilots
 	late    atomic.Int64
 	ops     *source
 	stop    chan struct{}
@@ -148,7 +148,7 @@
 	}
 	f.pilots, f.proxies = make([]*pilot.Pilot, 2), make([]*proxy.Proxy, 3)
 	for j := range f.pilots {
-		f.lists[j] = &link.Road{Name: fmt.Sprintf("list %d", j), Target: "10.0.3.1:80",
+		f.lists[j] = &link.MemoryLink{Name: fmt.Sprintf("list %d", j), Target: "10.0.3.1:80",
 			Ways: [2]link.Delay{steady(time.Millisecond), steady(time.Duration(5+20*j) * time.Millisecond)}}
 		f.net.Road(fmt.Sprintf("list-%d", j), f.lists[j])
 		f.startPilot(j)
@@ -156,7 +156,7 @@
 	for i := range f.proxies {
 		for j := range f.pilots {
 			hears := time.Duration(7+i) * time.Millisecond
-			r := &link.Road{Name: fmt.Sprintf("stream %d %d", i, j), Target: f.pilots[j].Address(), Ways: [2]link.Delay{
+			r := &link.MemoryLink{Name: fmt.Sprintf("stream %d %d", i, j), Target: f.pilots[j].Address(), Ways: [2]link.Delay{
 				func() time.Duration { return hears + time.Duration(f.late.Load()) }, steady(time.Duration(40+i) * time.Millisecond)}}
 			if plant.alter != nil {
 				r.Alter = f.altered
@@ -256,7 +256,7 @@
 }
 
 // road is the one that a proxy's stream is on.
-func (f *tiny) road(i int) *link.Road { return f.roads[i][i%2] }
+func (f *tiny) road(i int) *link.MemoryLink { return f.roads[i][i%2] }
 
 // load has ops come to each proxy from now on.
 func (f *tiny) load(span time.Duration) {
--- a/lab/repeats_test.go
+++ b/lab/repeats_test.go
@@ -71,9 +71,9 @@
 		d.Service.CrossZone = c.crossZone
 		d.Service.OpTypes[tallyType].Group, d.Service.OpTypes[tallyType].DedupWindow = c.group, files.Duration(repeatWindow)
 	}}, func(f *tiny) {
-		roads := [2]*link.Road{}
+		roads := [2]*link.MemoryLink{}
 		for try, proxy := range []int{c.first, c.second} {
-			roads[try] = &link.Road{Name: fmt.Sprint("client ", try), Target: f.ops.targets[proxy]}
+			roads[try] = &link.MemoryLink{Name: fmt.Sprint("client ", try), Target: f.ops.targets[proxy]}
 			f.net.Road(fmt.Sprint("client-", try), roads[try])
 		}
 		if c.before != nil {
