--- a/lab/repeats_test.go
+++ b/lab/repeats_test.go
@@ -74,7 +74,7 @@
 		roads := [2]*link.MemoryLink{}
 		for try, proxy := range []int{c.first, c.second} {
 			roads[try] = &link.MemoryLink{Name: fmt.Sprint("client ", try), Target: f.ops.targets[proxy]}
-			f.net.Road(fmt.Sprint("client-", try), roads[try])
+			f.net.AddLink(fmt.Sprint("client-", try), roads[try])
 		}
 		if c.before != nil {
 			c.before(f)
