--- a/lab/links_test.go
+++ b/lab/links_test.go
@@ -65,20 +65,20 @@
 		"between apply and confirm": func(f *tiny) {
 			for i := range 6 {
 				f.list.Set(f.entry(0, "ready", float64(2+i)))
-				f.road(0).BreakWithin(link.Up, 1+i)
+				f.road(0).BreakAfter(link.Up, 1+i)
 				time.Sleep(1500 * time.Millisecond)
 			}
 		},
 		"in the midst of a line down": func(f *tiny) {
 			for i := range 30 {
-				f.road(i%3).BreakWithin(link.Down, 1+7*i)
+				f.road(i%3).BreakAfter(link.Down, 1+7*i)
 				f.list.Set(f.entry(i%4, "ready", float64(1+i%5)))
 				time.Sleep(700 * time.Millisecond)
 			}
 		},
 		"in the midst of a block up": func(f *tiny) {
 			for i := range 30 {
-				f.road(i%3).BreakWithin(link.Up, 1+7*i)
+				f.road(i%3).BreakAfter(link.Up, 1+7*i)
 				f.list.Set(f.entry(i%4, "ready", float64(1+i%5)))
 				time.Sleep(700 * time.Millisecond)
 			}
@@ -86,12 +86,12 @@
 		"in a join": func(f *tiny) {
 			for i := range 30 {
 				f.road(0).Break()
-				f.road(0).BreakWithin(link.Direction(i%2), 1+5*i)
+				f.road(0).BreakAfter(link.Direction(i%2), 1+5*i)
 				time.Sleep(600 * time.Millisecond)
 			}
 		},
 		"in a drain": func(f *tiny) {
-			f.road(0).BreakWithin(link.Down, 60)
+			f.road(0).BreakAfter(link.Down, 60)
 			happenings["drain"](f)
 		},
 		"in its pilot's end": func(f *tiny) {
--- a/lab/orders_test.go
+++ b/lab/orders_test.go
@@ -48,7 +48,7 @@
 		f.list.Set(f.entry(3, "ready", 1))
 	},
 	"late":   func(f *tiny) { f.late.Store(int64(1500 * time.Millisecond)) }, // sums and confirmations, from now on
-	"broken": func(f *tiny) { f.road(0).BreakWithin(link.Down, 40) },         // in the midst of the next line
+	"broken": func(f *tiny) { f.road(0).BreakAfter(link.Down, 40) },          // in the midst of the next line
 	"rejoin": func(f *tiny) { f.proxies[1].Kill(); f.startProxy(1) },         // as one that knows nothing
 	"restart": func(f *tiny) { // of the pilot that most proxies are with
 		f.pilots[0].Kill()
--- a/lab/repeats_test.go
+++ b/lab/repeats_test.go
@@ -84,7 +84,7 @@
 		var writes []*op
 		for i := range repeatedWrites {
 			writes = append(writes, &op{number: uint64(firstRepeated + i), opType: tallyType, tenant: 1 + i, work: 2 * time.Millisecond})
-			roads[0].BreakWithin(link.Down, 1)
+			roads[0].BreakAfter(link.Down, 1)
 			if status := f.ask(writes[i], "client-0"); status != 0 {
 				f.t.Errorf("write %d: the first try's answer was not lost: %d", i, status)
 			}
