--- a/lab/orders_test.go
+++ b/lab/orders_test.go
@@ -143,7 +143,7 @@
 		}
 	}
 	var err error
-	if f.list, err = stand.StartOver(f.net, "10.0.3.1:80", entries); err != nil {
+	if f.list, err = stand.StartOnNet(f.net, "10.0.3.1:80", entries); err != nil {
 		t.Fatal(err)
 	}
 	f.pilots, f.proxies = make([]*pilot.Pilot, 2), make([]*proxy.Proxy, 3)
