--- a/lab/check_test.go
+++ b/lab/check_test.go
@@ -284,7 +284,7 @@
 	t.Parallel()
 	d := brief(t)
 	d.Troubles = []files.Trouble{{Kind: "balancer_crash", At: files.Duration(s), Length: files.Duration(s / 2), Extra: 1}}
-	o := Options{Log: slog.New(slog.DiscardHandler), begin: func(f *fleet) { f.list.Down(true) }}
+	o := Options{Log: slog.New(slog.DiscardHandler), begin: func(f *fleet) { f.list.SetDown(true) }}
 	r, err := playDay(t, d, o)
 	if err != nil {
 		t.Fatal(err)
