--- a/lab/platform/discovery.go
+++ b/lab/platform/discovery.go
@@ -34,14 +34,14 @@
 	Instances  []Instance `json:"instances"`
 }
 
-// Mood is how discovery answers.
-type Mood int
+// Behavior is how discovery answers.
+type Behavior int
 
 const (
-	Well     Mood = iota
-	Silent        // never
-	Nonsense      // what cannot be read
-	Resets        // the whole list, whatever the call
+	Well     Behavior = iota
+	Silent            // never
+	Nonsense          // what cannot be read
+	Resets            // the whole list, whatever the call
 )
 
 // Discovery is a stand-in that many pilots may watch.
@@ -55,7 +55,7 @@
 	version uint64
 	at      map[string]uint64 // version of an endpoint's last change
 	list    map[string]Instance
-	mood    Mood
+	mood    Behavior
 	news    chan struct{} // closed at each change
 	calls   int
 }
@@ -98,7 +98,7 @@
 }
 
 // Feel sets its mood; calls that wait are woken.
-func (d *Discovery) Feel(m Mood) {
+func (d *Discovery) Feel(m Behavior) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.mood = m
