--- a/lab/platform/discovery.go
+++ b/lab/platform/discovery.go
@@ -38,7 +38,7 @@
 type Behavior int
 
 const (
-	Well     Behavior = iota
+	Healthy  Behavior = iota
 	Silent            // never
 	Nonsense          // what cannot be read
 	Resets            // the whole list, whatever the call
