--- a/lab/platform/discovery.go
+++ b/lab/platform/discovery.go
@@ -38,10 +38,10 @@
 type Behavior int
 
 const (
-	Healthy  Behavior = iota
-	Silent            // never
-	Nonsense          // what cannot be read
-	Resets            // the whole list, whatever the call
+	Healthy   Behavior = iota
+	Silent             // never
+	Malformed          // what cannot be read
+	Resets             // the whole list, whatever the call
 )
 
 // Discovery is a stand-in that many pilots may watch.
@@ -154,7 +154,7 @@
 		d.mu.Unlock()
 		switch {
 		case mood == Silent:
-		case mood == Nonsense:
+		case mood == Malformed:
 			fmt.Fprint(w, `{"generation":"of late","instances":[{]}`)
 			return
 		case whole || mood == Resets || len(a.Instances) > 0 || !waiting:
