--- a/lab/platform/discovery.go
+++ b/lab/platform/discovery.go
@@ -38,10 +38,10 @@
 type Behavior int
 
 const (
-	Healthy   Behavior = iota
-	Silent             // never
-	Malformed          // what cannot be read
-	Resets             // the whole list, whatever the call
+	Healthy    Behavior = iota
+	Silent              // never
+	Malformed           // what cannot be read
+	AlwaysFull          // the whole list, whatever the call
 )
 
 // Discovery is a stand-in that many pilots may watch.
@@ -150,14 +150,14 @@
 	over := time.After(time.Duration(ms) * time.Millisecond)
 	for waiting := true; ; {
 		d.mu.Lock()
-		a, mood, news := d.since(after, whole || d.mood == Resets), d.mood, d.news
+		a, mood, news := d.since(after, whole || d.mood == AlwaysFull), d.mood, d.news
 		d.mu.Unlock()
 		switch {
 		case mood == Silent:
 		case mood == Malformed:
 			fmt.Fprint(w, `{"generation":"of late","instances":[{]}`)
 			return
-		case whole || mood == Resets || len(a.Instances) > 0 || !waiting:
+		case whole || mood == AlwaysFull || len(a.Instances) > 0 || !waiting:
 			_ = json.NewEncoder(w).Encode(a)
 			return
 		}
