--- a/lab/platform/discovery.go
+++ b/lab/platform/discovery.go
@@ -97,8 +97,8 @@
 	d.news = make(chan struct{})
 }
 
-// Feel sets its mood; calls that wait are woken.
-func (d *Discovery) Feel(m Behavior) {
+// SetBehavior sets its mood; calls that wait are woken.
+func (d *Discovery) SetBehavior(m Behavior) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.mood = m
