--- a/lab/platform/agent.go
+++ b/lab/platform/agent.go
@@ -9,8 +9,8 @@
 	"sync"
 )
 
-// Agent is discovery by hand: each call waits until it is answered, byte by byte if one likes.
-type Agent struct {
+// ManualDiscovery is discovery by hand: each call waits until it is answered, byte by byte if one likes.
+type ManualDiscovery struct {
 	Calls chan *Call // in the order in which they came
 
 	ln    net.Listener
@@ -28,12 +28,12 @@
 }
 
 // NewAgent starts one at an address of its own.
-func NewAgent() (*Agent, error) {
+func NewAgent() (*ManualDiscovery, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	a := &Agent{Calls: make(chan *Call), ln: ln, done: make(chan struct{}), conns: map[net.Conn]bool{}}
+	a := &ManualDiscovery{Calls: make(chan *Call), ln: ln, done: make(chan struct{}), conns: map[net.Conn]bool{}}
 	go func() {
 		for {
 			c, err := ln.Accept()
@@ -50,13 +50,13 @@
 }
 
 // Address is where it listens.
-func (a *Agent) Address() string { return a.ln.Addr().String() }
+func (a *ManualDiscovery) Address() string { return a.ln.Addr().String() }
 
 // Refuse has it take no more connections; those that are open stay.
-func (a *Agent) Refuse() { a.ln.Close() }
+func (a *ManualDiscovery) Refuse() { a.ln.Close() }
 
 // Close ends it and its connections.
-func (a *Agent) Close() {
+func (a *ManualDiscovery) Close() {
 	a.ln.Close()
 	close(a.done)
 	a.mu.Lock()
@@ -66,7 +66,7 @@
 	}
 }
 
-func (a *Agent) serve(c net.Conn) {
+func (a *ManualDiscovery) serve(c net.Conn) {
 	defer func() {
 		c.Close()
 		a.mu.Lock()
