--- a/lab/platform/agent.go
+++ b/lab/platform/agent.go
@@ -27,8 +27,8 @@
 	next   chan bool
 }
 
-// NewAgent starts one at an address of its own.
-func NewAgent() (*ManualDiscovery, error) {
+// NewManualDiscovery starts one at an address of its own.
+func NewManualDiscovery() (*ManualDiscovery, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
