--- a/cmd/vetchdoor/platform_test.go
+++ b/cmd/vetchdoor/platform_test.go
@@ -80,7 +80,7 @@
 		t.Fatal(err)
 	}
 	defer collector.Close()
-	_ = collector.Say(`{"msg":"telemetry","az":"a"}`)
+	_ = collector.Send(`{"msg":"telemetry","az":"a"}`)
 	var strangers []*platform.Peer
 	for _, say := range []string{"", "half", "GET / HTTP/1.1\r\n\r\n", `{"msg":"attach","sidecar":99,"az":"a","share":1,"standing":true}` + "\n",
 		`{"msg":"hb"}` + "\n", `{"msg":"telemetry","az":"mars"}` + "\n", strings.Repeat("x", 1<<20)} {
@@ -95,8 +95,8 @@
 		}
 	}
 	for i := range 20 {
-		_ = collector.Say(`{"msg":"upstream_stats","az":"a","host":"s-%d","n":20,"bad":0,"avg":50,"window":200,"report":{"util":0.5}}`, i%4)
-		_ = collector.Say(`{"msg":"upstream_stats","az":"a","host":"s-%d","n":-20,"bad":"no","window":1e999}`, i%4)
+		_ = collector.Send(`{"msg":"upstream_stats","az":"a","host":"s-%d","n":20,"bad":0,"avg":50,"window":200,"report":{"util":0.5}}`, i%4)
+		_ = collector.Send(`{"msg":"upstream_stats","az":"a","host":"s-%d","n":-20,"bad":"no","window":1e999}`, i%4)
 		_ = proxies[i%8].Say(`{"msg":"client_stats","sidecar":%d,"kind":"read","n":9,"bad":0,"window":200}`, i%8)
 		_ = proxies[i%8].Say(`{"msg":"done","sidecar":%d,"version":65000,"lag_ms":1}`, i%8)
 	}
--- a/lab/platform/peer.go
+++ b/lab/platform/peer.go
@@ -24,8 +24,8 @@
 	return &Peer{Conn: c, in: bufio.NewReader(c)}, nil
 }
 
-// Say sends a line.
-func (p *Peer) Say(format string, args ...any) error {
+// Send sends a line.
+func (p *Peer) Send(format string, args ...any) error {
 	_, err := fmt.Fprintf(p.Conn, format+"\n", args...)
 	return err
 }
@@ -88,7 +88,7 @@
 		p.tables, p.levels, p.out = before.tables, before.levels, before.out
 		before.mu.Unlock()
 	}
-	if err := peer.Say(`{"msg":"attach","sidecar":%d,"az":%q,"share":5.5,"standing":%v}`, number, zone, before == nil); err != nil {
+	if err := peer.Send(`{"msg":"attach","sidecar":%d,"az":%q,"share":5.5,"standing":%v}`, number, zone, before == nil); err != nil {
 		return nil, err
 	}
 	go p.follow()
@@ -173,13 +173,13 @@
 		p.messages++
 	}
 	if o.Nonce != nil && !p.mute {
-		return p.peer.Say(`{"msg":"done","sidecar":%d,"version":%d,"lag_ms":12.5}`, p.Number, *o.Nonce)
+		return p.peer.Send(`{"msg":"done","sidecar":%d,"version":%d,"lag_ms":12.5}`, p.Number, *o.Nonce)
 	}
 	return nil
 }
 
 // Say sends a line on its stream.
-func (p *Proxy) Say(format string, args ...any) error { return p.peer.Say(format, args...) }
+func (p *Proxy) Say(format string, args ...any) error { return p.peer.Send(format, args...) }
 
 // Drop ends its stream.
 func (p *Proxy) Drop() { p.peer.Close() }
