--- a/cmd/vetchdoor/platform_test.go
+++ b/cmd/vetchdoor/platform_test.go
@@ -115,7 +115,7 @@
 
 	for _, s := range strangers {
 		for err = error(nil); err == nil; {
-			_, err = s.Hear(20 * time.Second)
+			_, err = s.Receive(20 * time.Second)
 		}
 		if e, ok := err.(net.Error); ok && e.Timeout() {
 			t.Error("a stranger is neither refused nor closed on")
--- a/lab/platform/peer.go
+++ b/lab/platform/peer.go
@@ -44,8 +44,8 @@
 	Continued bool     `json:"continued"`
 }
 
-// Hear returns the next message; an error once the connection has ended or nothing came in time.
-func (p *Peer) Hear(within time.Duration) (o Order, err error) {
+// Receive returns the next message; an error once the connection has ended or nothing came in time.
+func (p *Peer) Receive(within time.Duration) (o Order, err error) {
 	_ = p.SetReadDeadline(time.Now().Add(within))
 	line, err := p.in.ReadBytes('\n')
 	if err != nil {
