--- a/cmd/vetchdoor/soak_parts_test.go
+++ b/cmd/vetchdoor/soak_parts_test.go
@@ -214,7 +214,7 @@
 		return false
 	}
 	defer peer.Close()
-	o, err := func() (platform.Order, error) { _ = peer.Send(`{"msg":"hb"}`); return peer.Receive(time.Second) }()
+	o, err := func() (platform.Message, error) { _ = peer.Send(`{"msg":"hb"}`); return peer.Receive(time.Second) }()
 	return err == nil && o.Msg == "hb_ok"
 }
 
--- a/lab/platform/peer.go
+++ b/lab/platform/peer.go
@@ -30,8 +30,8 @@
 	return err
 }
 
-// Order is a message that a pilot sent.
-type Order struct {
+// Message is a message that a pilot sent.
+type Message struct {
 	Msg       string   `json:"msg"`
 	Routes    []string `json:"routes"`
 	Full      bool     `json:"full"`
@@ -45,7 +45,7 @@
 }
 
 // Receive returns the next message; an error once the connection has ended or nothing came in time.
-func (p *Peer) Receive(within time.Duration) (o Order, err error) {
+func (p *Peer) Receive(within time.Duration) (o Message, err error) {
 	_ = p.SetReadDeadline(time.Now().Add(within))
 	line, err := p.in.ReadBytes('\n')
 	if err != nil {
@@ -118,7 +118,7 @@
 }
 
 func (p *Proxy) take(line []byte, parts *int) error {
-	var o Order
+	var o Message
 	if err := json.Unmarshal(line, &o); err != nil || o.Msg != "assign" || len(line) > 1<<20 {
 		return fmt.Errorf("%.200q: %v", line, err)
 	}
