--- a/cmd/vetchdoor/platform_test.go
+++ b/cmd/vetchdoor/platform_test.go
@@ -97,8 +97,8 @@
 	for i := range 20 {
 		_ = collector.Send(`{"msg":"upstream_stats","az":"a","host":"s-%d","n":20,"bad":0,"avg":50,"window":200,"report":{"util":0.5}}`, i%4)
 		_ = collector.Send(`{"msg":"upstream_stats","az":"a","host":"s-%d","n":-20,"bad":"no","window":1e999}`, i%4)
-		_ = proxies[i%8].Say(`{"msg":"client_stats","sidecar":%d,"kind":"read","n":9,"bad":0,"window":200}`, i%8)
-		_ = proxies[i%8].Say(`{"msg":"done","sidecar":%d,"version":65000,"lag_ms":1}`, i%8)
+		_ = proxies[i%8].Send(`{"msg":"client_stats","sidecar":%d,"kind":"read","n":9,"bad":0,"window":200}`, i%8)
+		_ = proxies[i%8].Send(`{"msg":"done","sidecar":%d,"version":65000,"lag_ms":1}`, i%8)
 	}
 
 	write(t, path, "torn")
--- a/lab/platform/peer.go
+++ b/lab/platform/peer.go
@@ -178,8 +178,8 @@
 	return nil
 }
 
-// Say sends a line on its stream.
-func (p *Proxy) Say(format string, args ...any) error { return p.peer.Send(format, args...) }
+// Send sends a line on its stream.
+func (p *Proxy) Send(format string, args ...any) error { return p.peer.Send(format, args...) }
 
 // Drop ends its stream.
 func (p *Proxy) Drop() { p.peer.Close() }
