--- a/lab/receiver/receiver.go
+++ b/lab/receiver/receiver.go
@@ -92,8 +92,8 @@
 	c.Close()
 }
 
-// Got returns the messages so far, in order, what could not be read, and how many frames were torn.
-func (r *Receiver) Got() (got []*Message, bad []error, torn int) {
+// Received returns the messages so far, in order, what could not be read, and how many frames were torn.
+func (r *Receiver) Received() (got []*Message, bad []error, torn int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return append([]*Message(nil), r.got...), append([]error(nil), r.bad...), r.torn
--- a/pilot/records_test.go
+++ b/pilot/records_test.go
@@ -35,7 +35,7 @@
 // closeAt closes a receiver once it has so many records, of which some are on their way still.
 func closeAt(t *testing.T, got *receiver.Receiver, n int) {
 	t.Helper()
-	until(t, time.Millisecond, "the records came", func() bool { m, _, _ := got.Got(); return len(m) == n })
+	until(t, time.Millisecond, "the records came", func() bool { m, _, _ := got.Received(); return len(m) == n })
 	got.Close()
 }
 
@@ -67,7 +67,7 @@
 	r.close()
 	out.Close()
 	closeAt(t, got, 9)
-	m, bad, _ := got.Got()
+	m, bad, _ := got.Received()
 	want := []string{record.Restart, record.Line, record.Blank, record.Bind, record.Level, record.Withdrawal, record.Note, record.InForce, record.InForce}
 	if len(m) != len(want) || len(bad) > 0 {
 		t.Fatalf("%d records, %v", len(m), bad)
@@ -118,7 +118,7 @@
 	}
 	all.Wait()
 	closeAt(t, got, 1000)
-	m, bad, torn := got.Got()
+	m, bad, torn := got.Received()
 	if len(m) != 1000 || len(bad) > 0 || torn > 0 {
 		t.Fatalf("%d records, %v, %d torn", len(m), bad, torn)
 	}
--- a/syslog/sender_test.go
+++ b/syslog/sender_test.go
@@ -81,7 +81,7 @@
 
 func gotIDs(t *testing.T, r *receiver.Receiver) (out []string) {
 	t.Helper()
-	got, bad, _ := r.Got()
+	got, bad, _ := r.Received()
 	if len(bad) > 0 {
 		t.Fatalf("%d could not be read: %v", len(bad), bad[0])
 	}
@@ -122,10 +122,10 @@
 				s.Put(Informational, numbered(i, Informational))
 				if network != "tcp" && i%20 == 19 { // datagrams that come faster than they are read are lost by the system
 					until(t, "sent", func() bool { return s.Counts().Sent == uint64(i+1) })
-					until(t, "came", func() bool { got, _, _ := r.Got(); return len(got) == i+1 })
+					until(t, "came", func() bool { got, _, _ := r.Received(); return len(got) == i+1 })
 				}
 			}
-			until(t, "came", func() bool { got, _, _ := r.Got(); return len(got) == 500 })
+			until(t, "came", func() bool { got, _, _ := r.Received(); return len(got) == 500 })
 			for i, id := range gotIDs(t, r) {
 				if id != fmt.Sprint(i) {
 					t.Fatalf("%s at place %d", id, i)
@@ -164,7 +164,7 @@
 		t.Errorf("%+v", c)
 	}
 	r := listen(t, "tcp", address, nil)
-	until(t, "all came", func() bool { got, _, _ := r.Got(); return len(got) == 100 })
+	until(t, "all came", func() bool { got, _, _ := r.Received(); return len(got) == 100 })
 	if d := <-told; d[Debug] != 900 || sumOf(d) != 900 {
 		t.Errorf("told %v", d)
 	}
@@ -258,7 +258,7 @@
 			}
 		}
 		r.Close()
-		if _, bad, _ := r.Got(); len(bad) > 0 {
+		if _, bad, _ := r.Received(); len(bad) > 0 {
 			t.Fatalf("seed %d: %v", seed, bad[0])
 		}
 	}
@@ -326,7 +326,7 @@
 		r.SetFaults(receiver.Faults{})
 		for i := 8; ; i++ { // what a system took before it learnt of the reset is lost to us; the next one tells us
 			s.Put(Notice, numbered(i, Notice))
-			if got, _, _ := r.Got(); len(got) > 1 {
+			if got, _, _ := r.Received(); len(got) > 1 {
 				break
 			}
 			time.Sleep(2 * time.Millisecond)
@@ -399,7 +399,7 @@
 	for name, conf := range map[string]*tls.Config{"run out": ca.server(t, "receiver.example", -time.Hour), "another name": ca.server(t, "else.example", time.Hour),
 		"of nobody": other.server(t, "receiver.example", time.Hour)} {
 		r, s := refused(conf)
-		if got, _, _ := r.Got(); len(got) != 0 || s.Counts().Sent != 0 {
+		if got, _, _ := r.Received(); len(got) != 0 || s.Counts().Sent != 0 {
 			t.Errorf("%s: sent", name)
 		}
 	}
