--- a/lab/receiver/receiver.go
+++ b/lab/receiver/receiver.go
@@ -14,10 +14,10 @@
 
 // Faults is how a receiver behaves; the zero value reads all as it comes.
 type Faults struct {
-	Refuse  bool          // closes each connection at once
-	Stall   bool          // accepts, reads nothing
-	PerByte time.Duration // for each byte that it reads
-	CutAt   int           // resets a connection after so many bytes; 0: never
+	Refuse    bool          // closes each connection at once
+	Stall     bool          // accepts, reads nothing
+	ByteDelay time.Duration // for each byte that it reads
+	CutAt     int           // resets a connection after so many bytes; 0: never
 }
 
 // Receiver is a running one.
@@ -187,9 +187,9 @@
 		case x.Stall:
 			<-changed
 			continue
-		case x.PerByte > 0:
+		case x.ByteDelay > 0:
 			select {
-			case <-time.After(x.PerByte):
+			case <-time.After(x.ByteDelay):
 			case <-changed:
 			}
 			b = b[:1]
--- a/syslog/sender_test.go
+++ b/syslog/sender_test.go
@@ -176,7 +176,7 @@
 // A receiver that is stuck in the midst of a frame, reads a byte at a time, refuses or resets, holds nobody up; when it is
 // well again all that was not dropped comes, each at least once, and the torn frames are its own to count.
 func TestTroubles(t *testing.T) {
-	for name, trouble := range map[string]receiver.Faults{"stalls": {Stall: true}, "a byte at a time": {PerByte: 5 * time.Millisecond},
+	for name, trouble := range map[string]receiver.Faults{"stalls": {Stall: true}, "a byte at a time": {ByteDelay: 5 * time.Millisecond},
 		"refuses": {Refuse: true}, "cuts within a frame": {CutAt: 777}} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
