--- a/lab/receiver/receiver.go
+++ b/lab/receiver/receiver.go
@@ -14,10 +14,10 @@
 
 // Faults is how a receiver behaves; the zero value reads all as it comes.
 type Faults struct {
-	Refuse    bool          // closes each connection at once
-	Stall     bool          // accepts, reads nothing
-	ByteDelay time.Duration // for each byte that it reads
-	CutAt     int           // resets a connection after so many bytes; 0: never
+	Refuse     bool          // closes each connection at once
+	Stall      bool          // accepts, reads nothing
+	ByteDelay  time.Duration // for each byte that it reads
+	ResetAfter int           // resets a connection after so many bytes; 0: never
 }
 
 // Receiver is a running one.
@@ -193,11 +193,11 @@
 			case <-changed:
 			}
 			b = b[:1]
-		case x.CutAt > 0 && t.read >= x.CutAt:
+		case x.ResetAfter > 0 && t.read >= x.ResetAfter:
 			reset(t.c)
 			return 0, errors.New("cut")
-		case x.CutAt > 0:
-			b = b[:min(len(b), x.CutAt-t.read)]
+		case x.ResetAfter > 0:
+			b = b[:min(len(b), x.ResetAfter-t.read)]
 		}
 		n, err := t.c.Read(b)
 		t.read += n
--- a/syslog/sender_test.go
+++ b/syslog/sender_test.go
@@ -177,7 +177,7 @@
 // well again all that was not dropped comes, each at least once, and the torn frames are its own to count.
 func TestTroubles(t *testing.T) {
 	for name, trouble := range map[string]receiver.Faults{"stalls": {Stall: true}, "a byte at a time": {ByteDelay: 5 * time.Millisecond},
-		"refuses": {Refuse: true}, "cuts within a frame": {CutAt: 777}} {
+		"refuses": {Refuse: true}, "cuts within a frame": {ResetAfter: 777}} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			r := listen(t, "tcp", "127.0.0.1:0", nil)
@@ -230,7 +230,7 @@
 				case 0:
 					r.SetFaults(receiver.Faults{Stall: true})
 				case 1:
-					r.SetFaults(receiver.Faults{CutAt: 1 + rng.IntN(2000)})
+					r.SetFaults(receiver.Faults{ResetAfter: 1 + rng.IntN(2000)})
 				case 2:
 					r.SetFaults(receiver.Faults{Refuse: true})
 					r.Break()
@@ -316,7 +316,7 @@
 	whole := len(numbered(7, Notice)) + 3
 	for cut := 1; cut <= 2*whole; cut++ {
 		r := listen(t, "tcp", "127.0.0.1:0", nil)
-		r.SetFaults(receiver.Faults{CutAt: cut})
+		r.SetFaults(receiver.Faults{ResetAfter: cut})
 		s, err := Start(Route{Network: "tcp", Address: r.Address(), Patient: 50 * time.Millisecond}, quiet, uint64(cut), nil)
 		if err != nil {
 			t.Fatal(err)
