--- a/lab/links_test.go
+++ b/lab/links_test.go
@@ -53,8 +53,8 @@
 			}
 		},
 		"one direction lost": func(f *tiny) {
-			f.road(0).Lose(link.Up)
-			f.road(1).Lose(link.Up)
+			f.road(0).DropDirection(link.Up)
+			f.road(1).DropDirection(link.Up)
 		},
 		"idle for long": func(f *tiny) {
 			time.Sleep(20 * time.Minute)
--- a/lab/orders_test.go
+++ b/lab/orders_test.go
@@ -328,8 +328,8 @@
 		for i, name := range events {
 			if plant.lose && i == 1 {
 				for _, r := range f.roads {
-					r[0].Lose(link.Down)
-					r[1].Lose(link.Down)
+					r[0].DropDirection(link.Down)
+					r[1].DropDirection(link.Down)
 				}
 			}
 			happenings[name](f)
--- a/lab/repeats_test.go
+++ b/lab/repeats_test.go
@@ -255,14 +255,14 @@
 // listLastForOne does so while the second pilot hears nothing of the list.
 func listLastForOne(f *tiny) {
 	f.home()
-	f.lists[1].Lose(link.Down)
+	f.lists[1].DropDirection(link.Down)
 	listLast(f)
 }
 
 // restartAlone starts the first proxy anew; it hears from no pilot.
 func restartAlone(f *tiny) {
 	for _, r := range f.roads[0] {
-		r.Lose(link.Down)
+		r.DropDirection(link.Down)
 	}
 	f.proxies[0].Kill()
 	f.startProxy(0)
