--- a/lab/trouble.go
+++ b/lab/trouble.go
@@ -101,7 +101,7 @@
 	"change_packs":  (*fleet).changePacks,
 	"frozen_list": func(f *fleet, t *files.Trouble) { // some pilots hear nothing more of the list, without a sign
 		for _, p := range f.somePilots(t) {
-			f.at(t, func() { p.list.Lose(link.Down) }, func() { p.list.Heal(); p.list.Break() })
+			f.at(t, func() { p.list.DropDirection(link.Down) }, func() { p.list.Heal(); p.list.Break() })
 		}
 	},
 	"pilot_pause": func(f *fleet, t *files.Trouble) { // as a process that is stopped and goes on
@@ -123,7 +123,7 @@
 		}
 		for _, i := range f.someProxies(t) {
 			for _, p := range f.pilots {
-				f.at(t, func() { p.links[i].Lose(d) }, p.links[i].Heal)
+				f.at(t, func() { p.links[i].DropDirection(d) }, p.links[i].Heal)
 			}
 		}
 	},
