--- a/lab/orders_test.go
+++ b/lab/orders_test.go
@@ -159,7 +159,7 @@
 			r := &link.MemoryLink{Name: fmt.Sprintf("stream %d %d", i, j), Target: f.pilots[j].Address(), Delays: [2]link.Delay{
 				func() time.Duration { return hears + time.Duration(f.late.Load()) }, steady(time.Duration(40+i) * time.Millisecond)}}
 			if plant.alter != nil {
-				r.Alter = f.altered
+				r.Rewrite = f.altered
 			}
 			f.roads[i][j] = r
 			f.net.AddLink(fmt.Sprintf("stream-%d-%d", i, j), r)
