--- a/lab/fleet.go
+++ b/lab/fleet.go
@@ -91,7 +91,7 @@
 	if f.believed.OpTypes = slices.Clone(day.Service.OpTypes); o.believe != nil {
 		o.believe(&f.believed)
 	}
-	f.tap = link.NewTap(f.ledger.From())
+	f.tap = link.NewTap(f.ledger.StartTime())
 	defer func() {
 		if err != nil {
 			f.close()
--- a/lab/links_test.go
+++ b/lab/links_test.go
@@ -191,7 +191,7 @@
 	for range 20 {
 		inTiny(t, breach{}, func(f *tiny) {
 			time.Sleep(250 * time.Millisecond) // amid a report period
-			begin := time.Since(f.ledger.From())
+			begin := time.Since(f.ledger.StartTime())
 			f.proxies[2].Stop(context.Background())
 			time.Sleep(100 * time.Millisecond)
 			heard := false
--- a/lab/orders_test.go
+++ b/lab/orders_test.go
@@ -118,7 +118,7 @@
 	if plant.day != nil {
 		plant.day(f.day)
 	}
-	f.tap = link.NewTap(f.ledger.From())
+	f.tap = link.NewTap(f.ledger.StartTime())
 	f.net = link.NewMemory(f.tap)
 	m := files.Machine{Name: "m", Cores: 1, Speed: [2]float64{1, 1}, Slots: 4, Queue: 20, Connections: 60, ColdShare: 0.2,
 		ColdFor: files.Duration(5 * time.Second), Report: files.Duration(200 * time.Millisecond), Cancels: true}
@@ -277,8 +277,8 @@
 
 // check returns the rules that are broken by now.
 func (f *tiny) check() []Break {
-	e := &evidence{service: &f.day.Service, limits: &f.day.Limits, channel: &f.day.Channel, from: f.ledger.From(), passed: f.tap.Transfers(),
-		arrivals: f.ledger.Arrivals(), falls: f.ledger.Crashes(), mixed: f.ledger.MixUps(), until: time.Since(f.ledger.From())}
+	e := &evidence{service: &f.day.Service, limits: &f.day.Limits, channel: &f.day.Channel, from: f.ledger.StartTime(), passed: f.tap.Transfers(),
+		arrivals: f.ledger.Arrivals(), falls: f.ledger.Crashes(), mixed: f.ledger.MixUps(), until: time.Since(f.ledger.StartTime())}
 	h, err := e.read(2)
 	if err != nil {
 		f.t.Error(err)
@@ -355,7 +355,7 @@
 		// Clients try once here, so that no effect beyond the first of an op is theirs.
 		e := &evidence{service: &f.day.Service, arrivals: f.ledger.Arrivals(), effects: f.ledger.Effects(), ops: f.ops.ops}
 		if all := len(e.doublings()); all > 0 {
-			broken = append(broken, Break{2, time.Since(f.ledger.From()), fmt.Sprintf("%d effects were repeated", all)})
+			broken = append(broken, Break{2, time.Since(f.ledger.StartTime()), fmt.Sprintf("%d effects were repeated", all)})
 		}
 	})
 	return broken, after
--- a/lab/records_test.go
+++ b/lab/records_test.go
@@ -70,7 +70,7 @@
 			why[key{e.Run, e.Params[record.Node], e.Params[record.Out]}]++
 		}
 	}
-	e := &evidence{service: &d.Service, limits: &d.Limits, channel: &d.Channel, from: fl.ledger.From(), passed: fl.tap.Transfers(), until: 1 << 50}
+	e := &evidence{service: &d.Service, limits: &d.Limits, channel: &d.Channel, from: fl.ledger.StartTime(), passed: fl.tap.Transfers(), until: 1 << 50}
 	h, err := e.read(len(fl.pilots))
 	if err != nil {
 		t.Fatal(err)
--- a/lab/run.go
+++ b/lab/run.go
@@ -65,7 +65,7 @@
 	}
 	s.ops = f.misbehave(f.drawOps())
 	from := time.Now()
-	start := from.Sub(f.ledger.From())
+	start := from.Sub(f.ledger.StartTime())
 	over := make(chan struct{})
 	go func() {
 		s.play(from, ctx.Done())
@@ -76,7 +76,7 @@
 		<-over
 		return nil, err
 	}
-	until := time.Since(f.ledger.From())
+	until := time.Since(f.ledger.StartTime())
 	f.close()
 	closed = true
 	return f.report(s, begin, start, until, connections)
@@ -113,7 +113,7 @@
 // report checks the rules and adds up the service.
 func (f *fleet) report(s *source, begin time.Time, start, until time.Duration, connections float64) (*Report, error) {
 	d := f.day
-	e := &evidence{service: &d.Service, limits: &d.Limits, channel: &d.Channel, from: f.ledger.From(), passed: f.tap.Transfers(),
+	e := &evidence{service: &d.Service, limits: &d.Limits, channel: &d.Channel, from: f.ledger.StartTime(), passed: f.tap.Transfers(),
 		arrivals: f.ledger.Arrivals(), effects: f.ledger.Effects(), ops: s.ops, falls: f.ledger.Crashes(), mixed: f.ledger.MixUps(), until: until}
 	h, err := e.read(len(f.pilots))
 	if err != nil {
