--- a/lab/check.go
+++ b/lab/check.go
@@ -440,7 +440,7 @@
 					out = append(out, Break{2, a.At, fmt.Sprintf("proxy %d, op %d: %s", k.proxy, k.op, what)})
 				}
 			}
-			if a.Taken {
+			if a.Accepted {
 				ran = append(ran, a)
 			}
 		}
--- a/lab/check_test.go
+++ b/lab/check_test.go
@@ -81,7 +81,7 @@
 
 // try is one that reached a node.
 func (c *scene) try(at time.Duration, e control.EndpointID, op uint64, opType int, taken bool) {
-	c.arrivals = append(c.arrivals, node.Arrival{At: at, Endpoint: e, Proxy: 3, Op: op, OpType: opType, Work: 100 * time.Millisecond, Taken: taken})
+	c.arrivals = append(c.arrivals, node.Arrival{At: at, Endpoint: e, Proxy: 3, Op: op, OpType: opType, Work: 100 * time.Millisecond, Accepted: taken})
 }
 
 func (c *scene) rules(t *testing.T) string {
--- a/lab/doublings.go
+++ b/lab/doublings.go
@@ -39,7 +39,7 @@
 // taken is when the first try arrived that a node did not turn away.
 func (t trail) taken() (at time.Duration, ok bool) {
 	for _, a := range t.arrivals {
-		if a.Taken {
+		if a.Accepted {
 			return a.At, true
 		}
 	}
@@ -58,7 +58,7 @@
 func (t trail) tries(where places) (out []string) {
 	for _, a := range t.arrivals {
 		line := fmt.Sprintf("%v try %d proxy %d pod %s", a.At.Round(time.Millisecond), a.Try, a.Proxy, where.pod(a.Endpoint))
-		if !a.Taken {
+		if !a.Accepted {
 			line += " refused"
 		}
 		out = append(out, line)
--- a/lab/doublings_test.go
+++ b/lab/doublings_test.go
@@ -12,7 +12,7 @@
 // sent is a client's try of op 1 that reached a node through a proxy.
 func (c *scene) sent(at time.Duration, proxy int, e control.EndpointID, taken bool) {
 	o := c.ops[0]
-	c.arrivals = append(c.arrivals, node.Arrival{At: at, Endpoint: e, Proxy: proxy, Op: o.number, Try: o.tries, OpType: o.opType, Taken: taken})
+	c.arrivals = append(c.arrivals, node.Arrival{At: at, Endpoint: e, Proxy: proxy, Op: o.number, Try: o.tries, OpType: o.opType, Accepted: taken})
 	o.tries++
 }
 
