--- a/lab/trouble.go
+++ b/lab/trouble.go
@@ -42,7 +42,7 @@
 	"heavy_tail": func(f *fleet, t *files.Trouble) {
 		kind := f.rng.IntN(len(f.day.Service.OpTypes))
 		nodeTrouble(func(x *node.Faults, t *files.Trouble, on bool) {
-			x.HeavyShare, x.HeavyBy, x.HeavyType = when(on, t.Extra), t.Size, kind
+			x.HeavyShare, x.HeavyFactor, x.HeavyType = when(on, t.Extra), t.Size, kind
 		})(f, t)
 	},
 	"ageing": func(f *fleet, t *files.Trouble) { // slower and slower, then one end; back cold
