--- a/lab/doublings.go
+++ b/lab/doublings.go
@@ -31,7 +31,7 @@
 	}
 	for _, t := range out {
 		slices.SortStableFunc(t.arrivals, func(a, b node.Arrival) int { return cmp.Compare(a.At, b.At) })
-		slices.SortStableFunc(t.effects, func(a, b node.Effect) int { return cmp.Compare(a.Arrived, b.Arrived) })
+		slices.SortStableFunc(t.effects, func(a, b node.Effect) int { return cmp.Compare(a.ArrivedAt, b.ArrivedAt) })
 	}
 	return out
 }
@@ -98,7 +98,7 @@
 			out = append(out, doubling{o, x, t, breaksRule(&types[o.opType], o, t, x)})
 		}
 	}
-	slices.SortStableFunc(out, func(a, b doubling) int { return cmp.Compare(a.effect.Arrived, b.effect.Arrived) })
+	slices.SortStableFunc(out, func(a, b doubling) int { return cmp.Compare(a.effect.ArrivedAt, b.effect.ArrivedAt) })
 	return out
 }
 
@@ -117,7 +117,7 @@
 		return true
 	}
 	first, ok := t.taken()
-	return kind.Repeat == control.Deduplicated && ok && x.Arrived-first < kind.DedupWindow
+	return kind.Repeat == control.Deduplicated && ok && x.ArrivedAt-first < kind.DedupWindow
 }
 
 // mostDoublings is how many doubled effects are told of one by one.
@@ -138,7 +138,7 @@
 		if d.op.tenant > 0 {
 			kind += " of " + d.op.whose()
 		}
-		out = append(out, Break{2, d.effect.Arrived, fmt.Sprintf("op %d, %s, took effect again: tries %q, effects %q", d.op.number, kind,
+		out = append(out, Break{2, d.effect.ArrivedAt, fmt.Sprintf("op %d, %s, took effect again: tries %q, effects %q", d.op.number, kind,
 			d.trail.tries(h.places), d.trail.tookEffect(h.places))})
 	}
 	if more > 0 {
--- a/lab/doublings_test.go
+++ b/lab/doublings_test.go
@@ -19,7 +19,7 @@
 // ran is a try that took effect a tenth of a second after it came.
 func (c *scene) ran(at time.Duration, proxy int, e control.EndpointID) {
 	c.sent(at, proxy, e, true)
-	c.effects = append(c.effects, node.Effect{At: at + s/10, Arrived: at, Endpoint: e, Op: c.ops[0].number, OpType: c.ops[0].opType})
+	c.effects = append(c.effects, node.Effect{At: at + s/10, ArrivedAt: at, Endpoint: e, Op: c.ops[0].number, OpType: c.ops[0].opType})
 }
 
 // An effect beyond the first breaks rule 2 unless the settings allow it or the client did what it may not.
