--- a/lab/platform/agent.go
+++ b/lab/platform/agent.go
@@ -105,11 +105,11 @@
 	if err != nil {
 		panic(err) // it always marshals
 	}
-	return c.Text(string(body))
+	return c.EncodeBody(string(body))
 }
 
-// Text is an answer of any body.
-func (c *Call) Text(body string) []byte {
+// EncodeBody is an answer of any body.
+func (c *Call) EncodeBody(body string) []byte {
 	return fmt.Appendf(nil, "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
