--- a/lab/platform/agent.go
+++ b/lab/platform/agent.go
@@ -96,8 +96,8 @@
 // IsFullRequest tells whether it asks for the whole list.
 func (c *Call) IsFullRequest() bool { return c.Target == "/api/targets" }
 
-// Bytes are an answer on the wire.
-func (c *Call) Bytes(answer Answer) []byte {
+// Encode are an answer on the wire.
+func (c *Call) Encode(answer Answer) []byte {
 	if answer.Instances == nil {
 		answer.Instances = []Instance{}
 	}
@@ -114,7 +114,7 @@
 }
 
 // Answer answers, and takes the next call on the connection.
-func (c *Call) Answer(answer Answer) { c.Send(c.Bytes(answer)) }
+func (c *Call) Answer(answer Answer) { c.Send(c.Encode(answer)) }
 
 // Send writes an answer, and takes the next call on the connection.
 func (c *Call) Send(b []byte) {
