--- a/cmd/vetchdoor/platform_limits_test.go
+++ b/cmd/vetchdoor/platform_limits_test.go
@@ -27,7 +27,7 @@
 		known = append(known, platform.Instance{ID: fmt.Sprint("s-", i), HostPort: "127.0.0.1:9", Zone: "a", Machine: "m", Lifecycle: "up",
 			Weight: 1})
 	}
-	discovery, err := platform.Discover(known...)
+	discovery, err := platform.NewDiscovery(known...)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/vetchdoor/platform_test.go
+++ b/cmd/vetchdoor/platform_test.go
@@ -29,7 +29,7 @@
 	}
 	var found [2]*platform.Discovery
 	for i := range found {
-		d, err := platform.Discover(known...)
+		d, err := platform.NewDiscovery(known...)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/cmd/vetchdoor/soak_parts_test.go
+++ b/cmd/vetchdoor/soak_parts_test.go
@@ -135,7 +135,7 @@
 		list = append(list, platform.Instance{ID: fmt.Sprint("s-", i), HostPort: "127.0.0.1:9", Zone: string(rune('a' + i%2)), Machine: "m", Lifecycle: "up", Weight: 1})
 	}
 	var err error
-	if s.discovery, err = platform.Discover(list...); err != nil {
+	if s.discovery, err = platform.NewDiscovery(list...); err != nil {
 		s.t.Fatal(err)
 	}
 	at := s.at(7030)
--- a/lab/platform/discovery.go
+++ b/lab/platform/discovery.go
@@ -60,8 +60,8 @@
 	calls   int
 }
 
-// Discover starts one at an address of its own, with a list.
-func Discover(list ...Instance) (*Discovery, error) {
+// NewDiscovery starts one at an address of its own, with a list.
+func NewDiscovery(list ...Instance) (*Discovery, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
