--- a/lab/platform/discovery.go
+++ b/lab/platform/discovery.go
@@ -106,8 +106,8 @@
 	d.news = make(chan struct{})
 }
 
-// Calls is how many have come.
-func (d *Discovery) Calls() int {
+// CallCount is how many have come.
+func (d *Discovery) CallCount() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.calls
