--- a/cmd/vetchdoor/platform_test.go
+++ b/cmd/vetchdoor/platform_test.go
@@ -51,7 +51,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(x.Drop)
+		t.Cleanup(x.Disconnect)
 		proxies = append(proxies, x)
 	}
 	until := func(what string, done func() bool) {
--- a/cmd/vetchdoor/soak_clients_test.go
+++ b/cmd/vetchdoor/soak_clients_test.go
@@ -323,7 +323,7 @@
 		for ended := false; !ended && !s.ended(); time.Sleep(5 * time.Millisecond) {
 			_, ended, _ = p.State()
 		}
-		p.Drop()
+		p.Disconnect()
 		var fault error
 		for ended := false; !ended; time.Sleep(time.Millisecond) {
 			_, ended, fault = p.State()
--- a/lab/platform/peer.go
+++ b/lab/platform/peer.go
@@ -181,8 +181,8 @@
 // Send sends a line on its stream.
 func (p *Proxy) Send(format string, args ...any) error { return p.peer.Send(format, args...) }
 
-// Drop ends its stream.
-func (p *Proxy) Drop() { p.peer.Close() }
+// Disconnect ends its stream.
+func (p *Proxy) Disconnect() { p.peer.Close() }
 
 // AvailableEndpoints are the endpoints that it may pick for an op type.
 func (p *Proxy) AvailableEndpoints(opType string) map[string]float64 {
