--- a/lab/links_test.go
+++ b/lab/links_test.go
@@ -17,16 +17,16 @@
 	const deadline = 12 * time.Second // silence noticed on both sides, and a round of dials
 	for name, play := range map[string]func(f *tiny){
 		"half open": func(f *tiny) {
-			f.road(0).Cut(true)
+			f.road(0).SetCut(true)
 			time.Sleep(deadline)
 			if info := f.proxies[0].Info(); !strings.Contains(info, "\nPilot: pilot-1\n") {
 				f.t.Errorf("the proxy is not with the other pilot: %s", info)
 			}
-			f.road(0).Cut(false)
+			f.road(0).SetCut(false)
 		},
 		"half open to both for good, amid changes": func(f *tiny) { // what it does not confirm must not hold up the others
 			for _, r := range f.roads[0] {
-				r.Cut(true)
+				r.SetCut(true)
 			}
 			for i := range 60 {
 				f.list.Set(f.entry(0, "ready", float64(2+i%3)))
@@ -38,18 +38,18 @@
 				f.t.Errorf("changes do not come any more: %s", s)
 			}
 			for _, r := range f.roads[0] {
-				r.Cut(false)
+				r.SetCut(false)
 			}
 		},
 		"half open to both pilots, and a drain": func(f *tiny) {
 			for _, r := range f.roads[0] {
-				r.Cut(true)
+				r.SetCut(true)
 			}
 			time.Sleep(time.Second)
 			happenings["drain"](f)
 			time.Sleep(20 * time.Second)
 			for _, r := range f.roads[0] {
-				r.Cut(false)
+				r.SetCut(false)
 			}
 		},
 		"one direction lost": func(f *tiny) {
@@ -95,24 +95,24 @@
 			happenings["drain"](f)
 		},
 		"in its pilot's end": func(f *tiny) {
-			f.road(0).Cut(true)
+			f.road(0).SetCut(true)
 			begin := time.Now()
 			f.pilots[0].Stop()
 			if took := time.Since(begin); took > deadline {
 				f.t.Errorf("the pilot ended after %v", took)
 			}
 			f.startPilot(0)
-			f.road(0).Cut(false)
+			f.road(0).SetCut(false)
 		},
 		"in its own end": func(f *tiny) {
-			f.road(1).Cut(true)
+			f.road(1).SetCut(true)
 			begin := time.Now()
 			f.proxies[1].Stop(context.Background())
 			if took := time.Since(begin); took > deadline {
 				f.t.Errorf("the proxy ended after %v", took)
 			}
 			f.startProxy(1)
-			f.road(1).Cut(false)
+			f.road(1).SetCut(false)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
