--- a/lab/node/ledger.go
+++ b/lab/node/ledger.go
@@ -11,68 +11,71 @@
 type Arrival struct {
 	At       time.Duration
 	Endpoint control.EndpointID
-	Proxy    int // by its Via field; below 0: none
+	Proxy    int // ID from the Via header field; negative without one
 	Op       uint64
-	Try      int // the client's own, from 0; all tries of one are the proxy's
+	Try      int // the client's try number, from 0; retries by the proxy keep it
 	OpType   int
 	Work     time.Duration
-	Accepted bool // not turned away unrun
+	Accepted bool // not refused without being run
 }
 
-// Effect is an op that took effect.
+// Effect is an op that took effect at a node.
 type Effect struct {
 	At        time.Duration
-	ArrivedAt time.Duration // the try that had it, at its server
+	ArrivedAt time.Duration // arrival at the node of the try that took effect
 	Endpoint  control.EndpointID
 	Op        uint64
 	OpType    int
 }
 
-// Crash is a cold node that fell over.
+// Crash is the crash of a cold node that received too much work.
 type Crash struct {
 	At       time.Duration
 	Endpoint control.EndpointID
 }
 
-// Ledger is what the nodes of a day saw and did, the truth that rules are checked against.
+// Ledger records the arrivals, effects and crashes at the nodes of a run. The checks compare the behaviour of pilots
+// and proxies with it.
 type Ledger struct {
-	mu       sync.Mutex
-	from     time.Time
-	arrivals []Arrival
-	effects  []Effect
-	falls    []Crash
-	mixed    []string                    // what was seen of requests and answers that were mixed with others
-	memory   map[memoryKey]time.Duration // when a key first arrived in a group
-	wasted   time.Duration               // work that served no answer
-	worked   time.Duration
-}
-
-type memoryKey struct {
+	mu             sync.Mutex
+	start          time.Time
+	arrivals       []Arrival
+	effects        []Effect
+	crashes        []Crash
+	mixUps         []string                   // descriptions of requests and answers with parts of others
+	effectArrivals map[dedupKey]time.Duration // arrival that last took effect for each key of a group
+	wasted         time.Duration              // work whose answer was not delivered
+	worked         time.Duration
+}
+
+type dedupKey struct {
 	group string
 	key   string
 }
 
-// NewLedger begins one; times count from now.
-func NewLedger() *Ledger { return &Ledger{from: time.Now(), memory: map[memoryKey]time.Duration{}} }
+// NewLedger makes an empty ledger whose times count from now.
+func NewLedger() *Ledger {
+	return &Ledger{start: time.Now(), effectArrivals: map[dedupKey]time.Duration{}}
+}
 
-// StartTime is when its times begin.
-func (l *Ledger) StartTime() time.Time { return l.from }
+// StartTime returns the time from which the times in the ledger count.
+func (l *Ledger) StartTime() time.Time { return l.start }
 
-func (l *Ledger) now() time.Duration { return time.Since(l.from) }
+func (l *Ledger) now() time.Duration { return time.Since(l.start) }
 
-func (l *Ledger) arrived(a Arrival) {
+func (l *Ledger) recordArrival(a Arrival) {
 	l.mu.Lock()
 	l.arrivals = append(l.arrivals, a)
 	l.mu.Unlock()
 }
 
-func (l *Ledger) fell(f Crash) {
+func (l *Ledger) recordCrash(f Crash) {
 	l.mu.Lock()
-	l.falls = append(l.falls, f)
+	l.crashes = append(l.crashes, f)
 	l.mu.Unlock()
 }
 
-func (l *Ledger) spent(work time.Duration, wasted bool) {
+func (l *Ledger) recordWork(work time.Duration, wasted bool) {
 	l.mu.Lock()
 	l.worked += work
 	if wasted {
@@ -81,60 +84,60 @@
 	l.mu.Unlock()
 }
 
-// effect books an op that ran to its end. One that bears a key has no effect where its group met the key less than a
-// window before its arrival.
-func (l *Ledger) effect(e Effect, group, key string, window time.Duration) {
+// recordEffect records an op that ran to its end. An op with an idempotency key has no effect if an op with the same
+// key took effect in its group and arrived less than a window earlier.
+func (l *Ledger) recordEffect(e Effect, group, key string, window time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if key != "" && window > 0 {
-		k := memoryKey{group, key}
-		if first, ok := l.memory[k]; ok && e.ArrivedAt-first < window {
+		k := dedupKey{group, key}
+		if first, ok := l.effectArrivals[k]; ok && e.ArrivedAt-first < window {
 			return
 		}
-		l.memory[k] = e.ArrivedAt
+		l.effectArrivals[k] = e.ArrivedAt
 	}
 	l.effects = append(l.effects, e)
 }
 
-// Arrivals returns the tries so far, in the order in which they came.
+// Arrivals returns the tries so far, in order of arrival.
 func (l *Ledger) Arrivals() []Arrival {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return append([]Arrival(nil), l.arrivals...)
 }
 
-// Effects returns the effects so far.
+// Effects returns the effects so far, in the order in which the ops finished.
 func (l *Ledger) Effects() []Effect {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return append([]Effect(nil), l.effects...)
 }
 
-// Crashes returns the nodes that fell over.
+// Crashes returns the crashes so far.
 func (l *Ledger) Crashes() []Crash {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return append([]Crash(nil), l.falls...)
+	return append([]Crash(nil), l.crashes...)
 }
 
-// RecordMixUp notes a request or an answer that was mixed with another one.
+// RecordMixUp records a request or an answer that contained parts of another one. It keeps the first 100.
 func (l *Ledger) RecordMixUp(what string) {
-	const most = 100
+	const maxMixUps = 100
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if len(l.mixed) < most {
-		l.mixed = append(l.mixed, what)
+	if len(l.mixUps) < maxMixUps {
+		l.mixUps = append(l.mixUps, what)
 	}
 }
 
-// MixUps returns what was noted of mixed requests and answers.
+// MixUps returns the descriptions given to RecordMixUp.
 func (l *Ledger) MixUps() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return append([]string(nil), l.mixed...)
+	return append([]string(nil), l.mixUps...)
 }
 
-// Work returns all work done and the part of it that served no answer.
+// Work returns the work done so far and the part of it whose answer was not delivered.
 func (l *Ledger) Work() (all, wasted time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/lab/node/node.go
+++ b/lab/node/node.go
@@ -1,6 +1,7 @@
-// Package node is the stand-in for a server: cores, slots, a bounded queue, a cold start with a budget past which it
-// falls over, and the troubles that servers have. Its service is modelled time: an op of so much work holds a core for
-// that long and costs this machine next to nothing. New and Start are the way in; the ledger keeps what came.
+// Package node is a stand-in for a server. It models a number of cores, a bounded queue of ops, a cold start during
+// which too much work crashes the process, and injectable faults. Service is modelled by time: an op of a given
+// amount of work occupies a core for that long without using CPU. New makes a node, Start runs it, and the Ledger
+// records what arrived and took effect.
 package node
 
 import (
@@ -20,172 +21,177 @@
 	"vetchdoor/stream"
 )
 
-// Fields by which clients of the laboratory mark their ops.
+// Header fields in which the clients of the laboratory describe their ops.
 const (
-	OpField   = "Lab-Op"   // a number for each op
-	TryField  = "Lab-Try"  // the client's own tries, from 0
-	TypeField = "Lab-Type" // the op type's place
-	WorkField = "Lab-Work" // in microseconds of a core of speed 1
-	KillField = "Lab-Kill" // what serves this op dies
-	SizeField = "Lab-Size" // bytes of the answer
+	OpField   = "Lab-Op"   // unique number of the op
+	TryField  = "Lab-Try"  // the client's own try, from 0
+	TypeField = "Lab-Type" // index of the op type
+	WorkField = "Lab-Work" // work of the op, in microseconds of a core of speed 1
+	KillField = "Lab-Kill" // present: the node that receives the op stops its process
+	SizeField = "Lab-Size" // size of the response body, in bytes
 )
 
-// usualWork is the work of an op that does not say.
-const usualWork = time.Millisecond
+// defaultWork is the work of an op without a WorkField.
+const defaultWork = time.Millisecond
 
-// Node is a running stand-in.
+// Node is a stand-in for one server.
 type Node struct {
-	at      files.NodeAt
-	machine files.Machine
-	limits  files.Limits
-	types   []control.OpType
-	measure []string
-	zone    int
-	ledger  *Ledger
-	speed   float64
-	Killed  func()     // called once an op has killed it; may be nil
-	Net     stream.Net // nil: sockets
-
-	mu      sync.Mutex
-	rng     *rand.Rand
-	server  *serve.Server
-	address string
-	up      bool
-	started time.Time // of the process; a zero time: long ago
-	conns   int
-	queue   []*job
-	running map[*job]bool
-	budget  []spent // work that came lately, while cold
-	fallen  bool
-	dying   bool // of an op that kills
-	trouble Faults
-	paused  time.Time // until then nothing ends
-	load    load
+	config   files.NodeAt
+	machine  files.Machine
+	limits   files.Limits
+	types    []control.OpType
+	measures []string
+	zone     int
+	ledger   *Ledger
+	speed    float64
+	Killed   func()     // called after an op with a KillField has stopped the node; may be nil
+	Net      stream.Net // the network to listen on; nil: sockets
+
+	mu          sync.Mutex
+	rng         *rand.Rand
+	server      *serve.Server
+	address     string
+	up          bool
+	started     time.Time // start of a cold process; zero if the process started warm
+	conns       int
+	queue       []*job
+	running     map[*job]bool
+	recentWork  []workSample // work received within the last FallAfter; nil unless the node is cold
+	crashed     bool
+	stopping    bool // an op with a KillField has arrived; the process is being stopped
+	faults      Faults
+	pausedUntil time.Time // no job starts or ends before this time
+	load        load
 }
 
-// Faults is what is wrong with a node; the zero value is nothing.
+// Faults are the faults injected into a node; the zero value has none.
 type Faults struct {
-	Hang            bool                                               // takes work, answers nothing
-	Silent          bool                                               // not a byte comes back
-	SilentTo        func(proxy int) bool                               // as Silent, towards some proxies
-	PathFrom        func(proxy int) (late time.Duration, lost float64) // the way from some proxies
-	Draining        bool                                               // turns new work away
-	ErrorShare      float64                                            // share that fails at once
-	LostAnswerShare float64                                            // share that runs and whose answer is lost
-	SlowFactor      float64                                            // times slower; 0: not
-	HandshakeFactor float64                                            // times dearer; 0: not
-	FirstOpDelay    time.Duration                                      // that a new connection's first op waits
-	HeavyShare      float64                                            // this share of one op type takes HeavyBy times the work
+	Hang     bool                 // ops are accepted and not answered while set
+	Silent   bool                 // nothing is sent on any connection
+	SilentTo func(proxy int) bool // as Silent, for the proxies for which it returns true
+
+	// PathFrom returns the extra delay of ops from a proxy and the share of them that is lost.
+	PathFrom func(proxy int) (delay time.Duration, lossShare float64)
+
+	Draining        bool          // new ops are refused without being run
+	ErrorShare      float64       // share of ops that fail at once
+	LostAnswerShare float64       // share of ops that run and whose answer is lost
+	SlowFactor      float64       // factor by which the cores are slower; 0 for none
+	HandshakeFactor float64       // factor on the work of a handshake; 0 for none
+	FirstOpDelay    time.Duration // delay of the first op of each connection
+	HeavyShare      float64       // share of the ops of HeavyType whose work is multiplied by HeavyFactor
 	HeavyFactor     float64
 	HeavyType       int
 }
 
-// spent is work that came at a time.
-type spent struct {
+// workSample is work received at a time.
+type workSample struct {
 	at   time.Time
 	work time.Duration
 }
 
-// load is what reports say, refreshed now and then.
+// load holds the figures of the load reports and the last report sent.
 type load struct {
-	since    time.Time
-	busy     float64 // core seconds since then
-	counted  time.Time
-	latency  float64 // running mean, milliseconds, without waiting
-	acked    int
-	failed   int
-	reported []byte
+	windowStart     time.Time
+	busyCoreSeconds float64 // core seconds used since windowStart
+	busyUpdated     time.Time
+	latency         float64 // exponential moving average of service time without queueing, in milliseconds
+	acked           int
+	failed          int
+	lastReport      []byte
 }
 
-// job is an op in hand.
+// job is an op, or the handshake of a new connection, that is queued or running.
 type job struct {
 	Arrival
-	work    time.Duration
-	key     string
-	writes  bool
-	came    time.Time
-	began   time.Time
-	timer   *time.Timer
-	done    chan verdict
-	gone    chan struct{} // closed when its client went away
-	ended   bool
-	overdue bool // its client went away
+	work       time.Duration
+	key        string
+	writes     bool
+	receivedAt time.Time
+	startedAt  time.Time
+	timer      *time.Timer
+	done       chan outcome
+	clientGone chan struct{} // closed when the client has disconnected
+	ended      bool
+	abandoned  bool // the client disconnected before the answer
 }
 
-type verdict byte
+type outcome byte
 
 const (
-	acked verdict = iota
+	acked outcome = iota
 	errored
-	lost
-	dead
+	answerLost
+	dropped
 )
 
-// New makes a node. limits and service say what falls over and which op types there are.
-func New(at files.NodeAt, m files.Machine, s *files.Service, limits files.Limits, seed uint64, l *Ledger) *Node {
-	n := &Node{at: at, machine: m, limits: limits, types: s.Types(), measure: s.Measures, zone: s.ZoneIndex(at.Zone),
-		ledger: l, rng: rand.New(rand.NewPCG(seed, uint64(at.Endpoint))), running: map[*job]bool{}}
-	n.speed = at.Speed
+// New makes a node that is not running. s gives the op types and load measures, limits the overload that crashes a
+// cold node; seed draws the node's speed and the share of ops that fail.
+func New(config files.NodeAt, m files.Machine, s *files.Service, limits files.Limits, seed uint64, l *Ledger) *Node {
+	n := &Node{config: config, machine: m, limits: limits, types: s.Types(), measures: s.Measures,
+		zone: s.ZoneIndex(config.Zone), ledger: l, rng: rand.New(rand.NewPCG(seed, uint64(config.Endpoint))), running: map[*job]bool{}}
+	n.speed = config.Speed
 	if n.speed <= 0 {
 		n.speed = m.Speed[0] + n.rng.Float64()*(m.Speed[1]-m.Speed[0])
 	}
-	n.address = at.Listen
+	n.address = config.Listen
 	return n
 }
 
-// Endpoint is its number.
-func (n *Node) Endpoint() control.EndpointID { return control.EndpointID(n.at.Endpoint) }
+// Endpoint returns the number of the endpoint.
+func (n *Node) Endpoint() control.EndpointID { return control.EndpointID(n.config.Endpoint) }
 
-// Config is its place in the file.
-func (n *Node) Config() files.NodeAt { return n.at }
+// Config returns the node's entry in the settings.
+func (n *Node) Config() files.NodeAt { return n.config }
 
-// Capacity is the work a second that it does when warm.
+// Capacity returns the work per second that the node does when warm, in core seconds of speed 1.
 func (n *Node) Capacity() float64 { return n.speed * float64(n.machine.Cores) }
 
-// Address is where it listens.
+// Address returns the address the node listens on.
 func (n *Node) Address() string { return n.address }
 
-// Running tells whether its process runs.
+// Running reports whether the process is running.
 func (n *Node) Running() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.up
 }
 
-// Started is when its process started; a zero time: long ago.
+// Started returns the start of a cold process; it is zero if the process started warm.
 func (n *Node) Started() time.Time {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.started
 }
 
-// Start starts the process, cold or as if it had run for long.
+// Start starts the process, cold or already warm. It does nothing if the process is running or has crashed of
+// overload, and fails if the address cannot be listened on.
 func (n *Node) Start(cold bool) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.dying = false
-	if n.up || n.fallen {
+	n.stopping = false
+	if n.up || n.crashed {
 		return nil
 	}
-	s := &serve.Server{Handle: n.handle, Open: n.open, Closed: n.closed, Net: n.Net, Drain: keepIdle}
+	s := &serve.Server{Handle: n.handle, Open: n.connOpened, Closed: n.connClosed, Net: n.Net, Drain: drainIdleTimeout}
 	if err := s.Start(n.address); err != nil {
 		return err
 	}
 	now := time.Now()
 	n.server, n.address, n.up, n.conns = s, s.Address(), true, 0
-	n.started, n.budget, n.trouble, n.paused = time.Time{}, nil, Faults{}, time.Time{}
+	n.started, n.recentWork, n.faults, n.pausedUntil = time.Time{}, nil, Faults{}, time.Time{}
 	if cold {
 		n.started = now
 	}
-	n.load = load{since: now, counted: now}
+	n.load = load{windowStart: now, busyUpdated: now}
 	return nil
 }
 
-// keepIdle is how long a process that ends in order keeps a connection on which no request comes.
-const keepIdle = time.Second
+// drainIdleTimeout is how long a connection without requests stays open during Shutdown.
+const drainIdleTimeout = time.Second
 
-// Shutdown answers what is in hand and what still comes on open connections, until they have gone or the context ends;
-// then it ends the process.
+// Shutdown stops the process gracefully: it answers the ops in progress and those that still arrive on open
+// connections, until these have closed or the context ends.
 func (n *Node) Shutdown(ctx context.Context) {
 	n.mu.Lock()
 	s := n.server
@@ -196,7 +202,7 @@
 	n.Stop()
 }
 
-// Stop ends the process at once: connections break, work in hand is lost.
+// Stop ends the process at once: connections are closed and ops in progress are lost.
 func (n *Node) Stop() {
 	n.mu.Lock()
 	s := n.server
@@ -211,7 +217,7 @@
 	}
 	n.queue = nil
 	for _, j := range jobs {
-		n.end(j, dead)
+		n.endJob(j, dropped)
 	}
 	n.mu.Unlock()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -219,34 +225,35 @@
 	s.Stop(ctx)
 }
 
-// UpdateFaults changes what is wrong with it.
+// UpdateFaults changes the injected faults. Jobs held up by a Hang or Silent that ends finish at once.
 func (n *Node) UpdateFaults(change func(t *Faults)) {
 	n.mu.Lock()
-	was := n.trouble
-	change(&n.trouble)
-	if was.Hang && !n.trouble.Hang || was.Silent && !n.trouble.Silent {
+	was := n.faults
+	change(&n.faults)
+	if was.Hang && !n.faults.Hang || was.Silent && !n.faults.Silent {
 		for j := range n.running {
-			n.arm(j, 0)
+			n.setTimer(j, 0)
 		}
 	}
-	n.kick()
+	n.startJobs()
 	n.mu.Unlock()
 }
 
-// Pause holds everything up for a while.
+// Pause suspends processing for a duration: no job starts, and running jobs end no earlier than its end.
 func (n *Node) Pause(d time.Duration) {
 	n.mu.Lock()
-	n.paused = time.Now().Add(d)
+	n.pausedUntil = time.Now().Add(d)
 	n.mu.Unlock()
 	time.AfterFunc(d, func() {
 		n.mu.Lock()
-		n.kick()
+		n.startJobs()
 		n.mu.Unlock()
 	})
 }
 
-// warm is how much of its speed it has.
-func (n *Node) warm(now time.Time) float64 {
+// warmupFactor returns the share of its full speed that the node has at a time. It rises linearly from ColdShare to 1
+// over ColdFor.
+func (n *Node) warmupFactor(now time.Time) float64 {
 	if n.started.IsZero() || n.machine.ColdFor <= 0 {
 		return 1
 	}
@@ -254,12 +261,12 @@
 	return min(1, n.machine.ColdShare+(1-n.machine.ColdShare)*part)
 }
 
-// speedNow is the work a second of one of its cores.
-func (n *Node) speedNow(now time.Time) float64 {
+// coreSpeed returns the work per second of one core, reduced by connections, a slow fault and the number of ops held.
+func (n *Node) coreSpeed(now time.Time) float64 {
 	m := &n.machine
-	speed := n.speed * n.warm(now) * (1 - m.ConnectionTax*float64(n.conns)/float64(m.Connections))
-	if n.trouble.SlowFactor > 0 {
-		speed /= n.trouble.SlowFactor
+	speed := n.speed * n.warmupFactor(now) * (1 - m.ConnectionTax*float64(n.conns)/float64(m.Connections))
+	if n.faults.SlowFactor > 0 {
+		speed /= n.faults.SlowFactor
 	}
 	if held := float64(len(n.queue) + len(n.running)); m.SlowsAt > 0 && held > m.SlowsAt {
 		speed /= 1 + m.SlowsBy*(held/m.SlowsAt-1)
@@ -267,8 +274,9 @@
 	return speed
 }
 
-// open admits a connection, at the cost of a handshake.
-func (n *Node) open(c *serve.Conn) bool {
+// connOpened accepts a connection and queues the work of its handshake. It refuses the connection beyond the
+// machine's limit.
+func (n *Node) connOpened(c *serve.Conn) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if !n.up || n.conns >= n.machine.Connections {
@@ -276,22 +284,22 @@
 	}
 	n.conns++
 	if d := n.machine.Handshake.Span(); d > 0 {
-		if x := n.trouble.HandshakeFactor; x > 0 {
+		if x := n.faults.HandshakeFactor; x > 0 {
 			d = time.Duration(float64(d) * x)
 		}
-		n.queue = append(n.queue, &job{work: d, came: time.Now(), done: make(chan verdict, 1), Arrival: Arrival{OpType: -1}})
-		n.kick()
+		n.queue = append(n.queue, &job{work: d, receivedAt: time.Now(), done: make(chan outcome, 1), Arrival: Arrival{OpType: -1}})
+		n.startJobs()
 	}
 	return true
 }
 
-func (n *Node) closed(c *serve.Conn) {
+func (n *Node) connClosed(c *serve.Conn) {
 	n.mu.Lock()
 	n.conns--
 	n.mu.Unlock()
 }
 
-// handle serves one try.
+// handle serves one try of an op, or a probe.
 func (n *Node) handle(c *serve.Conn, m *http1.Message) {
 	if string(m.Target) == "/probe" {
 		n.answerProbe(c)
@@ -301,39 +309,39 @@
 	if err != nil {
 		n.ledger.RecordMixUp(err.Error())
 	}
-	j := n.read(m)
-	j.came = time.Now()
+	j := n.parseJob(m)
+	j.receivedAt = time.Now()
 	n.mu.Lock()
 	j.At, j.Endpoint = n.ledger.now(), n.Endpoint()
-	t := n.trouble
+	t := n.faults
 	full := len(n.queue)+len(n.running) >= n.machine.Slots+n.machine.Queue
 	j.Accepted = n.up && !t.Draining && !full
-	n.ledger.arrived(j.Arrival)
-	deaf := t.Silent || t.SilentTo != nil && t.SilentTo(j.Proxy)
-	late := t.FirstOpDelay
-	if c.Data != nil { // not the connection's first op
-		late = 0
+	n.ledger.recordArrival(j.Arrival)
+	silent := t.Silent || t.SilentTo != nil && t.SilentTo(j.Proxy)
+	delay := t.FirstOpDelay
+	if c.Data != nil { // an earlier op used this connection
+		delay = 0
 	}
 	c.Data = n
 	if t.PathFrom != nil {
-		way, lost := t.PathFrom(j.Proxy)
-		late += way
-		deaf = deaf || n.rng.Float64() < lost
+		pathDelay, lossShare := t.PathFrom(j.Proxy)
+		delay += pathDelay
+		silent = silent || n.rng.Float64() < lossShare
 	}
-	if late > 0 && !deaf {
+	if delay > 0 && !silent {
 		n.mu.Unlock()
-		time.Sleep(late)
+		time.Sleep(delay)
 		n.mu.Lock()
 	}
-	if deaf {
+	if silent {
 		n.mu.Unlock()
-		c.OnGone(func() { close(j.gone) })
-		<-j.gone
+		c.OnGone(func() { close(j.clientGone) })
+		<-j.clientGone
 		return
 	}
 	if m.Get(KillField) != nil && j.Accepted {
-		first := !n.dying
-		n.dying = true
+		first := !n.stopping
+		n.stopping = true
 		n.mu.Unlock()
 		if first {
 			go func() {
@@ -347,8 +355,8 @@
 		return
 	}
 	if n.overloaded(j.work) {
-		n.fallen = true
-		n.ledger.fell(Crash{At: j.At, Endpoint: j.Endpoint})
+		n.crashed = true
+		n.ledger.recordCrash(Crash{At: j.At, Endpoint: j.Endpoint})
 		n.mu.Unlock()
 		go n.Stop()
 		c.Drop()
@@ -359,25 +367,25 @@
 		n.mu.Unlock()
 		b := http1.AppendField(http1.AppendStatus(nil, 503), http1.UnrunHeader, "1")
 		b = http1.AppendField(b, "Retry-After", "1")
-		_ = c.Answer(http1.AppendBody(n.report(b), nil))
+		_ = c.Answer(http1.AppendBody(n.appendReport(b), nil))
 		return
 	case n.rng.Float64() < max(t.ErrorShare, n.machine.ErrorRate):
 		n.load.failed++
 		n.mu.Unlock()
-		_ = c.Answer(http1.AppendBody(n.report(http1.AppendStatus(nil, 500)), nil))
+		_ = c.Answer(http1.AppendBody(n.appendReport(http1.AppendStatus(nil, 500)), nil))
 		return
 	}
 	if t.HeavyShare > 0 && j.OpType == t.HeavyType && n.rng.Float64() < t.HeavyShare {
 		j.work = time.Duration(float64(j.work) * t.HeavyFactor)
 	}
 	n.queue = append(n.queue, j)
-	n.kick()
+	n.startJobs()
 	n.mu.Unlock()
 	c.OnGone(func() { n.cancel(j) })
-	v := dead
+	v := dropped
 	select {
 	case v = <-j.done:
-	case <-j.gone:
+	case <-j.clientGone:
 	}
 	c.OnGone(nil)
 	switch v {
@@ -386,21 +394,22 @@
 		if size, err := strconv.Atoi(string(m.Get(SizeField))); err == nil && size > 0 && size <= 1<<20 {
 			body = bytes.Repeat([]byte("x"), size)
 		}
-		b := n.report(http1.AppendStatus(nil, 200))
+		b := n.appendReport(http1.AppendStatus(nil, 200))
 		if number != nil {
 			b = http1.AppendField(b, sign.Field, number)
 		}
 		_ = c.Answer(http1.AppendBody(b, body))
 	case errored:
-		_ = c.Answer(http1.AppendBody(n.report(http1.AppendStatus(nil, 500)), nil))
+		_ = c.Answer(http1.AppendBody(n.appendReport(http1.AppendStatus(nil, 500)), nil))
 	default:
 		c.Drop()
 	}
 }
 
-// read takes the marks of an op.
-func (n *Node) read(m *http1.Message) *job {
-	j := &job{work: usualWork, done: make(chan verdict, 1), gone: make(chan struct{}), key: string(m.Get("Idempotency-Key"))}
+// parseJob makes a job from the header fields of a request.
+func (n *Node) parseJob(m *http1.Message) *job {
+	j := &job{work: defaultWork, done: make(chan outcome, 1), clientGone: make(chan struct{}),
+		key: string(m.Get("Idempotency-Key"))}
 	j.Proxy = -1
 	if via := string(m.Get("Via")); strings.HasPrefix(via, "1.1 p") {
 		if id, err := strconv.ParseUint(via[len("1.1 p"):], 10, 16); err == nil {
@@ -421,33 +430,34 @@
 	return j
 }
 
-// overloaded books work that came to a cold node and tells whether it is more than the node can bear: the multiple of
-// its present capacity, over the stated time, with slack for two ops.
+// overloaded records work that arrived at a cold node and reports whether it is more than the node survives:
+// OverloadFactor times its present capacity over FallAfter. Twice the work of the largest of these ops is allowed on
+// top.
 func (n *Node) overloaded(work time.Duration) bool {
 	now := time.Now()
-	if n.fallen || !n.up || n.started.IsZero() || n.warm(now) >= 1 || n.limits.FallAfter <= 0 {
-		n.budget = nil
+	if n.crashed || !n.up || n.started.IsZero() || n.warmupFactor(now) >= 1 || n.limits.FallAfter <= 0 {
+		n.recentWork = nil
 		return false
 	}
-	n.budget = append(n.budget, spent{now, work})
+	n.recentWork = append(n.recentWork, workSample{now, work})
 	span := n.limits.FallAfter.Span()
-	for len(n.budget) > 0 && now.Sub(n.budget[0].at) > span {
-		n.budget = n.budget[1:]
+	for len(n.recentWork) > 0 && now.Sub(n.recentWork[0].at) > span {
+		n.recentWork = n.recentWork[1:]
 	}
 	total, most := time.Duration(0), time.Duration(0)
-	for _, s := range n.budget {
+	for _, s := range n.recentWork {
 		total += s.work
 		most = max(most, s.work)
 	}
-	can := n.limits.OverloadFactor * n.Capacity() * n.warm(now) * span.Seconds()
-	return (total - 2*most).Seconds() > can
+	limit := n.limits.OverloadFactor * n.Capacity() * n.warmupFactor(now) * span.Seconds()
+	return (total - 2*most).Seconds() > limit
 }
 
-// kick puts jobs on free cores; n.mu is held.
-func (n *Node) kick() {
+// startJobs starts queued jobs on free cores; n.mu is held.
+func (n *Node) startJobs() {
 	now := time.Now()
-	n.count(now)
-	if !n.up || now.Before(n.paused) {
+	n.updateBusyTime(now)
+	if !n.up || now.Before(n.pausedUntil) {
 		return
 	}
 	for len(n.running) < n.machine.Cores && len(n.queue) > 0 {
@@ -457,72 +467,73 @@
 		if j.ended {
 			continue
 		}
-		speed := n.speedNow(now)
-		j.began = now
+		speed := n.coreSpeed(now)
+		j.startedAt = now
 		n.running[j] = true
-		n.arm(j, time.Duration(float64(j.work)/speed))
+		n.setTimer(j, time.Duration(float64(j.work)/speed))
 	}
 }
 
-// arm sets when a running job ends.
-func (n *Node) arm(j *job, after time.Duration) {
+// setTimer schedules the end of a running job; n.mu is held.
+func (n *Node) setTimer(j *job, after time.Duration) {
 	if j.timer != nil {
 		j.timer.Stop()
 	}
 	j.timer = time.AfterFunc(after, func() {
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		switch wait := time.Until(n.paused); {
+		switch wait := time.Until(n.pausedUntil); {
 		case j.ended:
-		case n.trouble.Hang || n.trouble.Silent: // ends when that does
+		case n.faults.Hang || n.faults.Silent: // UpdateFaults sets the timer again when the fault ends
 		case wait > 0:
-			n.arm(j, wait)
+			n.setTimer(j, wait)
 		default:
 			n.finish(j)
 		}
 	})
 }
 
-// finish ends a job that ran.
+// finish records a job that has run to its end, answers it and starts queued jobs; n.mu is held.
 func (n *Node) finish(j *job) {
 	v := acked
 	if j.OpType >= 0 {
 		t := &n.types[j.OpType]
-		if n.rng.Float64() < n.trouble.LostAnswerShare {
-			v = lost
+		if n.rng.Float64() < n.faults.LostAnswerShare {
+			v = answerLost
 		}
 		if j.writes {
 			window := time.Duration(0)
 			if t.Repeat == control.Deduplicated {
 				window = t.DedupWindow
 			}
-			n.ledger.effect(Effect{n.ledger.now(), j.At, j.Endpoint, j.Op, j.OpType}, n.group(t), j.key, window)
+			n.ledger.recordEffect(Effect{n.ledger.now(), j.At, j.Endpoint, j.Op, j.OpType}, n.dedupGroup(t), j.key, window)
 		}
 		n.load.acked++
-		took := float64(time.Since(j.began)) / float64(time.Millisecond)
+		took := float64(time.Since(j.startedAt)) / float64(time.Millisecond)
 		if n.load.latency == 0 {
 			n.load.latency = took
 		}
 		n.load.latency += 0.1 * (took - n.load.latency)
 	}
-	n.ledger.spent(j.work, j.OpType < 0 || v != acked || j.overdue)
-	n.end(j, v)
-	n.kick()
+	n.ledger.recordWork(j.work, j.OpType < 0 || v != acked || j.abandoned)
+	n.endJob(j, v)
+	n.startJobs()
 }
 
-// group names the endpoints that drop each other's repeats of an op type.
-func (n *Node) group(t *control.OpType) string {
+// dedupGroup returns the key of the group of endpoints that deduplicate an op type together; empty for an op type
+// without a group.
+func (n *Node) dedupGroup(t *control.OpType) string {
 	switch t.Group {
 	case control.GroupZone:
 		return "zone " + strconv.Itoa(n.zone)
 	case control.GroupPack:
-		return "pack " + strconv.Itoa(n.zone) + " " + strconv.Itoa(n.at.Pack)
+		return "pack " + strconv.Itoa(n.zone) + " " + strconv.Itoa(n.config.Pack)
 	}
 	return ""
 }
 
-// end takes a job out of hand.
-func (n *Node) end(j *job, v verdict) {
+// endJob removes a job and reports its outcome to the handler; n.mu is held.
+func (n *Node) endJob(j *job, v outcome) {
 	if j.ended {
 		return
 	}
@@ -530,58 +541,59 @@
 	if j.timer != nil {
 		j.timer.Stop()
 	}
-	n.count(time.Now())
+	n.updateBusyTime(time.Now())
 	delete(n.running, j)
 	j.done <- v
 }
 
-// cancel notes that a job's client went away; the work stops where that is the machine's way.
+// cancel handles the disconnection of the client of a job. The job ends early if the machine cancels such work, and
+// runs on otherwise.
 func (n *Node) cancel(j *job) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if j.overdue || j.ended {
+	if j.abandoned || j.ended {
 		return
 	}
-	j.overdue = true
-	close(j.gone)
+	j.abandoned = true
+	close(j.clientGone)
 	if !n.machine.Cancels {
-		return // it runs on; nobody waits for it
+		return // the job runs to its end; its answer is discarded
 	}
 	if n.running[j] {
-		n.ledger.spent(time.Duration(float64(time.Since(j.began))*n.speed), true)
+		n.ledger.recordWork(time.Duration(float64(time.Since(j.startedAt))*n.speed), true)
 	}
-	n.end(j, dead)
-	n.kick()
+	n.endJob(j, dropped)
+	n.startJobs()
 }
 
-// count adds up how busy the cores were; n.mu is held.
-func (n *Node) count(now time.Time) {
-	n.load.busy += now.Sub(n.load.counted).Seconds() * float64(len(n.running))
-	n.load.counted = now
+// updateBusyTime adds the core seconds used since its last call; n.mu is held.
+func (n *Node) updateBusyTime(now time.Time) {
+	n.load.busyCoreSeconds += now.Sub(n.load.busyUpdated).Seconds() * float64(len(n.running))
+	n.load.busyUpdated = now
 }
 
-// report appends the load report field, made anew at most once in a report period.
-func (n *Node) report(b []byte) []byte {
+// appendReport appends the load report header field, which is renewed at most once in a report period.
+func (n *Node) appendReport(b []byte) []byte {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := time.Now()
 	every := max(n.machine.Report.Span(), 10*time.Millisecond)
-	if span := now.Sub(n.load.since); span >= every || n.load.reported == nil {
-		n.count(now)
+	if span := now.Sub(n.load.windowStart); span >= every || n.load.lastReport == nil {
+		n.updateBusyTime(now)
 		l := &n.load
-		if span >= every || span > 0 && l.reported == nil {
-			util := min(1, l.busy/span.Seconds()/float64(n.machine.Cores))
-			l.reported = n.text(util, span)
-			l.busy, l.since, l.acked, l.failed = 0, now, 0, 0
+		if span >= every || span > 0 && l.lastReport == nil {
+			util := min(1, l.busyCoreSeconds/span.Seconds()/float64(n.machine.Cores))
+			l.lastReport = n.formatReport(util, span)
+			l.busyCoreSeconds, l.windowStart, l.acked, l.failed = 0, now, 0, 0
 		}
 	}
-	return append(b, n.load.reported...)
+	return append(b, n.load.lastReport...)
 }
 
-// text writes the field.
-func (n *Node) text(util float64, span time.Duration) []byte {
+// formatReport returns the load report header field with the configured measures over a span; nil if there are none.
+func (n *Node) formatReport(util float64, span time.Duration) []byte {
 	b := append([]byte(http1.LoadHeader), ": TEXT "...)
-	for i, name := range n.measure {
+	for i, name := range n.measures {
 		if i > 0 {
 			b = append(b, ',')
 		}
@@ -605,25 +617,26 @@
 		}
 		b = strconv.AppendFloat(append(append(b, name...), '='), x, 'f', 3, 64)
 	}
-	if len(n.measure) == 0 {
+	if len(n.measures) == 0 {
 		return nil
 	}
 	return append(b, "\r\n"...)
 }
 
-// answerProbe answers beside the queue: that the process runs, and its load.
+// answerProbe answers a health probe with the load report. It bypasses the queue; a draining node answers 503, a
+// silent one does not answer.
 func (n *Node) answerProbe(c *serve.Conn) {
 	n.mu.Lock()
-	t := n.trouble
+	t := n.faults
 	n.mu.Unlock()
 	switch {
 	case t.Silent:
-		gone := make(chan struct{})
-		c.OnGone(func() { close(gone) })
-		<-gone
+		clientGone := make(chan struct{})
+		c.OnGone(func() { close(clientGone) })
+		<-clientGone
 	case t.Draining:
-		_ = c.Answer(http1.AppendBody(n.report(http1.AppendStatus(nil, 503)), nil))
+		_ = c.Answer(http1.AppendBody(n.appendReport(http1.AppendStatus(nil, 503)), nil))
 	default:
-		_ = c.Answer(http1.AppendBody(n.report(http1.AppendStatus(nil, 200)), nil))
+		_ = c.Answer(http1.AppendBody(n.appendReport(http1.AppendStatus(nil, 200)), nil))
 	}
 }
--- a/lab/node/node_test.go
+++ b/lab/node/node_test.go
@@ -15,13 +15,15 @@
 )
 
 func machine() files.Machine {
-	return files.Machine{Name: "m", Cores: 2, Speed: [2]float64{1, 1}, Slots: 2, Queue: 4, Connections: 50, ColdShare: 0.25, ColdFor: files.Duration(time.Hour)}
+	return files.Machine{Name: "m", Cores: 2, Speed: [2]float64{1, 1}, Slots: 2, Queue: 4, Connections: 50,
+		ColdShare: 0.25, ColdFor: files.Duration(time.Hour)}
 }
 
 func newNode(t *testing.T, m files.Machine, cold bool) (*Node, *Ledger) {
 	service := &files.Service{Zones: []string{"z", "y"}, Measures: []string{"cpu_utilization", "inflight"}, OpTypes: []files.OpType{
 		{Name: "a", TargetLatency: 1, OpTimeout: 1, Repeat: "retryable"},
-		{Name: "b", TargetLatency: 1, OpTimeout: 1, Repeat: "deduplicated", Group: "zone", DedupWindow: files.Duration(time.Hour), Writes: true}}}
+		{Name: "b", TargetLatency: 1, OpTimeout: 1, Repeat: "deduplicated", Group: "zone",
+			DedupWindow: files.Duration(time.Hour), Writes: true}}}
 	l := NewLedger()
 	n := New(files.NodeAt{Endpoint: 5, Listen: "127.0.0.1:0", Zone: "z"}, m, service,
 		files.Limits{OverloadFactor: 4, FallAfter: files.Duration(2 * time.Second)}, 1, l)
@@ -32,9 +34,10 @@
 	return n, l
 }
 
-// send posts an op and returns its status, 0 where none came.
-func send(t *testing.T, n *Node, opType int, work time.Duration, key string, give time.Duration) (int, http.Header) {
-	ctx, cancel := context.WithTimeout(context.Background(), give)
+// send posts an op and returns the status and header fields of the answer; the status is 0 if no answer came within
+// the timeout.
+func send(t *testing.T, n *Node, opType int, work time.Duration, key string, timeout time.Duration) (int, http.Header) {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	r, err := http.NewRequestWithContext(ctx, "POST", "http://"+n.Address()+"/x", strings.NewReader("body"))
 	if err != nil {
@@ -58,18 +61,20 @@
 	return a.StatusCode, a.Header
 }
 
-const ample = 20 * time.Second
+const longTimeout = 20 * time.Second
 
-// A repeat inside its group and window has no second effect; without a key each op has its own.
+// Guards against double effects: a repeated key within its group and window takes effect once, while ops without a
+// key each take effect.
 func TestEffects(t *testing.T) {
 	n, l := newNode(t, machine(), false)
 	for _, key := range []string{"k", "k", "j", "", ""} {
-		if s, h := send(t, n, 1, 0, key, ample); s != 200 || !strings.HasPrefix(h.Get("Endpoint-Load-Metrics"), "TEXT cpu_utilization=") {
+		if s, h := send(t, n, 1, 0, key, longTimeout); s != 200 ||
+			!strings.HasPrefix(h.Get("Endpoint-Load-Metrics"), "TEXT cpu_utilization=") {
 			t.Fatal(s, h)
 		}
 	}
 	if e := l.Effects(); len(e) != 4 {
-		t.Errorf("%d effects", len(e))
+		t.Errorf("%d effects, want 4", len(e))
 	}
 	a := l.Arrivals()
 	if len(a) != 5 || a[0].Proxy != 9 || !a[0].Accepted {
@@ -80,19 +85,19 @@
 	}
 }
 
-// Beyond its slots and queue it turns ops away unrun; while it drains, all.
-func TestFull(t *testing.T) {
+// A node refuses ops beyond its slots and queue without running them, and all ops while it drains.
+func TestRefusesWhenFull(t *testing.T) {
 	n, l := newNode(t, machine(), false)
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	got := map[int]int{}
 	for range 20 {
 		wg.Go(func() {
-			s, h := send(t, n, 0, 300*time.Millisecond, "", ample)
+			s, h := send(t, n, 0, 300*time.Millisecond, "", longTimeout)
 			mu.Lock()
 			defer mu.Unlock()
 			if got[s]++; s == 503 && h.Get("Op-Unrun") == "" {
-				t.Error("refused without proof")
+				t.Error("503 without the Op-Unrun field")
 			}
 		})
 	}
@@ -101,48 +106,51 @@
 		t.Errorf("%v", got)
 	}
 	n.UpdateFaults(func(x *Faults) { x.Draining = true })
-	if s, _ := send(t, n, 0, 0, "", ample); s != 503 {
-		t.Errorf("draining: %d", s)
+	if s, _ := send(t, n, 0, 0, "", longTimeout); s != 503 {
+		t.Errorf("draining: status %d", s)
 	}
 	for _, a := range l.Arrivals()[20:] {
 		if a.Accepted {
-			t.Error("taken while it drains")
+			t.Error("op accepted while draining")
 		}
 	}
 }
 
-// A cold node falls over under more work than it can bear and stays down; a warm one takes the same.
-func TestFallsOver(t *testing.T) {
+// A cold node crashes under more work than its overload factor allows and stays down; a warm node survives the same
+// work.
+func TestColdNodeCrashes(t *testing.T) {
 	m := machine()
 	m.Queue = 1000
 	for _, cold := range []bool{true, false} {
 		n, l := newNode(t, m, cold)
-		// It can do 2 cores * 0.25 a second; four times that over two seconds is four seconds of work.
+		// Capacity is 2 cores * 0.25 = 0.5 core seconds per second; four times that over 2 s is 4 s of work, and the
+		// 12 ops need 6 s.
 		for range 12 {
 			go func() { _, _ = send(t, n, 0, 500*time.Millisecond, "", time.Second) }()
 		}
-		for end := time.Now().Add(ample); len(l.Arrivals()) < 12 && len(l.Crashes()) == 0 && time.Now().Before(end); {
+		for end := time.Now().Add(longTimeout); len(l.Arrivals()) < 12 && len(l.Crashes()) == 0 && time.Now().Before(end); {
 			time.Sleep(time.Millisecond)
 		}
 		if (len(l.Crashes()) > 0) != cold {
-			t.Fatalf("cold %t: fell %v", cold, l.Crashes())
+			t.Fatalf("cold %t: crashes %v", cold, l.Crashes())
 		}
 		if !cold {
 			continue
 		}
-		for end := time.Now().Add(ample); n.Running() && time.Now().Before(end); {
+		for end := time.Now().Add(longTimeout); n.Running() && time.Now().Before(end); {
 			time.Sleep(time.Millisecond)
 		}
 		if err := n.Start(true); err != nil || n.Running() {
-			t.Errorf("it came back: %v", err)
+			t.Errorf("started again after the crash: %v", err)
 		}
 	}
 }
 
-// The troubles: hung and silent nodes answer nothing, fast errors and lost answers run or do not, deaf ones are deaf to some.
-func TestTroubles(t *testing.T) {
+// Each fault acts on answers and effects as documented: failed ops have no effect, ops with lost answers have one,
+// and a silent or hanging node does not answer.
+func TestFaults(t *testing.T) {
 	n, l := newNode(t, machine(), false)
-	const short = 80 * time.Millisecond
+	const shortTimeout = 80 * time.Millisecond
 	for _, c := range []struct {
 		name    string
 		set     func(*Faults)
@@ -158,11 +166,11 @@
 		{"slow", func(x *Faults) { x.SlowFactor = 1000 }, 0, 0},
 	} {
 		n.UpdateFaults(func(x *Faults) { *x = Faults{}; c.set(x) })
-		before, give := len(l.Effects()), short
+		before, timeout := len(l.Effects()), shortTimeout
 		if c.status != 0 || c.effects > 0 {
-			give = ample
+			timeout = longTimeout
 		}
-		s, _ := send(t, n, 1, 2*time.Millisecond, "", give)
+		s, _ := send(t, n, 1, 2*time.Millisecond, "", timeout)
 		if got := len(l.Effects()) - before; s != c.status || got != c.effects {
 			t.Errorf("%s: status %d, %d effects", c.name, s, got)
 		}
@@ -170,21 +178,21 @@
 	n.UpdateFaults(func(x *Faults) { *x = Faults{Hang: true} })
 	before := len(l.Effects())
 	done := make(chan int)
-	go func() { s, _ := send(t, n, 1, 0, "", ample); done <- s }()
+	go func() { s, _ := send(t, n, 1, 0, "", longTimeout); done <- s }()
 	for len(l.Arrivals()) == 0 || l.Arrivals()[len(l.Arrivals())-1].At < 0 {
 		time.Sleep(time.Millisecond)
 	}
-	time.Sleep(short)
+	time.Sleep(shortTimeout)
 	if len(l.Effects()) != before {
-		t.Error("an effect while it hangs")
+		t.Error("op took effect while the node hangs")
 	}
 	n.UpdateFaults(func(x *Faults) { x.Hang = false })
 	if s := <-done; s != 200 {
-		t.Errorf("after it hung: %d", s)
+		t.Errorf("status after the hang: %d", s)
 	}
 }
 
-// Many ops in hand and many connections cost it speed; a slow one is slower still.
+// Ops held beyond SlowsAt, open connections and a slow fault each reduce the speed of a core.
 func TestSpeed(t *testing.T) {
 	m := machine()
 	m.SlowsAt, m.SlowsBy, m.ConnectionTax = 2, 0.5, 0.4
@@ -196,34 +204,34 @@
 		held, conns int
 		slow, want  float64
 	}{{0, 0, 0, 1}, {2, 0, 0, 1}, {4, 0, 0, 1 / 1.5}, {0, 50, 0, 0.6}, {0, 25, 2, 0.4}} {
-		n.conns, n.trouble.SlowFactor, n.queue = c.conns, c.slow, make([]*job, c.held)
-		if got := n.speedNow(now); got < c.want-1e-9 || got > c.want+1e-9 {
+		n.conns, n.faults.SlowFactor, n.queue = c.conns, c.slow, make([]*job, c.held)
+		if got := n.coreSpeed(now); got < c.want-1e-9 || got > c.want+1e-9 {
 			t.Errorf("%+v: %v", c, got)
 		}
 	}
 	n.conns, n.queue = 0, nil
 }
 
-// A server that ends in order answers what it has in hand, and a request that comes on an open connection after that.
-func TestStopInOrder(t *testing.T) {
+// Shutdown answers the op that is running, and a request that arrives on an open connection afterwards.
+func TestShutdown(t *testing.T) {
 	n, _ := newNode(t, machine(), false)
-	inHand := make(chan int, 1)
+	runningOp := make(chan int, 1)
 	go func() {
-		status, _ := send(t, n, 0, 300*time.Millisecond, "", ample)
-		inHand <- status
+		status, _ := send(t, n, 0, 300*time.Millisecond, "", longTimeout)
+		runningOp <- status
 	}()
-	open, err := net.Dial("tcp", n.Address())
+	idleConn, err := net.Dial("tcp", n.Address())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer open.Close()
-	_ = open.SetDeadline(time.Now().Add(ample))
+	defer idleConn.Close()
+	_ = idleConn.SetDeadline(time.Now().Add(longTimeout))
 	busy := func() bool {
 		n.mu.Lock()
 		defer n.mu.Unlock()
 		return len(n.running) > 0
 	}
-	for end := time.Now().Add(ample); !busy() && time.Now().Before(end); {
+	for end := time.Now().Add(longTimeout); !busy() && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
 	stopped := make(chan struct{})
@@ -235,12 +243,13 @@
 		}
 		c.Close()
 	}
-	_, _ = io.WriteString(open, "GET /probe HTTP/1.1\r\nHost: h\r\n\r\n")
-	if b, err := io.ReadAll(open); err != nil || !strings.HasPrefix(string(b), "HTTP/1.1 200 ") || !strings.Contains(string(b), "Connection: close\r\n") {
+	_, _ = io.WriteString(idleConn, "GET /probe HTTP/1.1\r\nHost: h\r\n\r\n")
+	if b, err := io.ReadAll(idleConn); err != nil || !strings.HasPrefix(string(b), "HTTP/1.1 200 ") ||
+		!strings.Contains(string(b), "Connection: close\r\n") {
 		t.Errorf("%q, %v", b, err)
 	}
-	if status := <-inHand; status != 200 {
-		t.Errorf("in hand: %d", status)
+	if status := <-runningOp; status != 200 {
+		t.Errorf("op running at Shutdown: status %d", status)
 	}
 	<-stopped
 }
