--- a/lab/link/link.go
+++ b/lab/link/link.go
@@ -1,5 +1,6 @@
-// Package link is a loopback relay that stands for the way between two parts: it delays what passes, slows it, cuts it
-// with or without a sign, loses one direction, and keeps what passed with its times. Open is the way in.
+// Package link simulates the network between two parts of the system. Link is a TCP relay on the loopback interface;
+// Memory is a network inside the process. Both delay data, drop one direction, cut or break connections, and record
+// what passes in a Tap.
 package link
 
 import (
@@ -9,7 +10,8 @@
 	"time"
 )
 
-// Direction is from the dialer (Up) or back to it (Down).
+// Direction is the direction of data on a connection: Up from the dialer to the server, Down from the server to the
+// dialer.
 type Direction int
 
 const (
@@ -17,64 +19,65 @@
 	Down
 )
 
-// Transfer is a piece of a connection's bytes, or with none its end.
+// Transfer is a piece of data that passed a link, or the end of a connection.
 type Transfer struct {
 	Link        string
-	Conn        int // numbered within the tap
+	Conn        int // number of the connection, unique within the tap
 	Direction   Direction
-	ReceivedAt  time.Duration // when the relay had it
-	ForwardedAt time.Duration // when it was handed on
+	ReceivedAt  time.Duration // when the link received the data, counted from the start of the tap
+	ForwardedAt time.Duration // when the link delivered the data, counted from the start of the tap
 	Data        []byte
 	End         bool
 }
 
-// Tap keeps what passes the links of a day.
+// Tap records the transfers of the links of a run.
 type Tap struct {
-	mu    sync.Mutex
-	from  time.Time
-	conns int
-	list  []Transfer
+	mu        sync.Mutex
+	start     time.Time
+	connCount int
+	transfers []Transfer
 }
 
-// NewTap begins a tap; times count from the given one.
-func NewTap(from time.Time) *Tap { return &Tap{from: from} }
+// NewTap makes an empty tap whose times count from start.
+func NewTap(start time.Time) *Tap { return &Tap{start: start} }
 
-func (t *Tap) keep(p Transfer) {
+func (t *Tap) record(p Transfer) {
 	t.mu.Lock()
-	t.list = append(t.list, p)
+	t.transfers = append(t.transfers, p)
 	t.mu.Unlock()
 }
 
-func (t *Tap) now() time.Duration { return time.Since(t.from) }
+func (t *Tap) now() time.Duration { return time.Since(t.start) }
 
-// Transfers returns what passed, in the order in which it was handed on.
+// Transfers returns the transfers so far, in order of delivery.
 func (t *Tap) Transfers() []Transfer {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return append([]Transfer(nil), t.list...)
+	return append([]Transfer(nil), t.transfers...)
 }
 
-// Delay is how one direction of a link is: a delay drawn for each piece, kept in order.
+// Delay returns the delay of the next piece of data in one direction of a link. Pieces stay in order, whatever their
+// delays.
 type Delay func() time.Duration
 
-// Link is a relay to one address.
+// Link is a TCP relay to one address.
 type Link struct {
-	name   string
-	target string
-	ln     net.Listener
-	tap    *Tap
-	ways   [2]Delay
-	lost   [2]atomic.Bool // this direction swallows what comes
-	refuse atomic.Bool    // no new connections
-	mu     sync.Mutex
-	open   map[*relay]bool
-	closed bool
-	done   sync.WaitGroup
-}
-
-// relay is one connection.
+	name     string
+	target   string
+	listener net.Listener
+	tap      *Tap
+	delays   [2]Delay
+	dropping [2]atomic.Bool // data in this direction is dropped
+	refuse   atomic.Bool    // new connections are closed at once
+	mu       sync.Mutex
+	relays   map[*relay]bool
+	closed   bool
+	running  sync.WaitGroup
+}
+
+// relay is one connection through a link.
 type relay struct {
-	sides [2]net.Conn // the dialer's, the target's
+	sides [2]net.Conn // indexed by Direction: the dialer's side, the target's side
 	once  sync.Once
 }
 
@@ -87,25 +90,25 @@
 	})
 }
 
-// Open listens on a free loopback port and relays to the target.
+// Open starts a relay from a free loopback port to the target, with a delay for each direction.
 func Open(name, target string, tap *Tap, up, down Delay) (*Link, error) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	l := &Link{name: name, target: target, ln: ln, tap: tap, ways: [2]Delay{up, down}, open: map[*relay]bool{}}
-	l.done.Add(1)
+	l := &Link{name: name, target: target, listener: listener, tap: tap, delays: [2]Delay{up, down}, relays: map[*relay]bool{}}
+	l.running.Add(1)
 	go l.accept()
 	return l, nil
 }
 
-// Address is where the dialer finds it.
-func (l *Link) Address() string { return l.ln.Addr().String() }
+// Address returns the address to dial instead of the target.
+func (l *Link) Address() string { return l.listener.Addr().String() }
 
 func (l *Link) accept() {
-	defer l.done.Done()
+	defer l.running.Done()
 	for {
-		c, err := l.ln.Accept()
+		c, err := l.listener.Accept()
 		if err != nil {
 			return
 		}
@@ -113,15 +116,15 @@
 			c.Close()
 			continue
 		}
-		l.done.Add(1)
+		l.running.Add(1)
 		go func() {
-			defer l.done.Done()
-			l.carry(c)
+			defer l.running.Done()
+			l.relayConn(c)
 		}()
 	}
 }
 
-func (l *Link) carry(c net.Conn) {
+func (l *Link) relayConn(c net.Conn) {
 	r := &relay{sides: [2]net.Conn{c, nil}}
 	t, err := net.DialTimeout("tcp", l.target, time.Second)
 	if err != nil {
@@ -135,36 +138,37 @@
 		r.close()
 		return
 	}
-	l.open[r] = true
+	l.relays[r] = true
 	l.mu.Unlock()
 	l.tap.mu.Lock()
-	l.tap.conns++
-	id := l.tap.conns
+	l.tap.connCount++
+	id := l.tap.connCount
 	l.tap.mu.Unlock()
 	var both sync.WaitGroup
 	both.Add(2)
 	for d := range 2 {
 		go func() {
 			defer both.Done()
-			l.pump(r, id, Direction(d))
+			l.forward(r, id, Direction(d))
 		}()
 	}
 	both.Wait()
 	l.mu.Lock()
-	delete(l.open, r)
+	delete(l.relays, r)
 	l.mu.Unlock()
-	l.tap.keep(Transfer{Link: l.name, Conn: id, ReceivedAt: l.tap.now(), ForwardedAt: l.tap.now(), End: true})
+	l.tap.record(Transfer{Link: l.name, Conn: id, ReceivedAt: l.tap.now(), ForwardedAt: l.tap.now(), End: true})
 }
 
-// piece waits to be handed on.
+// piece is data on its way through a link.
 type piece struct {
-	data []byte
-	came time.Duration
-	due  time.Time
+	data       []byte
+	receivedAt time.Duration
+	due        time.Time
 }
 
-// pump carries one direction: one goroutine reads, this one writes when each piece is due.
-func (l *Link) pump(r *relay, id int, d Direction) {
+// forward relays one direction until either side ends, then closes the connection. One goroutine reads; the caller
+// writes each piece when it is due.
+func (l *Link) forward(r *relay, id int, d Direction) {
 	from, to := r.sides[d], r.sides[1-d]
 	pieces := make(chan piece, 256)
 	go func() {
@@ -173,10 +177,10 @@
 		buf := make([]byte, 64<<10)
 		for {
 			n, err := from.Read(buf)
-			if n > 0 && !l.lost[d].Load() {
+			if n > 0 && !l.dropping[d].Load() {
 				now := time.Now()
-				if at := now.Add(l.ways[d]()); at.After(due) {
-					due = at
+				if ready := now.Add(l.delays[d]()); ready.After(due) {
+					due = ready
 				}
 				pieces <- piece{append([]byte(nil), buf[:n]...), l.tap.now(), due}
 			}
@@ -189,54 +193,57 @@
 		if wait := time.Until(p.due); wait > 0 {
 			time.Sleep(wait)
 		}
-		if l.lost[d].Load() {
+		if l.dropping[d].Load() {
 			continue
 		}
 		if _, err := to.Write(p.data); err != nil {
 			break
 		}
-		l.tap.keep(Transfer{Link: l.name, Conn: id, Direction: d, ReceivedAt: p.came, ForwardedAt: l.tap.now(), Data: p.data})
+		l.tap.record(Transfer{Link: l.name, Conn: id, Direction: d,
+			ReceivedAt: p.receivedAt, ForwardedAt: l.tap.now(), Data: p.data})
 	}
 	r.close()
-	for range pieces { // the reader ends with its side
+	for range pieces { // the reading goroutine ends once its side is closed
 	}
 }
 
-// Break closes all connections; new ones are taken.
+// Break closes all connections; new ones are still accepted.
 func (l *Link) Break() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for r := range l.open {
+	for r := range l.relays {
 		r.close()
 	}
 }
 
-// Cut swallows everything both ways and refuses new connections, until Heal; nobody is told.
+// Cut drops all data in both directions and refuses new connections until Heal. Open connections stay open, so that
+// neither side is notified.
 func (l *Link) Cut() {
 	l.refuse.Store(true)
-	l.lost[Up].Store(true)
-	l.lost[Down].Store(true)
+	l.dropping[Up].Store(true)
+	l.dropping[Down].Store(true)
 }
 
-// DropDirection swallows one direction.
-func (l *Link) DropDirection(d Direction) { l.lost[d].Store(true) }
+// DropDirection drops all data in one direction until Heal.
+func (l *Link) DropDirection(d Direction) { l.dropping[d].Store(true) }
 
-// Heal ends Cut and Lose. Connections that lost bytes are broken.
+// Heal ends Cut and DropDirection, and breaks all connections if either was in force, since data may be missing from
+// them.
 func (l *Link) Heal() {
-	broke := l.lost[Up].Swap(false)
-	broke = l.lost[Down].Swap(false) || broke
+	dropped := l.dropping[Up].Swap(false)
+	dropped = l.dropping[Down].Swap(false) || dropped
 	l.refuse.Store(false)
-	if broke {
+	if dropped {
 		l.Break()
 	}
 }
 
-// Close ends it.
+// Close stops listening, closes all connections and waits for them to end.
 func (l *Link) Close() {
 	l.mu.Lock()
 	l.closed = true
 	l.mu.Unlock()
-	l.ln.Close()
+	l.listener.Close()
 	l.Break()
-	l.done.Wait()
+	l.running.Wait()
 }
--- a/lab/link/memory.go
+++ b/lab/link/memory.go
@@ -13,72 +13,74 @@
 	"vetchdoor/stream"
 )
 
-// Memory is a net without sockets, for the parts of one process on a clock that may be a fake one. Whoever listens does so
-// at an address; whoever dials does so there, or at a road that leads there and delays, cuts and keeps what passes.
+// Memory is a stream.Net without sockets, for the parts of one process, also under a fake clock. Servers listen on
+// addresses; a dialer uses a server's address directly, or that of a MemoryLink, which delays, cuts and records what
+// passes.
 type Memory struct {
-	mu     sync.Mutex
-	tap    *Tap
-	next   int
-	serves map[string]*memoryServer
-	roads  map[string]*MemoryLink
+	mu      sync.Mutex
+	tap     *Tap
+	next    int
+	servers map[string]*memoryServer
+	links   map[string]*MemoryLink
 }
 
-// NewMemory makes a net whose roads keep what passes in a tap.
+// NewMemory makes a network whose links record their transfers in a tap.
 func NewMemory(tap *Tap) *Memory {
-	return &Memory{tap: tap, serves: map[string]*memoryServer{}, roads: map[string]*MemoryLink{}}
+	return &Memory{tap: tap, servers: map[string]*memoryServer{}, links: map[string]*MemoryLink{}}
 }
 
-// MemoryLink is a way to an address. Its fields but ends are set before it is dialled.
+// MemoryLink is a link to a server of a Memory. Its exported fields are set before it is dialled.
 type MemoryLink struct {
 	Name    string
 	Target  string
 	Delays  [2]Delay
-	Rewrite func(d Direction, b []byte) []byte // may be nil: what a piece becomes on its way
+	Rewrite func(d Direction, b []byte) []byte // rewrites each piece of data; may be nil
 
-	mu    sync.Mutex
-	cut   bool
-	lost  [2]bool
-	short [2]int // over 0: so many bytes more pass in this direction, and the connections break
-	ends  map[*memoryEnd]bool
+	mu         sync.Mutex
+	cut        bool
+	dropping   [2]bool
+	breakAfter [2]int // if positive: bytes until the connections break, by direction
+	ends       map[*memoryEnd]bool
 }
 
-// AddLink opens a way at an address of its own.
+// AddLink adds a link, which is dialled at the address.
 func (m *Memory) AddLink(address string, r *MemoryLink) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	r.ends = map[*memoryEnd]bool{}
-	m.roads[address] = r
+	m.links[address] = r
 }
 
-// Break closes its connections; new ones are taken.
+// Break closes all connections of the link; new ones are still accepted.
 func (r *MemoryLink) Break() {
 	r.mu.Lock()
-	var all []*memoryEnd
+	var ends []*memoryEnd
 	for e := range r.ends {
-		all = append(all, e)
+		ends = append(ends, e)
 	}
 	r.mu.Unlock()
-	for _, e := range all {
-		e.hangUp()
-		e.peer.hangUp()
+	for _, e := range ends {
+		e.disconnect()
+		e.peer.disconnect()
 	}
 }
 
-// BreakAfter lets so many bytes more pass in a direction and breaks its connections then, in the midst of a line or not.
+// BreakAfter breaks the connection that carries the given number of further bytes in a direction, even within a line.
 func (r *MemoryLink) BreakAfter(d Direction, bytes int) {
 	r.mu.Lock()
-	r.short[d] = bytes
+	r.breakAfter[d] = bytes
 	r.mu.Unlock()
 }
 
-// DropDirection swallows one direction.
+// DropDirection drops all data that is sent in one direction from now on.
 func (r *MemoryLink) DropDirection(d Direction) {
 	r.mu.Lock()
-	r.lost[d] = true
+	r.dropping[d] = true
 	r.mu.Unlock()
 }
 
-// SetCut has it swallow everything and refuse what dials, until Heal; nobody is told, so that its connections are half open.
+// SetCut starts or ends a cut. While cut, the link drops all data and dials time out; its connections stay half open,
+// since neither side is notified. The end of a cut breaks them.
 func (r *MemoryLink) SetCut(cut bool) {
 	r.mu.Lock()
 	r.cut = cut
@@ -88,15 +90,15 @@
 	}
 }
 
-// Dial connects, as stream.Net has it.
+// Dial implements stream.Net.
 func (m *Memory) Dial(_, address string, timeout time.Duration) (netpoll.Connection, error) {
 	m.mu.Lock()
-	r := m.roads[address]
+	r := m.links[address]
 	to := address
 	if r != nil {
 		to = r.Target
 	}
-	s := m.serves[to]
+	s := m.servers[to]
 	m.next++
 	id := m.next
 	m.mu.Unlock()
@@ -111,7 +113,7 @@
 		return nil, netpoll.ErrDialTimeout
 	}
 	if s == nil {
-		return nil, fmt.Errorf("%w: nobody listens at %s", errRefused, to)
+		return nil, fmt.Errorf("%w: no server listens on %s", errRefused, to)
 	}
 	a, b := newEnd(m, r, id, Up, to), newEnd(m, r, id, Down, fmt.Sprintf("10.9.9.9:%d", 1+id%65535))
 	a.peer, b.peer = b, a
@@ -120,12 +122,12 @@
 		r.ends[a] = true
 		r.mu.Unlock()
 	}
-	return a, s.take(b)
+	return a, s.accept(b)
 }
 
 var errRefused = errors.New("connection refused")
 
-// Serve accepts connections, as stream.Net has it; port 0 takes one that is free.
+// Serve implements stream.Net; port 0 selects a free port.
 func (m *Memory) Serve(_, address string, h stream.Hooks) (stream.Server, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -133,11 +135,11 @@
 		m.next++
 		address = net.JoinHostPort(host, fmt.Sprint(1024+m.next%60000))
 	}
-	if m.serves[address] != nil {
-		return nil, fmt.Errorf("listen on %s: somebody listens there", address)
+	if m.servers[address] != nil {
+		return nil, fmt.Errorf("listen on %s: address already in use", address)
 	}
 	s := &memoryServer{m: m, address: address, hooks: h, ends: map[*memoryEnd]bool{}}
-	m.serves[address] = s
+	m.servers[address] = s
 	return s, nil
 }
 
@@ -151,16 +153,16 @@
 
 func (s *memoryServer) Address() string { return s.address }
 
-// Refuse takes no more.
+// Refuse stops accepting connections.
 func (s *memoryServer) Refuse(context.Context) {
 	s.m.mu.Lock()
 	defer s.m.mu.Unlock()
-	if s.m.serves[s.address] == s {
-		delete(s.m.serves, s.address)
+	if s.m.servers[s.address] == s {
+		delete(s.m.servers, s.address)
 	}
 }
 
-// Stop takes no more and closes what is idle, as netpoll's loop does.
+// Stop stops accepting connections and closes the idle ones, as the event loop of netpoll does.
 func (s *memoryServer) Stop(ctx context.Context) {
 	s.Refuse(ctx)
 	s.mu.Lock()
@@ -179,11 +181,11 @@
 	}
 }
 
-func (s *memoryServer) take(e *memoryEnd) error {
+func (s *memoryServer) accept(e *memoryEnd) error {
 	s.mu.Lock()
 	s.ends[e] = true
 	s.mu.Unlock()
-	forget := func() {
+	remove := func() {
 		s.mu.Lock()
 		delete(s.ends, e)
 		s.mu.Unlock()
@@ -191,59 +193,61 @@
 	ctx := s.hooks.Prepare(e)
 	e.mu.Lock()
 	e.request = func() { _ = s.hooks.Request(ctx, e) }
-	e.ended = func() {
-		forget()
+	e.onEnd = func() {
+		remove()
 		if s.hooks.Gone != nil {
 			s.hooks.Gone(ctx)
 		}
 	}
-	refused := e.hungUp
+	refused := e.disconnected
 	e.mu.Unlock()
-	if refused { // nobody was there to be told
-		forget()
+	if refused { // the connection ended before onEnd was set
+		remove()
 	}
 	return nil
 }
 
-// memoryEnd is one end of a connection. Bytes that its owner writes come to its peer in order, each piece when it is due.
+// memoryEnd is one end of a connection. Data that its owner writes reaches the peer in order, each piece when it is
+// due.
 type memoryEnd struct {
-	net.Conn   // none
-	m          *Memory
-	road       *MemoryLink
-	id         int
-	direction  Direction // in which its owner writes
-	remote     string
-	peer       *memoryEnd
-	mu         sync.Mutex
-	active     bool
-	said       bool // its peer has been told that it ended
-	busy       bool // a request or the callbacks are under way
-	in         []byte
-	skipped    int     // bytes that its owner has read from it
-	lent       []byte  // what the last Peek or Next returned
-	way        []piece // on the way to this end
-	due        time.Time
-	came       chan struct{} // closed and made anew as something happens
-	patience   time.Duration // of a read; 0: without end
-	request    func()
-	ended      func()
-	closed     []netpoll.CloseCallback
-	hungUp     bool
-	left       bool // by its owner, who takes nothing more; what came before the peer left is still handled
-	terminated bool
+	net.Conn         // nil; the methods that are not overridden are not used
+	m                *Memory
+	link             *MemoryLink
+	id               int
+	direction        Direction // direction of the data that the owner writes
+	remote           string
+	peer             *memoryEnd
+	mu               sync.Mutex
+	active           bool
+	closeSent        bool // the end of the connection has been sent to the peer
+	busy             bool // a goroutine is running the request handler or the close callbacks
+	received         []byte
+	skipped          int     // total bytes that the owner has consumed
+	lent             []byte  // result of the last Peek or Next
+	inTransit        []piece // pieces on their way to this end
+	due              time.Time
+	changed          chan struct{} // closed and replaced when data arrives or the connection ends
+	readTimeout      time.Duration // timeout of a read; 0 for none
+	request          func()
+	onEnd            func()
+	closeCallbacks   []netpoll.CloseCallback
+	disconnected     bool
+	closedByOwner    bool // the owner has closed this end, and received data is no longer handled
+	callbacksStarted bool
 }
 
 func newEnd(m *Memory, r *MemoryLink, id int, d Direction, remote string) *memoryEnd {
-	return &memoryEnd{m: m, road: r, id: id, direction: d, remote: remote, active: true, came: make(chan struct{})}
+	return &memoryEnd{m: m, link: r, id: id, direction: d, remote: remote, active: true, changed: make(chan struct{})}
 }
 
-// wake tells those who wait that something happened; e.mu is held.
-func (e *memoryEnd) wake() {
-	close(e.came)
-	e.came = make(chan struct{})
+// notifyChange wakes up the goroutines that wait for a change; e.mu is held.
+func (e *memoryEnd) notifyChange() {
+	close(e.changed)
+	e.changed = make(chan struct{})
 }
 
-// Write sends a piece to the peer, whole.
+// Write sends a copy of b to the peer as one piece, or in parts without a link. It drops the data while the link is
+// cut or drops this direction.
 func (e *memoryEnd) Write(b []byte) (int, error) {
 	e.mu.Lock()
 	active := e.active
@@ -252,17 +256,17 @@
 		return 0, netpoll.ErrConnClosed
 	}
 	p, breaks := append([]byte(nil), b...), false
-	if r := e.road; r != nil {
+	if r := e.link; r != nil {
 		r.mu.Lock()
-		cut := r.cut || r.lost[e.direction]
+		cut := r.cut || r.dropping[e.direction]
 		if r.Rewrite != nil {
 			p = r.Rewrite(e.direction, p)
 		}
-		if short := &r.short[e.direction]; *short > 0 && !cut {
-			if breaks = len(p) >= *short; breaks {
-				p, *short = p[:*short], 0
+		if breakAfter := &r.breakAfter[e.direction]; *breakAfter > 0 && !cut {
+			if breaks = len(p) >= *breakAfter; breaks {
+				p, *breakAfter = p[:*breakAfter], 0
 			} else {
-				*short -= len(p)
+				*breakAfter -= len(p)
 			}
 		}
 		r.mu.Unlock()
@@ -270,9 +274,9 @@
 			return len(b), nil
 		}
 	}
-	e.sendInParts(piece{data: p, came: e.now()})
+	e.sendInParts(piece{data: p, receivedAt: e.now()})
 	if breaks {
-		e.hangUp()
+		e.disconnect()
 		e.send(piece{})
 	}
 	return len(b), nil
@@ -285,33 +289,33 @@
 	return e.m.tap.now()
 }
 
-// lastPart is how many bytes of what is written go as a piece of their own where there is no road: so few that the head of a request
-// with a body is whole before its last piece comes.
-const lastPart = 1
+// lastPartBytes is the size of the separate last piece of a write without a link. It is so small that the head of a
+// request with a body is complete before that piece arrives.
+const lastPartBytes = 1
 
-// partGap is how much later that piece comes; on a fake clock time goes on only once nobody has anything to do.
-const partGap = time.Microsecond
+// lastPartDelay is how much later the last piece arrives. A fake clock advances only when all goroutines are blocked.
+const lastPartDelay = time.Microsecond
 
-// sendInParts sends a piece, in two where there is no road.
+// sendInParts sends a piece to the peer, in two parts if there is no link.
 func (e *memoryEnd) sendInParts(p piece) {
-	if cut := len(p.data) - lastPart; e.road == nil && cut > 0 {
-		e.sendAfter(0, piece{data: p.data[:cut:cut], came: p.came})
-		e.sendAfter(partGap, piece{data: p.data[cut:], came: p.came})
+	if cut := len(p.data) - lastPartBytes; e.link == nil && cut > 0 {
+		e.sendAfter(0, piece{data: p.data[:cut:cut], receivedAt: p.receivedAt})
+		e.sendAfter(lastPartDelay, piece{data: p.data[cut:], receivedAt: p.receivedAt})
 		return
 	}
 	e.send(p)
 }
 
-// send puts a piece on the way to the peer; one without data is the connection's end.
+// send sends a piece to the peer after the delay of the link. A piece without data ends the connection.
 func (e *memoryEnd) send(p piece) {
 	delay := time.Duration(0)
-	if e.road != nil && e.road.Delays[e.direction] != nil {
-		delay = e.road.Delays[e.direction]()
+	if e.link != nil && e.link.Delays[e.direction] != nil {
+		delay = e.link.Delays[e.direction]()
 	}
 	e.sendAfter(delay, p)
 }
 
-// sendAfter does so after a delay, and not before what was sent earlier.
+// sendAfter sends a piece to the peer after a delay, and not before the pieces that were sent earlier.
 func (e *memoryEnd) sendAfter(delay time.Duration, p piece) {
 	to := e.peer
 	to.mu.Lock()
@@ -319,52 +323,54 @@
 		p.due = to.due
 	}
 	to.due = p.due
-	to.way = append(to.way, p)
+	to.inTransit = append(to.inTransit, p)
 	wait := time.Until(p.due)
 	to.mu.Unlock()
 	if wait <= 0 {
-		go to.arrive()
+		go to.deliver()
 		return
 	}
-	time.AfterFunc(wait, to.arrive)
+	time.AfterFunc(wait, to.deliver)
 }
 
-// arrive takes the next piece in.
-func (e *memoryEnd) arrive() {
+// deliver receives the next piece in transit, or the end of the connection.
+func (e *memoryEnd) deliver() {
 	e.mu.Lock()
-	p := e.way[0]
-	e.way = e.way[1:]
+	p := e.inTransit[0]
+	e.inTransit = e.inTransit[1:]
 	if p.data == nil {
 		e.mu.Unlock()
-		e.hangUp()
+		e.disconnect()
 		return
 	}
-	if e.road != nil {
-		e.road.mu.Lock()
-		cut := e.road.cut
-		e.road.mu.Unlock()
+	if e.link != nil {
+		e.link.mu.Lock()
+		cut := e.link.cut
+		e.link.mu.Unlock()
 		if cut {
 			e.mu.Unlock()
 			return
 		}
 	}
-	taken := e.active
-	if taken {
-		e.in = append(e.in, p.data...)
-		e.wake()
+	accepted := e.active
+	if accepted {
+		e.received = append(e.received, p.data...)
+		e.notifyChange()
 	}
 	e.mu.Unlock()
-	if taken && e.road != nil {
-		e.m.tap.keep(Transfer{Link: e.road.Name, Conn: e.id, Direction: 1 - e.direction, ReceivedAt: p.came, ForwardedAt: e.now(), Data: p.data})
+	if accepted && e.link != nil {
+		e.m.tap.record(Transfer{Link: e.link.Name, Conn: e.id, Direction: 1 - e.direction,
+			ReceivedAt: p.receivedAt, ForwardedAt: e.now(), Data: p.data})
 	}
-	e.turn()
+	e.dispatch()
 }
 
-// turn has what came handled, and the end told, one goroutine at a time.
-func (e *memoryEnd) turn() {
+// dispatch starts a goroutine that calls the request handler for the data received, and the close callbacks once the
+// connection has ended. Only one such goroutine runs at a time.
+func (e *memoryEnd) dispatch() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.busy || !(e.readable() || e.hungUp && !e.terminated) {
+	if e.busy || !(e.readable() || e.disconnected && !e.callbacksStarted) {
 		return
 	}
 	e.busy = true
@@ -372,28 +378,28 @@
 		for {
 			e.mu.Lock()
 			if e.readable() {
-				before, skipped, request := len(e.in), e.skipped, e.request
+				before, skipped, request := len(e.received), e.skipped, e.request
 				e.mu.Unlock()
 				request()
 				e.mu.Lock()
-				if len(e.in) != before || e.skipped != skipped {
+				if len(e.received) != before || e.skipped != skipped {
 					e.mu.Unlock()
 					continue
 				}
-				if !e.hungUp { // it waits for more
+				if !e.disconnected { // the handler needs more data
 					e.busy = false
 					e.mu.Unlock()
 					return
 				}
-				e.in = nil // no more comes
+				e.received = nil // an incomplete request; no more data can arrive
 			}
-			if !e.hungUp || e.terminated {
+			if !e.disconnected || e.callbacksStarted {
 				e.busy = false
 				e.mu.Unlock()
 				return
 			}
-			e.terminated = true
-			callbacks := e.closed
+			e.callbacksStarted = true
+			callbacks := e.closeCallbacks
 			e.mu.Unlock()
 			for _, f := range callbacks {
 				_ = f(e)
@@ -402,49 +408,53 @@
 	}()
 }
 
-// readable tells whether there is something to handle; e.mu is held.
-func (e *memoryEnd) readable() bool { return len(e.in) > 0 && e.request != nil && !e.left }
+// readable reports whether there is data to handle and a handler for it; e.mu is held.
+func (e *memoryEnd) readable() bool {
+	return len(e.received) > 0 && e.request != nil && !e.closedByOwner
+}
 
-// hangUp notes that the connection is over at this end: by its owner, its peer, or the road.
-func (e *memoryEnd) hangUp() {
+// disconnect records that the connection has ended at this end: closed by its owner or its peer, or broken by the
+// link.
+func (e *memoryEnd) disconnect() {
 	e.mu.Lock()
-	first := !e.hungUp
-	e.hungUp, e.active = true, false
-	ended := e.ended
-	e.wake()
+	first := !e.disconnected
+	e.disconnected, e.active = true, false
+	onEnd := e.onEnd
+	e.notifyChange()
 	e.mu.Unlock()
-	if first && e.road != nil && e.direction == Up {
-		e.road.mu.Lock()
-		delete(e.road.ends, e)
-		e.road.mu.Unlock()
-		e.m.tap.keep(Transfer{Link: e.road.Name, Conn: e.id, ReceivedAt: e.now(), ForwardedAt: e.now(), End: true})
+	if first && e.link != nil && e.direction == Up {
+		e.link.mu.Lock()
+		delete(e.link.ends, e)
+		e.link.mu.Unlock()
+		e.m.tap.record(Transfer{Link: e.link.Name, Conn: e.id, ReceivedAt: e.now(), ForwardedAt: e.now(), End: true})
 	}
-	if first && ended != nil {
-		ended()
+	if first && onEnd != nil {
+		onEnd()
 	}
-	e.turn()
+	e.dispatch()
 }
 
-// Close ends the connection; the peer learns of it by the road.
+// Close ends the connection. The peer is notified through the link, unless that is cut.
 func (e *memoryEnd) Close() error {
 	e.mu.Lock()
-	tell := !e.said && !e.hungUp
-	e.said, e.left = true, true
+	notifyPeer := !e.closeSent && !e.disconnected
+	e.closeSent, e.closedByOwner = true, true
 	e.mu.Unlock()
 	cut := false
-	if r := e.road; r != nil {
+	if r := e.link; r != nil {
 		r.mu.Lock()
 		cut = r.cut
 		r.mu.Unlock()
 	}
-	e.hangUp()
-	if tell && !cut {
+	e.disconnect()
+	if notifyPeer && !cut {
 		e.send(piece{})
 	}
 	return nil
 }
 
-// Shut is as Close, with the callbacks beside whoever calls it, as a socket's come.
+// Shut closes the connection and returns at once; the close callbacks run on another goroutine, as they do for a
+// socket.
 func (e *memoryEnd) Shut() { go func() { _ = e.Close() }() }
 
 func (e *memoryEnd) IsActive() bool {
@@ -465,7 +475,7 @@
 
 func (e *memoryEnd) SetReadTimeout(d time.Duration) error {
 	e.mu.Lock()
-	e.patience = d
+	e.readTimeout = d
 	e.mu.Unlock()
 	return nil
 }
@@ -477,25 +487,26 @@
 	e.mu.Lock()
 	e.request = func() { _ = on(context.Background(), e) }
 	e.mu.Unlock()
-	e.turn()
+	e.dispatch()
 	return nil
 }
 
-// AddCloseCallback has f called at the end, at once where that has been told already.
+// AddCloseCallback registers f to be called at the end of the connection; it calls f at once if the callbacks have
+// already been started.
 func (e *memoryEnd) AddCloseCallback(f netpoll.CloseCallback) error {
 	e.mu.Lock()
-	late := e.terminated
-	if !late {
-		e.closed = append(e.closed, f)
+	alreadyRun := e.callbacksStarted
+	if !alreadyRun {
+		e.closeCallbacks = append(e.closeCallbacks, f)
 	}
 	e.mu.Unlock()
-	if late {
+	if alreadyRun {
 		return f(e)
 	}
 	return nil
 }
 
-// memoryReader reads what came; the methods that nobody here uses are netpoll's, of none.
+// memoryReader reads the received data. The methods of netpoll.Reader that it does not override are not used.
 type memoryReader struct {
 	netpoll.Reader
 	e *memoryEnd
@@ -504,31 +515,32 @@
 func (r memoryReader) Len() int {
 	r.e.mu.Lock()
 	defer r.e.mu.Unlock()
-	return len(r.e.in)
+	return len(r.e.received)
 }
 
-// Release takes back what Peek or Next returned.
+// Release invalidates the results of Peek and Next.
 func (r memoryReader) Release() error {
 	r.e.mu.Lock()
 	defer r.e.mu.Unlock()
-	r.e.takeBack()
+	r.e.reclaim()
 	return nil
 }
 
-// lend returns a copy of the first bytes that came; e.mu is held. It holds until the next call of Peek, Next or Release.
+// lend returns a copy of the first received bytes, valid until the next call of Peek, Next or Release; e.mu is held.
 func (e *memoryEnd) lend(n int) []byte {
-	e.takeBack()
-	e.lent = append([]byte(nil), e.in[:n]...)
+	e.reclaim()
+	e.lent = append([]byte(nil), e.received[:n]...)
 	return e.lent
 }
 
-// overwritten stands in memory that was taken back.
-const overwritten = '#'
+// reclaimedByte fills read buffers that have been reclaimed.
+const reclaimedByte = '#'
 
-// takeBack overwrites what was lent, as another connection does whose reader gets that memory from netpoll's pool; e.mu is held.
-func (e *memoryEnd) takeBack() {
+// reclaim overwrites the bytes last lent, as happens in netpoll when its pool gives a released buffer to another
+// connection; e.mu is held.
+func (e *memoryEnd) reclaim() {
 	for i := range e.lent {
-		e.lent[i] = overwritten
+		e.lent[i] = reclaimedByte
 	}
 	e.lent = nil
 }
@@ -537,22 +549,22 @@
 	e := r.e
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	var late <-chan time.Time
-	if e.patience > 0 && len(e.in) < n {
-		t := time.NewTimer(e.patience)
+	var timeout <-chan time.Time
+	if e.readTimeout > 0 && len(e.received) < n {
+		t := time.NewTimer(e.readTimeout)
 		defer t.Stop()
-		late = t.C
+		timeout = t.C
 	}
-	for len(e.in) < n {
+	for len(e.received) < n {
 		if !e.active {
 			return nil, netpoll.ErrConnClosed
 		}
-		came := e.came
+		changed := e.changed
 		e.mu.Unlock()
 		select {
-		case <-came:
+		case <-changed:
 			e.mu.Lock()
-		case <-late:
+		case <-timeout:
 			e.mu.Lock()
 			return nil, netpoll.ErrReadTimeout
 		}
@@ -571,10 +583,10 @@
 func (r memoryReader) Skip(n int) error {
 	r.e.mu.Lock()
 	defer r.e.mu.Unlock()
-	if n > len(r.e.in) {
+	if n > len(r.e.received) {
 		return netpoll.ErrConnClosed
 	}
-	r.e.in = r.e.in[n:]
+	r.e.received = r.e.received[n:]
 	r.e.skipped += n
 	return nil
 }
--- a/lab/link/memory_test.go
+++ b/lab/link/memory_test.go
@@ -12,13 +12,14 @@
 	"vetchdoor/stream"
 )
 
-// TestLentMemoryIsOverwritten guards the transport's habit that shows who keeps bytes for too long: what a Peek or a Next returned
-// is overwritten at the next one and at Release, as netpoll's memory is once another connection has it.
-func TestLentMemoryIsOverwritten(t *testing.T) {
+// Guards the check for code that keeps read buffers too long: the result of a Peek or Next must be overwritten by the
+// next one and by Release, since netpoll reuses such memory for other connections.
+func TestReadBuffersAreOverwritten(t *testing.T) {
 	net := NewMemory(nil)
 	var seen []string
 	done := make(chan struct{})
-	server, err := net.Serve("tcp", "10.0.0.1:80", stream.Hooks{Prepare: func(netpoll.Connection) context.Context { return context.Background() },
+	server, err := net.Serve("tcp", "10.0.0.1:80", stream.Hooks{
+		Prepare: func(netpoll.Connection) context.Context { return context.Background() },
 		Request: func(_ context.Context, nc netpoll.Connection) error {
 			defer close(done)
 			r := nc.Reader()
@@ -48,17 +49,18 @@
 	<-done
 	for i, want := range []string{"###", "abcde", "#####", "abcd", "####"} {
 		if seen[i] != want {
-			t.Errorf("look %d: %q, want %q", i+1, seen[i], want)
+			t.Errorf("read %d: %q, want %q", i+1, seen[i], want)
 		}
 	}
 }
 
-// A request that comes while the one before it is handled is handled too, also where both are of one length: the server must not
-// take it for the rest of a request that the handler waits for.
-func TestRequestsOfOneLength(t *testing.T) {
+// A request that arrives while the previous one of the same length is being handled must be handled too. Comparing
+// only the buffered length would take it for an incomplete request.
+func TestRequestsOfEqualLength(t *testing.T) {
 	net := NewMemory(NewTap(time.Now()))
 	handled := make(chan string, 2)
-	server, err := net.Serve("tcp", "10.0.0.1:80", stream.Hooks{Prepare: func(netpoll.Connection) context.Context { return context.Background() },
+	server, err := net.Serve("tcp", "10.0.0.1:80", stream.Hooks{
+		Prepare: func(netpoll.Connection) context.Context { return context.Background() },
 		Request: func(_ context.Context, nc netpoll.Connection) error {
 			r := nc.Reader()
 			request, err := r.Next(3)
@@ -66,7 +68,7 @@
 				return err
 			}
 			if handled <- string(request); string(request) == "abc" {
-				_, err = r.Peek(3) // the second has come before the first is done
+				_, err = r.Peek(3) // the second request has arrived before the first is done
 			}
 			return err
 		}})
@@ -74,7 +76,7 @@
 		t.Fatal(err)
 	}
 	defer server.Stop(context.Background())
-	net.AddLink("road", &MemoryLink{Name: "road", Target: "10.0.0.1:80"}) // where each write comes as one piece
+	net.AddLink("road", &MemoryLink{Name: "road", Target: "10.0.0.1:80"}) // a write through a link arrives as one piece
 	c, err := net.Dial("tcp", "road", time.Second)
 	if err != nil {
 		t.Fatal(err)
@@ -95,19 +97,21 @@
 	}
 }
 
-// lastWords is a handler that keeps what came before it was told of the end.
-type lastWords struct {
-	came  []byte
-	ended chan string
+// endRecorder is a handler that collects the received data and sends it to ended when the connection closes.
+type endRecorder struct {
+	received []byte
+	ended    chan string
 }
 
-func (h *lastWords) Data(_ *stream.Conn, b []byte) { h.came = append(h.came, b...) }
-func (h *lastWords) Closed(*stream.Conn)           { h.ended <- string(h.came) }
+func (h *endRecorder) Data(_ *stream.Conn, b []byte) { h.received = append(h.received, b...) }
+func (h *endRecorder) Closed(*stream.Conn)           { h.ended <- string(h.received) }
 
-// What a peer sent before it closed is handled before the end is told, as over sockets; an answer must not be lost to the close.
-func TestAnswerBeforeTheEnd(t *testing.T) {
+// Data that a peer sent before it closed must be handled before the close callbacks run, as with sockets; otherwise
+// answers are lost.
+func TestDataBeforeClose(t *testing.T) {
 	net := NewMemory(NewTap(time.Now()))
-	server, err := net.Serve("tcp", "10.0.0.1:80", stream.Hooks{Prepare: func(netpoll.Connection) context.Context { return context.Background() },
+	server, err := net.Serve("tcp", "10.0.0.1:80", stream.Hooks{
+		Prepare: func(netpoll.Connection) context.Context { return context.Background() },
 		Request: func(_ context.Context, nc netpoll.Connection) error {
 			err := nc.Reader().Skip(nc.Reader().Len())
 			_, err2 := io.WriteString(nc, "answer")
@@ -119,9 +123,9 @@
 	defer server.Stop(context.Background())
 	net.AddLink("road", &MemoryLink{Name: "road", Target: "10.0.0.1:80"})
 	const dials = 2000
-	lost := 0
+	missing := 0
 	for range dials {
-		h := &lastWords{ended: make(chan string, 1)}
+		h := &endRecorder{ended: make(chan string, 1)}
 		c, err := stream.Dial(net, "road", time.Second, h)
 		if err != nil {
 			t.Fatal(err)
@@ -130,16 +134,17 @@
 			t.Fatal(err)
 		}
 		if got := <-h.ended; got != "answer" {
-			lost++
+			missing++
 		}
 	}
-	if lost > 0 {
-		t.Errorf("%d of %d answers were lost to the close", lost, dials)
+	if missing > 0 {
+		t.Errorf("%d of %d answers were not handled before the close", missing, dials)
 	}
 }
 
-// A dialler that its peer refuses is told of the end whenever that comes, before its close callback is set or after.
-func TestRefusedDialIsTold(t *testing.T) {
+// A dialer whose connection is refused must get its close callback, whether the refusal comes before or after the
+// callback is registered.
+func TestRefusedDialIsNotified(t *testing.T) {
 	net := NewMemory(NewTap(time.Now()))
 	listener, err := stream.Listen(net, "10.0.0.1:80", func(*stream.Conn) stream.Handler { return nil })
 	if err != nil {
@@ -147,34 +152,34 @@
 	}
 	defer listener.Close()
 	const dials = 5000
-	var all []*lastWords
+	var handlers []*endRecorder
 	for range dials {
-		h := &lastWords{ended: make(chan string, 1)}
+		h := &endRecorder{ended: make(chan string, 1)}
 		if _, err := stream.Dial(net, "10.0.0.1:80", time.Second, h); err != nil {
 			t.Fatal(err)
 		}
-		all = append(all, h)
+		handlers = append(handlers, h)
 	}
-	untold := 0
+	notNotified := 0
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
-	for _, h := range all {
+	for _, h := range handlers {
 		select {
 		case <-h.ended:
 			continue
 		case <-ctx.Done():
 		}
 		if len(h.ended) == 0 {
-			untold++
+			notNotified++
 		}
 	}
-	if untold > 0 {
-		t.Errorf("%d of %d refused dials were not told of the end", untold, dials)
+	if notNotified > 0 {
+		t.Errorf("%d of %d refused dials got no close callback", notNotified, dials)
 	}
-	server := net.serves["10.0.0.1:80"]
+	server := net.servers["10.0.0.1:80"]
 	server.mu.Lock()
 	defer server.mu.Unlock()
-	if kept := len(server.ends); kept > 0 {
-		t.Errorf("%d refused connections are kept", kept)
+	if remaining := len(server.ends); remaining > 0 {
+		t.Errorf("server still holds %d refused connections", remaining)
 	}
 }
