--- a/lab/platform/agent.go
+++ b/lab/platform/agent.go
@@ -9,34 +9,34 @@
 	"sync"
 )
 
-// ManualDiscovery is discovery by hand: each call waits until it is answered, byte by byte if one likes.
+// ManualDiscovery is a discovery stand-in whose calls a test answers one by one, byte by byte if it likes.
 type ManualDiscovery struct {
-	Calls chan *Call // in the order in which they came
+	Calls chan *Call // unbuffered; receives each call in order of arrival
 
-	ln    net.Listener
-	done  chan struct{}
-	mu    sync.Mutex
-	conns map[net.Conn]bool
+	listener net.Listener
+	done     chan struct{}
+	mu       sync.Mutex
+	conns    map[net.Conn]bool
 }
 
-// Call is one that waits for its answer.
+// Call is a call to discovery that waits for its answer.
 type Call struct {
 	net.Conn
-	Target string // path and query
-	Nth    int    // of its connection, from 1 on
-	next   chan bool
+	Target   string // path and query of the request
+	Nth      int    // number of the call on its connection, from 1
+	answered chan bool
 }
 
-// NewManualDiscovery starts one at an address of its own.
+// NewManualDiscovery starts a ManualDiscovery on a free loopback port.
 func NewManualDiscovery() (*ManualDiscovery, error) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	a := &ManualDiscovery{Calls: make(chan *Call), ln: ln, done: make(chan struct{}), conns: map[net.Conn]bool{}}
+	a := &ManualDiscovery{Calls: make(chan *Call), listener: listener, done: make(chan struct{}), conns: map[net.Conn]bool{}}
 	go func() {
 		for {
-			c, err := ln.Accept()
+			c, err := listener.Accept()
 			if err != nil {
 				return
 			}
@@ -49,15 +49,15 @@
 	return a, nil
 }
 
-// Address is where it listens.
-func (a *ManualDiscovery) Address() string { return a.ln.Addr().String() }
+// Address returns the address it listens on.
+func (a *ManualDiscovery) Address() string { return a.listener.Addr().String() }
 
-// Refuse has it take no more connections; those that are open stay.
-func (a *ManualDiscovery) Refuse() { a.ln.Close() }
+// Refuse stops accepting connections; open connections stay.
+func (a *ManualDiscovery) Refuse() { a.listener.Close() }
 
-// Close ends it and its connections.
+// Close stops listening and closes all connections.
 func (a *ManualDiscovery) Close() {
-	a.ln.Close()
+	a.listener.Close()
 	close(a.done)
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -79,45 +79,45 @@
 		if err != nil {
 			return
 		}
-		call := &Call{Conn: c, Target: r.URL.RequestURI(), Nth: n, next: make(chan bool, 1)}
+		call := &Call{Conn: c, Target: r.URL.RequestURI(), Nth: n, answered: make(chan bool, 1)}
 		select {
 		case a.Calls <- call:
 		case <-a.done:
 			return
 		}
 		select {
-		case <-call.next:
+		case <-call.answered:
 		case <-a.done:
 			return
 		}
 	}
 }
 
-// IsFullRequest tells whether it asks for the whole list.
+// IsFullRequest reports whether the call requests the whole list rather than the changes since a generation.
 func (c *Call) IsFullRequest() bool { return c.Target == "/api/targets" }
 
-// Encode are an answer on the wire.
+// Encode returns the bytes of an HTTP response with the answer.
 func (c *Call) Encode(answer Answer) []byte {
 	if answer.Instances == nil {
 		answer.Instances = []Instance{}
 	}
 	body, err := json.Marshal(answer)
 	if err != nil {
-		panic(err) // it always marshals
+		panic(err) // an Answer contains only types that can be encoded
 	}
 	return c.EncodeBody(string(body))
 }
 
-// EncodeBody is an answer of any body.
+// EncodeBody returns the bytes of an HTTP response with an arbitrary body.
 func (c *Call) EncodeBody(body string) []byte {
 	return fmt.Appendf(nil, "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// Answer answers, and takes the next call on the connection.
+// Answer sends an answer and lets the connection take its next call.
 func (c *Call) Answer(answer Answer) { c.Send(c.Encode(answer)) }
 
-// Send writes an answer, and takes the next call on the connection.
+// Send writes raw bytes as the answer and lets the connection take its next call.
 func (c *Call) Send(b []byte) {
 	_, _ = c.Write(b)
-	c.next <- true
+	c.answered <- true
 }
--- a/lab/platform/discovery.go
+++ b/lab/platform/discovery.go
@@ -1,6 +1,6 @@
-// Package platform has stand-ins for what the operators' platform puts round a pilot: discovery, proxies, collectors, and
-// peers that do as they please. They speak the platform's protocol with parsers of their own, so that a fault of the
-// pilot's codec shows.
+// Package platform has stand-ins for the parts of the operators' platform that a pilot connects to or serves:
+// discovery, proxies, and peers that send arbitrary lines. They parse the platform's protocol with code of their own,
+// so that a fault in the codec of the pilot is detected.
 package platform
 
 import (
@@ -15,7 +15,7 @@
 	"time"
 )
 
-// Instance is one endpoint on discovery's list.
+// Instance is one endpoint in the list of discovery.
 type Instance struct {
 	ID        string  `json:"instanceId"`
 	HostPort  string  `json:"hostPort"`
@@ -27,104 +27,104 @@
 	Started   int64   `json:"startedAtMs"`
 }
 
-// Answer is what discovery answers.
+// Answer is the response of discovery to a call.
 type Answer struct {
 	Generation uint64     `json:"generation"`
 	Reset      bool       `json:"reset"`
 	Instances  []Instance `json:"instances"`
 }
 
-// Behavior is how discovery answers.
+// Behavior is the way in which a Discovery answers.
 type Behavior int
 
 const (
 	Healthy    Behavior = iota
-	Silent              // never
-	Malformed           // what cannot be read
-	AlwaysFull          // the whole list, whatever the call
+	Silent              // calls are not answered
+	Malformed           // responses are invalid JSON
+	AlwaysFull          // every response has the whole list, whatever was requested
 )
 
-// Discovery is a stand-in that many pilots may watch.
+// Discovery is a stand-in for the discovery service that any number of pilots may watch.
 type Discovery struct {
-	ln     net.Listener
-	server *http.Server
-	stop   chan struct{}
-	ending sync.Once
-
-	mu      sync.Mutex
-	version uint64
-	at      map[string]uint64 // version of an endpoint's last change
-	list    map[string]Instance
-	mood    Behavior
-	news    chan struct{} // closed at each change
-	calls   int
+	listener  net.Listener
+	server    *http.Server
+	stop      chan struct{}
+	closeOnce sync.Once
+
+	mu         sync.Mutex
+	generation uint64
+	changedIn  map[string]uint64 // generation of the last change of an instance, by ID
+	instances  map[string]Instance
+	behavior   Behavior
+	changed    chan struct{} // closed and replaced at each change
+	calls      int
 }
 
-// NewDiscovery starts one at an address of its own, with a list.
-func NewDiscovery(list ...Instance) (*Discovery, error) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+// NewDiscovery starts a Discovery with a list on a free loopback port.
+func NewDiscovery(instances ...Instance) (*Discovery, error) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	d := &Discovery{ln: ln, stop: make(chan struct{}), at: map[string]uint64{}, list: map[string]Instance{},
-		news: make(chan struct{})}
-	d.Set(list...)
+	d := &Discovery{listener: listener, stop: make(chan struct{}), changedIn: map[string]uint64{},
+		instances: map[string]Instance{}, changed: make(chan struct{})}
+	d.Set(instances...)
 	d.server = &http.Server{Handler: http.HandlerFunc(d.serve)}
-	go func() { _ = d.server.Serve(ln) }()
+	go func() { _ = d.server.Serve(listener) }()
 	return d, nil
 }
 
-// Address is where it listens.
-func (d *Discovery) Address() string { return d.ln.Addr().String() }
+// Address returns the address it listens on.
+func (d *Discovery) Address() string { return d.listener.Addr().String() }
 
-// Close ends it and its connections.
+// Close stops the server and closes all connections.
 func (d *Discovery) Close() {
-	d.ending.Do(func() {
+	d.closeOnce.Do(func() {
 		close(d.stop)
 		d.server.Close()
 	})
 }
 
-// Set changes entries, all in one version.
-func (d *Discovery) Set(list ...Instance) {
+// Set adds or replaces instances in a new generation and wakes waiting calls.
+func (d *Discovery) Set(instances ...Instance) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.version++
-	for _, x := range list {
-		d.list[x.ID], d.at[x.ID] = x, d.version
+	d.generation++
+	for _, x := range instances {
+		d.instances[x.ID], d.changedIn[x.ID] = x, d.generation
 	}
-	close(d.news)
-	d.news = make(chan struct{})
+	close(d.changed)
+	d.changed = make(chan struct{})
 }
 
-// SetBehavior sets its mood; calls that wait are woken.
+// SetBehavior changes the behavior and wakes waiting calls.
 func (d *Discovery) SetBehavior(m Behavior) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.mood = m
-	close(d.news)
-	d.news = make(chan struct{})
+	d.behavior = m
+	close(d.changed)
+	d.changed = make(chan struct{})
 }
 
-// CallCount is how many have come.
+// CallCount returns the number of calls so far.
 func (d *Discovery) CallCount() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.calls
 }
 
-// Snapshot is the list as a pilot may have held it.
+// Snapshot returns the whole list, as a pilot may have saved it.
 func (d *Discovery) Snapshot() Answer {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.since(0, true)
+	return d.changesSince(0, true)
 }
 
-// since is what changed after a version, or all there is; d.mu is held.
-func (d *Discovery) since(after uint64, whole bool) Answer {
-	a := Answer{Generation: d.version, Reset: whole, Instances: []Instance{}}
-	for _, id := range slices.Sorted(maps.Keys(d.list)) {
-		if x := d.list[id]; whole && x.Lifecycle != "removed" || !whole && d.at[id] > after {
+// changesSince returns the instances that changed after a generation, or the whole list; d.mu is held.
+func (d *Discovery) changesSince(after uint64, full bool) Answer {
+	a := Answer{Generation: d.generation, Reset: full, Instances: []Instance{}}
+	for _, id := range slices.Sorted(maps.Keys(d.instances)) {
+		if x := d.instances[id]; full && x.Lifecycle != "removed" || !full && d.changedIn[id] > after {
 			a.Instances = append(a.Instances, x)
 		}
 	}
@@ -141,30 +141,30 @@
 	d.calls++
 	d.mu.Unlock()
 	after, err := strconv.ParseUint(q.Get("after"), 10, 64)
-	whole := !q.Has("after")
-	ms, werr := strconv.Atoi(q.Get("wait_ms"))
-	if !whole && (err != nil || werr != nil || ms > 60000) {
+	full := !q.Has("after")
+	ms, waitErr := strconv.Atoi(q.Get("wait_ms"))
+	if !full && (err != nil || waitErr != nil || ms > 60000) {
 		http.Error(w, "after or wait_ms", http.StatusBadRequest)
 		return
 	}
-	over := time.After(time.Duration(ms) * time.Millisecond)
+	timeout := time.After(time.Duration(ms) * time.Millisecond)
 	for waiting := true; ; {
 		d.mu.Lock()
-		a, mood, news := d.since(after, whole || d.mood == AlwaysFull), d.mood, d.news
+		a, behavior, changed := d.changesSince(after, full || d.behavior == AlwaysFull), d.behavior, d.changed
 		d.mu.Unlock()
 		switch {
-		case mood == Silent:
-		case mood == Malformed:
+		case behavior == Silent:
+		case behavior == Malformed:
 			fmt.Fprint(w, `{"generation":"of late","instances":[{]}`)
 			return
-		case whole || mood == AlwaysFull || len(a.Instances) > 0 || !waiting:
+		case full || behavior == AlwaysFull || len(a.Instances) > 0 || !waiting:
 			_ = json.NewEncoder(w).Encode(a)
 			return
 		}
 		select {
-		case <-news:
-		case <-over:
-			waiting, over = false, nil
+		case <-changed:
+		case <-timeout:
+			waiting, timeout = false, nil
 		case <-r.Context().Done():
 			return
 		case <-d.stop:
--- a/lab/platform/peer.go
+++ b/lab/platform/peer.go
@@ -9,28 +9,28 @@
 	"time"
 )
 
-// Peer is a connection to a pilot that says what it is told to.
+// Peer is a connection to a pilot on which a test sends arbitrary lines.
 type Peer struct {
 	net.Conn
-	in *bufio.Reader
+	reader *bufio.Reader
 }
 
-// Dial connects to a pilot.
+// Dial connects to a pilot; it gives up after 10 s.
 func Dial(address string) (*Peer, error) {
 	c, err := net.DialTimeout("tcp", address, 10*time.Second)
 	if err != nil {
 		return nil, err
 	}
-	return &Peer{Conn: c, in: bufio.NewReader(c)}, nil
+	return &Peer{Conn: c, reader: bufio.NewReader(c)}, nil
 }
 
-// Send sends a line.
+// Send sends a formatted line.
 func (p *Peer) Send(format string, args ...any) error {
 	_, err := fmt.Fprintf(p.Conn, format+"\n", args...)
 	return err
 }
 
-// Message is a message that a pilot sent.
+// Message is a message from a pilot.
 type Message struct {
 	Msg       string   `json:"msg"`
 	Routes    []string `json:"routes"`
@@ -44,63 +44,67 @@
 	Continued bool     `json:"continued"`
 }
 
-// Receive returns the next message; an error once the connection has ended or nothing came in time.
-func (p *Peer) Receive(within time.Duration) (o Message, err error) {
+// Receive returns the next message. It fails if the connection has ended, no message arrived in time, or the line is
+// not valid JSON.
+func (p *Peer) Receive(within time.Duration) (m Message, err error) {
 	_ = p.SetReadDeadline(time.Now().Add(within))
-	line, err := p.in.ReadBytes('\n')
+	line, err := p.reader.ReadBytes('\n')
 	if err != nil {
-		return o, err
+		return m, err
 	}
-	if err := json.Unmarshal(line, &o); err != nil {
-		return o, fmt.Errorf("%q: %w", line, err)
+	if err := json.Unmarshal(line, &m); err != nil {
+		return m, fmt.Errorf("%q: %w", line, err)
 	}
-	return o, nil
+	return m, nil
 }
 
-// Proxy is a stand-in that applies orders and answers marks. It refuses what a real one would: then Fault says why and its
-// stream ends.
+// Proxy is a stand-in for a proxy that applies messages and confirms those with a nonce. It ends its stream at a
+// message that a real proxy would refuse; State then returns the reason.
 type Proxy struct {
-	Number int
-	peer   *Peer
-	types  []string
-	known  func(host string) bool
-
-	mu       sync.Mutex
-	tables   map[string]map[string]float64
-	levels   map[string]float64
-	out      map[string]bool
-	messages int
-	fault    error
-	ended    bool
-	mute     bool
+	Number  int
+	peer    *Peer
+	opTypes []string
+	isKnown func(host string) bool
+
+	mu            sync.Mutex
+	tables        map[string]map[string]float64
+	levels        map[string]float64
+	ejected       map[string]bool
+	messages      int
+	fault         error
+	ended         bool
+	neverConfirms bool
 }
 
-// Join dials a pilot and joins as a proxy that carries on with what an earlier stream left it; nil: nothing.
-func Join(address string, number int, zone string, types []string, known func(string) bool, before *Proxy) (*Proxy, error) {
+// Join connects to a pilot and attaches as a proxy. The proxy starts with the tables and levels of a previous one, or
+// with none if that is nil. isKnown reports whether a host is in the list.
+func Join(address string, number int, zone string, types []string, isKnown func(string) bool,
+	previous *Proxy) (*Proxy, error) {
 	peer, err := Dial(address)
 	if err != nil {
 		return nil, err
 	}
-	p := &Proxy{Number: number, peer: peer, types: types, known: known, tables: map[string]map[string]float64{},
-		levels: map[string]float64{}, out: map[string]bool{}}
-	if before != nil {
-		before.mu.Lock()
-		p.tables, p.levels, p.out = before.tables, before.levels, before.out
-		before.mu.Unlock()
+	p := &Proxy{Number: number, peer: peer, opTypes: types, isKnown: isKnown, tables: map[string]map[string]float64{},
+		levels: map[string]float64{}, ejected: map[string]bool{}}
+	if previous != nil {
+		previous.mu.Lock()
+		p.tables, p.levels, p.ejected = previous.tables, previous.levels, previous.ejected
+		previous.mu.Unlock()
 	}
-	if err := peer.Send(`{"msg":"attach","sidecar":%d,"az":%q,"share":5.5,"standing":%v}`, number, zone, before == nil); err != nil {
+	if err := peer.Send(`{"msg":"attach","sidecar":%d,"az":%q,"share":5.5,"standing":%v}`,
+		number, zone, previous == nil); err != nil {
 		return nil, err
 	}
-	go p.follow()
+	go p.readLoop()
 	return p, nil
 }
 
-func (p *Proxy) follow() {
+func (p *Proxy) readLoop() {
 	parts := 0
 	for {
-		line, err := p.peer.in.ReadBytes('\n')
+		line, err := p.peer.reader.ReadBytes('\n')
 		if err == nil {
-			err = p.take(line, &parts)
+			err = p.apply(line, &parts)
 			if err != nil {
 				p.mu.Lock()
 				p.fault = err
@@ -117,87 +121,87 @@
 	}
 }
 
-func (p *Proxy) take(line []byte, parts *int) error {
-	var o Message
-	if err := json.Unmarshal(line, &o); err != nil || o.Msg != "assign" || len(line) > 1<<20 {
+func (p *Proxy) apply(line []byte, parts *int) error {
+	var m Message
+	if err := json.Unmarshal(line, &m); err != nil || m.Msg != "assign" || len(line) > 1<<20 {
 		return fmt.Errorf("%.200q: %v", line, err)
 	}
 	if *parts++; *parts > 64 {
-		return fmt.Errorf("a message of over 64 parts")
+		return fmt.Errorf("message of more than 64 parts")
 	}
-	if !o.Continued {
+	if !m.Continued {
 		*parts = 0
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	types := o.Routes
+	types := m.Routes
 	if types == nil {
-		types = p.types
+		types = p.opTypes
 	}
 	for _, t := range types {
-		if o.Full || p.tables[t] == nil {
+		if m.Full || p.tables[t] == nil {
 			p.tables[t] = map[string]float64{}
 		}
-		if o.Full {
+		if m.Full {
 			delete(p.levels, t)
 		}
-		for _, l := range o.Endpoints {
+		for _, l := range m.Endpoints {
 			host, ok := l[0].(string)
-			weight, fine := l[1].(float64)
-			if !ok || !fine || weight < 0 || !p.known(host) {
-				return fmt.Errorf("a line of %v", l)
+			weight, isNumber := l[1].(float64)
+			if !ok || !isNumber || weight < 0 || !p.isKnown(host) {
+				return fmt.Errorf("invalid table entry %v", l)
 			}
 			if p.tables[t][host] = weight; weight == 0 {
 				delete(p.tables[t], host)
 			}
 		}
-		if (o.Admit == nil) != (o.Policy == nil) {
+		if (m.Admit == nil) != (m.Policy == nil) {
 			return fmt.Errorf("admit without policy: %s", line)
 		}
-		if o.Admit != nil {
-			p.levels[t] = *o.Admit
+		if m.Admit != nil {
+			p.levels[t] = *m.Admit
 		}
 	}
-	for _, host := range append(o.Eject, o.Restore...) {
-		if !p.known(host) {
-			return fmt.Errorf("unknown %q", host)
+	for _, host := range append(m.Eject, m.Restore...) {
+		if !p.isKnown(host) {
+			return fmt.Errorf("unknown host %q", host)
 		}
 	}
-	for _, host := range o.Eject {
-		p.out[host] = true
+	for _, host := range m.Eject {
+		p.ejected[host] = true
 	}
-	for _, host := range o.Restore {
-		delete(p.out, host)
+	for _, host := range m.Restore {
+		delete(p.ejected, host)
 	}
-	if !o.Continued {
+	if !m.Continued {
 		p.messages++
 	}
-	if o.Nonce != nil && !p.mute {
-		return p.peer.Send(`{"msg":"done","sidecar":%d,"version":%d,"lag_ms":12.5}`, p.Number, *o.Nonce)
+	if m.Nonce != nil && !p.neverConfirms {
+		return p.peer.Send(`{"msg":"done","sidecar":%d,"version":%d,"lag_ms":12.5}`, p.Number, *m.Nonce)
 	}
 	return nil
 }
 
-// Send sends a line on its stream.
+// Send sends a formatted line to the pilot.
 func (p *Proxy) Send(format string, args ...any) error { return p.peer.Send(format, args...) }
 
-// Disconnect ends its stream.
+// Disconnect closes the stream.
 func (p *Proxy) Disconnect() { p.peer.Close() }
 
-// AvailableEndpoints are the endpoints that it may pick for an op type.
+// AvailableEndpoints returns the weights, by host, of the endpoints that the proxy may pick for an op type.
 func (p *Proxy) AvailableEndpoints(opType string) map[string]float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	open := map[string]float64{}
+	available := map[string]float64{}
 	for host, weight := range p.tables[opType] {
-		if !p.out[host] {
-			open[host] = weight
+		if !p.ejected[host] {
+			available[host] = weight
 		}
 	}
-	return open
+	return available
 }
 
-// Level is how much of an op type it lets in; below 0: it was not told.
+// Level returns the share of an op type that is admitted; -1 if no level was received.
 func (p *Proxy) Level(opType string) float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -207,7 +211,8 @@
 	return -1
 }
 
-// State tells how many messages it has applied, whether its stream has ended, and what it could not use.
+// State returns how many messages were applied, whether the stream has ended, and why a message was refused, if one
+// was.
 func (p *Proxy) State() (messages int, ended bool, fault error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/lab/receiver/receiver.go
+++ b/lab/receiver/receiver.go
@@ -12,30 +12,30 @@
 	"time"
 )
 
-// Faults is how a receiver behaves; the zero value reads all as it comes.
+// Faults are the injected faults of a receiver; with the zero value it reads everything as it arrives.
 type Faults struct {
-	Refuse     bool          // closes each connection at once
-	Stall      bool          // accepts, reads nothing
-	ByteDelay  time.Duration // for each byte that it reads
-	ResetAfter int           // resets a connection after so many bytes; 0: never
+	Refuse     bool          // connections are reset as soon as they are accepted
+	Stall      bool          // connections are accepted and not read
+	ByteDelay  time.Duration // delay of each byte that is read
+	ResetAfter int           // bytes after which a connection is reset; 0: none
 }
 
-// Receiver is a running one.
+// Receiver is a running syslog receiver.
 type Receiver struct {
-	mu      sync.Mutex
-	trouble Faults
-	got     []*Message
-	bad     []error
-	torn    int // frames that a connection ended in
-	conns   map[net.Conn]bool
-	changed chan struct{} // closed when the trouble changes
-	ln      net.Listener
-	packets net.PacketConn
-	done    sync.WaitGroup
-	closed  bool
+	mu        sync.Mutex
+	faults    Faults
+	received  []*Message
+	malformed []error
+	truncated int // frames cut off by the end of their connection
+	conns     map[net.Conn]bool
+	changed   chan struct{} // closed and replaced when the faults change
+	listener  net.Listener
+	packets   net.PacketConn
+	running   sync.WaitGroup
+	closed    bool
 }
 
-// Listen receives on a network: udp, tcp, tls (with conf) or unixgram.
+// Listen starts a receiver on a network: udp, tcp, tls (with conf) or unixgram.
 func Listen(network, address string, conf *tls.Config) (*Receiver, error) {
 	r := &Receiver{conns: map[net.Conn]bool{}, changed: make(chan struct{})}
 	var err error
@@ -44,36 +44,36 @@
 		if r.packets, err = net.ListenPacket(network, address); err != nil {
 			return nil, err
 		}
-		r.done.Go(r.datagrams)
+		r.running.Go(r.readDatagrams)
 	case "tcp", "tls":
-		if r.ln, err = net.Listen("tcp", address); err != nil {
+		if r.listener, err = net.Listen("tcp", address); err != nil {
 			return nil, err
 		}
-		r.done.Go(func() { r.accept(conf) })
+		r.running.Go(func() { r.accept(conf) })
 	default:
-		return nil, fmt.Errorf("no network %q", network)
+		return nil, fmt.Errorf("unknown network %q", network)
 	}
 	return r, nil
 }
 
-// Address is where it listens.
+// Address returns the address it listens on.
 func (r *Receiver) Address() string {
 	if r.packets != nil {
 		return r.packets.LocalAddr().String()
 	}
-	return r.ln.Addr().String()
+	return r.listener.Addr().String()
 }
 
-// SetFaults changes how it behaves, from now on and on connections that are open.
+// SetFaults changes the faults, also for open connections.
 func (r *Receiver) SetFaults(t Faults) {
 	r.mu.Lock()
-	r.trouble = t
+	r.faults = t
 	close(r.changed)
 	r.changed = make(chan struct{})
 	r.mu.Unlock()
 }
 
-// ResetConnections resets all connections.
+// ResetConnections resets all open connections.
 func (r *Receiver) ResetConnections() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -92,14 +92,15 @@
 	c.Close()
 }
 
-// Received returns the messages so far, in order, what could not be read, and how many frames were torn.
-func (r *Receiver) Received() (got []*Message, bad []error, torn int) {
+// Received returns the messages so far in order of arrival, the errors of those that could not be parsed, and the
+// number of truncated frames.
+func (r *Receiver) Received() (received []*Message, malformed []error, truncated int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return append([]*Message(nil), r.got...), append([]error(nil), r.bad...), r.torn
+	return append([]*Message(nil), r.received...), append([]error(nil), r.malformed...), r.truncated
 }
 
-// Close ends it.
+// Close stops listening, closes all connections and waits for their goroutines.
 func (r *Receiver) Close() {
 	r.mu.Lock()
 	if r.closed {
@@ -112,44 +113,44 @@
 		c.Close()
 	}
 	r.mu.Unlock()
-	if r.ln != nil {
-		r.ln.Close()
+	if r.listener != nil {
+		r.listener.Close()
 	} else {
 		r.packets.Close()
 	}
-	r.done.Wait()
+	r.running.Wait()
 }
 
-func (r *Receiver) take(text string) {
+func (r *Receiver) record(text string) {
 	m, err := Parse(text)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if err != nil {
-		r.bad = append(r.bad, fmt.Errorf("%.200q: %w", text, err))
+		r.malformed = append(r.malformed, fmt.Errorf("%.200q: %w", text, err))
 		return
 	}
-	r.got = append(r.got, m)
+	r.received = append(r.received, m)
 }
 
-func (r *Receiver) datagrams() {
+func (r *Receiver) readDatagrams() {
 	b := make([]byte, 1<<16)
 	for {
 		n, _, err := r.packets.ReadFrom(b)
 		if err != nil {
 			return
 		}
-		r.take(string(b[:n]))
+		r.record(string(b[:n]))
 	}
 }
 
 func (r *Receiver) accept(conf *tls.Config) {
 	for {
-		c, err := r.ln.Accept()
+		c, err := r.listener.Accept()
 		if err != nil {
 			return
 		}
 		r.mu.Lock()
-		if r.closed || r.trouble.Refuse {
+		if r.closed || r.faults.Refuse {
 			r.mu.Unlock()
 			reset(c)
 			continue
@@ -159,8 +160,8 @@
 		}
 		r.conns[c] = true
 		r.mu.Unlock()
-		r.done.Go(func() {
-			r.frames(c)
+		r.running.Go(func() {
+			r.readFrames(c)
 			r.mu.Lock()
 			delete(r.conns, c)
 			r.mu.Unlock()
@@ -169,35 +170,35 @@
 	}
 }
 
-// troubled reads as the receiver's trouble has it.
-type troubled struct {
+// faultyReader reads from a connection under the faults of the receiver.
+type faultyReader struct {
 	r    *Receiver
 	c    net.Conn
 	read int
 }
 
-func (t *troubled) Read(b []byte) (int, error) {
+func (t *faultyReader) Read(b []byte) (int, error) {
 	for {
 		t.r.mu.Lock()
-		x, changed, closed := t.r.trouble, t.r.changed, t.r.closed
+		faults, changed, closed := t.r.faults, t.r.changed, t.r.closed
 		t.r.mu.Unlock()
 		switch {
 		case closed:
 			return 0, io.ErrUnexpectedEOF
-		case x.Stall:
+		case faults.Stall:
 			<-changed
 			continue
-		case x.ByteDelay > 0:
+		case faults.ByteDelay > 0:
 			select {
-			case <-time.After(x.ByteDelay):
+			case <-time.After(faults.ByteDelay):
 			case <-changed:
 			}
 			b = b[:1]
-		case x.ResetAfter > 0 && t.read >= x.ResetAfter:
+		case faults.ResetAfter > 0 && t.read >= faults.ResetAfter:
 			reset(t.c)
-			return 0, errors.New("cut")
-		case x.ResetAfter > 0:
-			b = b[:min(len(b), x.ResetAfter-t.read)]
+			return 0, errors.New("connection reset after ResetAfter bytes")
+		case faults.ResetAfter > 0:
+			b = b[:min(len(b), faults.ResetAfter-t.read)]
 		}
 		n, err := t.c.Read(b)
 		t.read += n
@@ -205,37 +206,37 @@
 	}
 }
 
-// mostFrame bounds what a frame may say of its length.
-const mostFrame = 1 << 20
+// maxFrameBytes limits the length that a frame may declare.
+const maxFrameBytes = 1 << 20
 
-// frames reads a stream whose frames count their octets, RFC 6587, 3.4.1 and RFC 5425, 4.3.
-func (r *Receiver) frames(c net.Conn) {
-	in := bufio.NewReaderSize(&troubled{r: r, c: c}, 4096)
-	tear := func() {
+// readFrames reads octet-counted frames from a connection, RFC 6587, 3.4.1 and RFC 5425, 4.3.
+func (r *Receiver) readFrames(c net.Conn) {
+	in := bufio.NewReaderSize(&faultyReader{r: r, c: c}, 4096)
+	recordTruncated := func() {
 		r.mu.Lock()
-		r.torn++
+		r.truncated++
 		r.mu.Unlock()
 	}
 	for {
 		count, err := in.ReadString(' ')
 		if err != nil {
 			if count != "" {
-				tear()
+				recordTruncated()
 			}
 			return
 		}
 		n, err := strconv.Atoi(count[:len(count)-1])
-		if err != nil || n < 1 || n > mostFrame || count[0] == '0' || count[0] == '+' {
+		if err != nil || n < 1 || n > maxFrameBytes || count[0] == '0' || count[0] == '+' {
 			r.mu.Lock()
-			r.bad = append(r.bad, fmt.Errorf("%.40q counts no octets", count))
+			r.malformed = append(r.malformed, fmt.Errorf("invalid octet count %.40q", count))
 			r.mu.Unlock()
 			return
 		}
 		text := make([]byte, n)
 		if _, err := io.ReadFull(in, text); err != nil {
-			tear()
+			recordTruncated()
 			return
 		}
-		r.take(string(text))
+		r.record(string(text))
 	}
 }
--- a/lab/roster/roster.go
+++ b/lab/roster/roster.go
@@ -1,6 +1,6 @@
-// Package roster is the stand-in for the list service. It knows only of processes that run, drain or are gone, pushes
-// changes as it is told of them, sends the whole list after a gap and fails on demand. Set is the way in; whoever plays
-// the day decides how late it is called.
+// Package roster is a stand-in for the list service. It lists the servers that are ready or draining, pushes each
+// change to its watchers, sends the whole list to a client that has missed changes, and can be made unreachable.
+// Start makes a Server; the test calls Set and thus decides how late the list follows the servers.
 package roster
 
 import (
@@ -13,46 +13,46 @@
 	"vetchdoor/stream"
 )
 
-// keep is how many versions of changes are kept for those who ask late.
-const keep = 64
+// maxKeptChanges is the number of changes kept for clients that reconnect.
+const maxKeptChanges = 64
 
-// Server is a list service.
+// Server is a running list service.
 type Server struct {
 	mu       sync.Mutex
 	version  uint64
 	entries  map[control.EndpointID]list.Entry
-	changes  []list.Update // the newest, oldest first
+	changes  []list.Update // the last changes, oldest first; one for each version
 	watchers map[*watcher]bool
 	down     bool
-	ln       *stream.Listener
+	listener *stream.Listener
 }
 
 type watcher struct {
-	s        *Server
+	server   *Server
 	conn     *stream.Conn
 	lines    list.Lines
 	watching bool
 }
 
-// Start listens and serves a first list.
+// Start listens on a TCP address and serves a list of entries as version 1.
 func Start(address string, entries []list.Entry) (*Server, error) {
 	return StartOnNet(nil, address, entries)
 }
 
-// StartOnNet does so over a net; nil: sockets.
-func StartOnNet(over stream.Net, address string, entries []list.Entry) (*Server, error) {
+// StartOnNet is Start on a given network; nil: sockets.
+func StartOnNet(network stream.Net, address string, entries []list.Entry) (*Server, error) {
 	s := &Server{version: 1, entries: map[control.EndpointID]list.Entry{}, watchers: map[*watcher]bool{}}
 	for _, e := range entries {
 		s.entries[e.Endpoint] = e
 	}
 	var err error
-	s.ln, err = stream.Listen(over, address, func(c *stream.Conn) stream.Handler {
+	s.listener, err = stream.Listen(network, address, func(c *stream.Conn) stream.Handler {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		if s.down {
 			return nil
 		}
-		w := &watcher{s: s, conn: c}
+		w := &watcher{server: s, conn: c}
 		s.watchers[w] = true
 		return w
 	})
@@ -62,16 +62,16 @@
 	return s, nil
 }
 
-// Address is where it listens.
-func (s *Server) Address() string { return s.ln.Address() }
+// Address returns the address the service listens on.
+func (s *Server) Address() string { return s.listener.Address() }
 
-// Stop stops it once what it has told is written.
-func (s *Server) Stop() { s.ln.Stop() }
+// Stop stops the service once the data sent so far has been written.
+func (s *Server) Stop() { s.listener.Stop() }
 
-// Close stops it at once.
-func (s *Server) Close() { s.ln.Close() }
+// Close stops the service at once.
+func (s *Server) Close() { s.listener.Close() }
 
-// Set puts entries on the list, or takes off those that are gone, and pushes the change.
+// Set adds or replaces entries, removes those with mode "gone", and pushes the change to the watchers.
 func (s *Server) Set(entries ...list.Entry) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -84,10 +84,10 @@
 			s.entries[e.Endpoint] = e
 		}
 	}
-	if s.changes = append(s.changes, u); len(s.changes) > keep {
+	if s.changes = append(s.changes, u); len(s.changes) > maxKeptChanges {
 		s.changes = s.changes[1:]
 	}
-	b := line(u)
+	b := encodeLine(u)
 	for w := range s.watchers {
 		if w.watching {
 			_ = w.conn.Send(b)
@@ -95,42 +95,42 @@
 	}
 }
 
-// SetDown makes it unreachable, or reachable again.
+// SetDown makes the service unreachable, closing all connections, or reachable again.
 func (s *Server) SetDown(down bool) {
 	s.mu.Lock()
 	s.down = down
-	var drop []*stream.Conn
+	var conns []*stream.Conn
 	for w := range s.watchers {
-		drop = append(drop, w.conn)
+		conns = append(conns, w.conn)
 	}
 	s.mu.Unlock()
 	if down {
-		for _, c := range drop {
+		for _, c := range conns {
 			c.Close()
 		}
 	}
 }
 
-// Entries returns the list, by endpoint.
+// Entries returns the list in order of endpoint.
 func (s *Server) Entries() []list.Entry {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.sorted()
+	return s.sortedEntries()
 }
 
-func (s *Server) sorted() []list.Entry {
-	out := make([]list.Entry, 0, len(s.entries))
+func (s *Server) sortedEntries() []list.Entry {
+	entries := make([]list.Entry, 0, len(s.entries))
 	for _, e := range s.entries {
-		out = append(out, e)
+		entries = append(entries, e)
 	}
-	sort.Slice(out, func(i, j int) bool { return out[i].Endpoint < out[j].Endpoint })
-	return out
+	sort.Slice(entries, func(i, j int) bool { return entries[i].Endpoint < entries[j].Endpoint })
+	return entries
 }
 
-func line(u list.Update) []byte {
+func encodeLine(u list.Update) []byte {
 	b, err := json.Marshal(u)
 	if err != nil {
-		panic(err) // plain values always marshal
+		panic(err) // an Update contains only types that can be encoded
 	}
 	return append(b, '\n')
 }
@@ -145,31 +145,31 @@
 			}
 			return
 		}
-		var ask list.Ask
-		if json.Unmarshal(text, &ask) != nil {
+		var request list.Ask
+		if json.Unmarshal(text, &request) != nil {
 			c.Close()
 			return
 		}
-		w.answer(ask)
+		w.answer(request)
 	}
 }
 
-func (w *watcher) answer(ask list.Ask) {
-	s := w.s
+func (w *watcher) answer(request list.Ask) {
+	s := w.server
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	w.watching = w.watching || ask.Watch
-	if first := s.version - uint64(len(s.changes)); ask.Watch && ask.Have >= first && ask.Have <= s.version {
-		for _, u := range s.changes[ask.Have-first:] {
-			_ = w.conn.Send(line(u))
+	w.watching = w.watching || request.Watch
+	if first := s.version - uint64(len(s.changes)); request.Watch && request.Have >= first && request.Have <= s.version {
+		for _, u := range s.changes[request.Have-first:] {
+			_ = w.conn.Send(encodeLine(u))
 		}
 		return
 	}
-	_ = w.conn.Send(line(list.Update{Kind: "full", Version: s.version, Entries: s.sorted()}))
+	_ = w.conn.Send(encodeLine(list.Update{Kind: "full", Version: s.version, Entries: s.sortedEntries()}))
 }
 
 func (w *watcher) Closed(*stream.Conn) {
-	w.s.mu.Lock()
-	delete(w.s.watchers, w)
-	w.s.mu.Unlock()
+	w.server.mu.Lock()
+	delete(w.server.watchers, w)
+	w.server.mu.Unlock()
 }
