--- a/bench/cells/main.go
+++ b/bench/cells/main.go
@@ -1,6 +1,7 @@
-// Command cells measures what one misbehaving tenant costs the others, with subsets and limits and without, over several
-// seeds: it plays a day through real pilots and proxies for each kind of misbehaviour, takes the difference to the same
-// seed's day without one, and writes a table with 95% intervals and a plot. Run it in bench/: go run ./cells.
+// Command cells measures what one misbehaving tenant costs the other tenants, with and without subsets and limits.
+// For each kind of misbehaviour and several seeds it runs a day with real pilots and proxies and takes the difference
+// to the same seed's day without misbehaviour. It writes a table with 95% intervals, and a plot. Run it in bench/: go
+// run ./cells.
 package main
 
 import (
@@ -30,7 +31,7 @@
 	"vetchdoor/tenancy"
 )
 
-// kind is a way to misbehave.
+// kind is a way in which a tenant misbehaves.
 type kind struct {
 	name, how   string
 	rate, times float64
@@ -39,7 +40,7 @@
 var kinds = []kind{{"none", "", 0, 0}, {"dear", "", 40, 30}, {"hasty", "hasty", 30, 0}, {"poison", "poison", 2, 0},
 	{"slow-reader", "slow-reader", 20, 0}, {"new-names", "new-names", 300, 0}}
 
-// variant is how tenants are kept apart.
+// variant is a way to isolate tenants from each other.
 type variant struct {
 	name   string
 	subset int
@@ -48,6 +49,8 @@
 
 var variants = []variant{{"all share all", 0, false}, {"subset 3, limits", 3, true}}
 
+// result is the outcome of one day: the shares of service that the other tenants got, the number of rules broken and the
+// number of cold nodes that crashed.
 type result struct {
 	Kind, Variant                   string
 	Seed                            uint64
@@ -57,37 +60,37 @@
 }
 
 func main() {
-	seeds := flag.Uint64("seeds", 8, "seeds")
-	abreast := flag.Int("abreast", 3, "days played at a time")
-	out := flag.String("out", ".", "where the results and the plot go")
-	blast := flag.Bool("blast", false, "measure the blast radius against the size of a subset instead")
-	only := flag.String("only", "", "these kinds, with commas between; the results of the others are taken from those that are there")
+	seeds := flag.Uint64("seeds", 8, "number of seeds, from 1")
+	abreast := flag.Int("abreast", 3, "days to run concurrently")
+	out := flag.String("out", ".", "directory for the results and the plot")
+	blast := flag.Bool("blast", false, "measure the blast radius by subset size instead")
+	only := flag.String("only", "", "comma-separated kinds to run; results of the others are read from cells.json")
 	flag.Parse()
 	var jobs []result
-	vs, ks := variants, kinds
+	playedVariants, playedKinds := variants, kinds
 	if *blast {
-		vs, ks = nil, []kind{kinds[1]}
+		playedVariants, playedKinds = nil, []kind{kinds[1]}
 		for k := range 4 {
-			vs = append(vs, variant{fmt.Sprint("subset ", k+1), k + 1, false})
+			playedVariants = append(playedVariants, variant{fmt.Sprint("subset ", k+1), k + 1, false})
 		}
 	}
 	for seed := uint64(1); seed <= *seeds; seed++ {
-		for _, k := range ks {
-			for _, v := range vs {
+		for _, k := range playedKinds {
+			for _, v := range playedVariants {
 				jobs = append(jobs, result{Kind: k.name, Variant: v.name, Seed: seed})
 			}
 		}
 	}
 	if *only != "" {
-		var kept []result
+		var previous []result
 		if text, err := os.ReadFile(filepath.Join(*out, "cells.json")); err == nil {
-			if err := json.Unmarshal(text, &kept); err != nil {
+			if err := json.Unmarshal(text, &previous); err != nil {
 				log.Fatal(err)
 			}
 		}
 		for i := range jobs {
 			if !slices.Contains(strings.Split(*only, ","), jobs[i].Kind) {
-				for _, k := range kept {
+				for _, k := range previous {
 					if k.Kind == jobs[i].Kind && k.Variant == jobs[i].Variant && k.Seed == jobs[i].Seed {
 						jobs[i] = k
 					}
@@ -96,15 +99,15 @@
 		}
 	}
 	var wg sync.WaitGroup
-	room := make(chan bool, *abreast)
+	slots := make(chan bool, *abreast)
 	for i := range jobs {
 		if jobs[i].Others > 0 {
 			continue
 		}
-		room <- true
+		slots <- true
 		wg.Go(func() {
-			defer func() { <-room }()
-			play(&jobs[i], ks, vs)
+			defer func() { <-slots }()
+			runDay(&jobs[i], playedKinds, playedVariants)
 		})
 	}
 	wg.Wait()
@@ -116,35 +119,36 @@
 		log.Fatal(err)
 	}
 	if *blast {
-		printBlast(jobs, vs)
+		printBlastRadius(jobs, playedVariants)
 		return
 	}
-	printLoss(jobs, filepath.Join(*out, "cells-loss.svg"))
+	printDifferences(jobs, filepath.Join(*out, "cells-loss.svg"))
 }
 
-// day is the evening for a kind and a variant.
+// day returns the settings of a day with a kind of misbehaviour and a variant of isolation.
 func day(k kind, v variant, seed uint64) (*files.Day, error) {
 	d, err := days.Read("tenants-evening")
 	if err != nil {
 		return nil, err
 	}
-	s := func(n int) files.Duration { return files.Duration(time.Duration(n) * time.Second) }
-	d.Seed, d.Length, d.Fleet.Nodes = seed, s(20), 100
+	seconds := func(n int) files.Duration { return files.Duration(time.Duration(n) * time.Second) }
+	d.Seed, d.Length, d.Fleet.Nodes = seed, seconds(20), 100
 	c := &d.Load.Tenants
-	c.Bad, c.BadAt, c.BadLength, c.BadRate, c.BadTimes, c.BadHow = 30, s(5), s(12), k.rate, k.times, k.how
+	c.Bad, c.BadAt, c.BadLength, c.BadRate, c.BadTimes, c.BadHow = 30, seconds(5), seconds(12), k.rate, k.times, k.how
 	c.Subset, c.Limits, c.Known = v.subset, v.limits, v.limits
 	return d, nil
 }
 
-func play(r *result, ks []kind, vs []variant) {
+// runDay runs the day of a result and fills in its figures.
+func runDay(r *result, playedKinds []kind, playedVariants []variant) {
 	var k kind
 	var v variant
-	for _, x := range ks {
+	for _, x := range playedKinds {
 		if x.name == r.Kind {
 			k = x
 		}
 	}
-	for _, x := range vs {
+	for _, x := range playedVariants {
 		if x.name == r.Variant {
 			v = x
 		}
@@ -160,47 +164,50 @@
 	t := got.Tenants
 	r.Others, r.Outside, r.Inside, r.Shared = t.Others, t.Outside, t.Inside, 1-t.OutsideShare
 	r.Rules, r.Falls, r.BehindP99 = len(got.Breaks), got.Falls, got.BehindP99
-	fmt.Fprintf(os.Stderr, "%s, %s, seed %d: others %.3f, outside %.3f, %d rules broken\n", r.Kind, r.Variant, r.Seed, r.Others, r.Outside, r.Rules)
+	fmt.Fprintf(os.Stderr, "%s, %s, seed %d: others %.3f, outside %.3f, %d rules broken\n",
+		r.Kind, r.Variant, r.Seed, r.Others, r.Outside, r.Rules)
 }
 
-// interval is the mean of samples and half the width of its 95% interval, by Student's t.
-func interval(x []float64) (mean, half float64) {
+// interval returns the mean of samples and half the width of its 95% confidence interval by Student's t-distribution.
+func interval(x []float64) (mean, halfWidth float64) {
 	for _, v := range x {
 		mean += v / float64(len(x))
 	}
 	if len(x) < 2 {
 		return mean, 0
 	}
-	sq := 0.0
+	squares := 0.0
 	for _, v := range x {
-		sq += (v - mean) * (v - mean)
+		squares += (v - mean) * (v - mean)
 	}
 	n := float64(len(x))
-	return mean, distuv.StudentsT{Sigma: 1, Nu: n - 1}.Quantile(0.975) * math.Sqrt(sq/(n-1)/n)
+	return mean, distuv.StudentsT{Sigma: 1, Nu: n - 1}.Quantile(0.975) * math.Sqrt(squares/(n-1)/n)
 }
 
-// lost are the differences to the same seed's day without misbehaviour.
-func lost(jobs []result, kind, variant string, of func(result) float64) (out []float64) {
-	calm := map[uint64]float64{}
+// differences returns, for each seed, how much lower a value is than on the same seed's day without misbehaviour.
+func differences(jobs []result, kind, variant string, value func(result) float64) (out []float64) {
+	baseline := map[uint64]float64{}
 	for _, r := range jobs {
 		if r.Kind == "none" && r.Variant == variant {
-			calm[r.Seed] = of(r)
+			baseline[r.Seed] = value(r)
 		}
 	}
 	for _, r := range jobs {
 		if r.Kind == kind && r.Variant == variant {
-			out = append(out, calm[r.Seed]-of(r))
+			out = append(out, baseline[r.Seed]-value(r))
 		}
 	}
 	return out
 }
 
+// bars is a series of points with error bars.
 type bars struct {
 	plotter.XYs
 	plotter.YErrors
 }
 
-func printLoss(jobs []result, path string) {
+// printDifferences prints the table of losses by misbehaviour and saves the plot to a path.
+func printDifferences(jobs []result, path string) {
 	p := plot.New()
 	p.Title.Text = "Service that others lose to one misbehaving tenant"
 	p.Y.Label.Text = "lost of 1"
@@ -209,22 +216,24 @@
 	fmt.Println("| misbehaviour | all share all | subset 3 and limits | of those outside its subset | of those inside |")
 	fmt.Println("| --- | --- | --- | --- | --- |")
 	series := make([]bars, 3)
-	broken := 0
+	violations := 0
 	for _, r := range jobs {
-		broken += r.Rules
+		violations += r.Rules
 	}
 	for i, k := range kinds[1:] {
 		names = append(names, k.name)
 		others := func(r result) float64 { return r.Others }
 		line := "| " + k.name
-		for j, x := range [][]float64{lost(jobs, k.name, variants[0].name, others), lost(jobs, k.name, variants[1].name, others),
-			lost(jobs, k.name, variants[1].name, func(r result) float64 { return r.Outside }),
-			lost(jobs, k.name, variants[1].name, func(r result) float64 { return r.Inside })} {
-			mean, half := interval(x)
-			line += fmt.Sprintf(" | %.3f ± %.3f", mean, half)
+		for j, x := range [][]float64{
+			differences(jobs, k.name, variants[0].name, others),
+			differences(jobs, k.name, variants[1].name, others),
+			differences(jobs, k.name, variants[1].name, func(r result) float64 { return r.Outside }),
+			differences(jobs, k.name, variants[1].name, func(r result) float64 { return r.Inside })} {
+			mean, halfWidth := interval(x)
+			line += fmt.Sprintf(" | %.3f ± %.3f", mean, halfWidth)
 			if j < 3 {
 				series[j].XYs = append(series[j].XYs, plotter.XY{X: float64(i) + 0.2*float64(j-1), Y: mean})
-				series[j].YErrors = append(series[j].YErrors, struct{ Low, High float64 }{-half, half})
+				series[j].YErrors = append(series[j].YErrors, struct{ Low, High float64 }{-halfWidth, halfWidth})
 			}
 		}
 		fmt.Println(line + " |")
@@ -236,10 +245,10 @@
 				x = append(x, r.Others)
 			}
 		}
-		mean, half := interval(x)
-		fmt.Printf("\n%s, nobody misbehaves: %.3f ± %.3f\n", v.name, mean, half)
+		mean, halfWidth := interval(x)
+		fmt.Printf("\n%s, nobody misbehaves: %.3f ± %.3f\n", v.name, mean, halfWidth)
 	}
-	fmt.Printf("\nrules broken in all runs: %d\n", broken)
+	fmt.Printf("\nrules broken in all runs: %d\n", violations)
 	for j, name := range []string{"all share all", "subset 3, limits", "outside its subset"} {
 		drawn, marks = append(drawn, name, series[j]), append(marks, series[j])
 	}
@@ -256,20 +265,23 @@
 	}
 }
 
-func printBlast(jobs []result, vs []variant) {
+// printBlastRadius prints, by subset size, the predicted and the measured share of the ops of other tenants that can reach
+// a pod of the misbehaving one, and the service of the tenants inside and outside its subset.
+func printBlastRadius(jobs []result, playedVariants []variant) {
 	fmt.Println("| subset | others' ops that can reach a pod of the culprit, predicted | measured | service of those inside | outside |")
 	fmt.Println("| --- | --- | --- | --- | --- |")
-	for _, v := range vs {
+	for _, v := range playedVariants {
 		var shared, inside, outside []float64
 		for _, r := range jobs {
 			if r.Variant == v.name {
 				shared, inside, outside = append(shared, r.Shared), append(inside, r.Inside), append(outside, r.Outside)
 			}
 		}
-		_, any := tenancy.Blast(17, v.subset)
-		s, sh := interval(shared)
-		i, ih := interval(inside)
-		o, oh := interval(outside)
-		fmt.Printf("| %d | %.3f | %.3f ± %.3f | %.3f ± %.3f | %.3f ± %.3f |\n", v.subset, any, s, sh, i, ih, o, oh)
+		_, reachable := tenancy.Blast(17, v.subset)
+		sharedMean, sharedHalf := interval(shared)
+		insideMean, insideHalf := interval(inside)
+		outsideMean, outsideHalf := interval(outside)
+		fmt.Printf("| %d | %.3f | %.3f ± %.3f | %.3f ± %.3f | %.3f ± %.3f |\n", v.subset, reachable,
+			sharedMean, sharedHalf, insideMean, insideHalf, outsideMean, outsideHalf)
 	}
 }
--- a/bench/pilot/main.go
+++ b/bench/pilot/main.go
@@ -1,5 +1,5 @@
-// Command pilot measures the pilot's own CPU and memory: the program given runs as a process with the real module, 500
-// proxies speak the stream by hand, and a list of 300 servers changes now and then. Build vetchdoor first:
+// Command pilot measures the CPU time and memory of a pilot. It runs the given program as a separate process, with
+// 500 proxies that it simulates and a list of 300 servers that changes now and then. Build vetchdoor first:
 //
 //	go build -o /tmp/vetchdoor ../cmd/vetchdoor && go run ./pilot -program /tmp/vetchdoor
 package main
@@ -22,7 +22,7 @@
 	"vetchdoor/control"
 	"vetchdoor/files"
 	"vetchdoor/lab/days"
-	stand "vetchdoor/lab/roster"
+	listservice "vetchdoor/lab/roster"
 	"vetchdoor/roster"
 	"vetchdoor/runtime"
 	"vetchdoor/session"
@@ -30,9 +30,9 @@
 
 func main() {
 	program := flag.String("program", "", "the vetchdoor binary")
-	proxies := flag.Int("proxies", 500, "")
-	servers := flag.Int("servers", 300, "")
-	span := flag.Duration("span", 15*time.Second, "of the steady part")
+	proxies := flag.Int("proxies", 500, "number of proxies")
+	servers := flag.Int("servers", 300, "number of servers")
+	span := flag.Duration("span", 15*time.Second, "duration of each phase after joining")
 	flag.Parse()
 	if err := measure(*program, *proxies, *servers, *span); err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -40,6 +40,7 @@
 	}
 }
 
+// measure runs the pilot through three phases and prints its CPU time and memory in each: joining, steady, and a changing list.
 func measure(program string, proxies, servers int, span time.Duration) error {
 	day, err := days.Read("large-evening")
 	if err != nil {
@@ -47,22 +48,24 @@
 	}
 	var list []roster.Entry
 	for i := range servers {
-		list = append(list, roster.Entry{Endpoint: control.EndpointID(i + 1), Address: netip.MustParseAddrPort(fmt.Sprintf("127.0.0.1:%d", 10000+i)),
-			Zone: day.Service.Zones[i%3], Pack: i / 9, Weight: 2, Mode: "ready"})
+		list = append(list, roster.Entry{Endpoint: control.EndpointID(i + 1),
+			Address: netip.MustParseAddrPort(fmt.Sprintf("127.0.0.1:%d", 10000+i)),
+			Zone:    day.Service.Zones[i%3], Pack: i / 9, Weight: 2, Mode: "ready"})
 	}
-	s, err := stand.Start("127.0.0.1:0", list)
+	service, err := listservice.Start("127.0.0.1:0", list)
 	if err != nil {
 		return err
 	}
-	defer s.Close()
+	defer service.Close()
 	dir, err := os.MkdirTemp("", "bench-pilot-")
 	if err != nil {
 		return err
 	}
 	defer os.RemoveAll(dir)
 	day.Channel.MostWaiting, day.Channel.LinesPerSecond, day.Channel.ReportLinesPerSecond = 400_000, 200_000, 5000
-	file := files.Pilot{Kind: "pilot", Name: "p", Zone: day.Service.Zones[0], Proxies: proxies, Listen: "127.0.0.1:0", Roster: s.Address(),
-		Admin: "unix:" + filepath.Join(dir, "sock"), Service: day.Service, Limits: day.Limits, Channel: day.Channel}
+	file := files.Pilot{Kind: "pilot", Name: "p", Zone: day.Service.Zones[0], Proxies: proxies, Listen: "127.0.0.1:0",
+		Roster: service.Address(), Admin: "unix:" + filepath.Join(dir, "sock"),
+		Service: day.Service, Limits: day.Limits, Channel: day.Channel}
 	b, err := json.Marshal(file)
 	if err == nil {
 		err = os.WriteFile(filepath.Join(dir, "pilot.json"), b, 0o600)
@@ -92,16 +95,17 @@
 	go io.Copy(io.Discard, in)
 	begin := time.Now()
 	for i := range proxies {
-		go speak(line.Listen, i, list, &day.Service)
+		go simulateProxy(line.Listen, i, list, &day.Service)
 	}
 	time.Sleep(8 * time.Second)
 	report := func(what string, since time.Time, cpu time.Duration) (time.Time, time.Duration) {
-		now, used := time.Now(), cpuOf(cmd.Process.Pid)
+		now, total := time.Now(), cpuOf(cmd.Process.Pid)
 		info, err := session.Ask(file.Admin, "show info", 10*time.Second)
 		if err != nil {
 			info = err.Error()
 		}
-		fmt.Printf("%-28s CPU %5.1f%% of a core, %s\n", what, 100*(used-cpu).Seconds()/now.Sub(since).Seconds(), memory(cmd.Process.Pid))
+		fmt.Printf("%-28s CPU %5.1f%% of a core, %s\n", what,
+			100*(total-cpu).Seconds()/now.Sub(since).Seconds(), residentMemory(cmd.Process.Pid))
 		for _, l := range strings.Split(info, "\n") {
 			for _, p := range []string{"Proxies:", "Batches", "Deciding", "Messages", "Lines"} {
 				if strings.HasPrefix(l, p) {
@@ -109,32 +113,32 @@
 				}
 			}
 		}
-		return now, used
+		return now, total
 	}
 	at, cpu := report("joining, 8 s", begin, 0)
 	time.Sleep(span)
 	at, cpu = report("steady", at, cpu)
-	for range int(span / time.Second) { // a server drains and comes back each second
+	for range int(span / time.Second) { // one server drains and returns each second
 		e := list[rand.IntN(len(list))]
 		e.Mode = "draining"
-		s.Set(e)
+		service.Set(e)
 		time.Sleep(500 * time.Millisecond)
 		e.Mode = "ready"
-		s.Set(e)
+		service.Set(e)
 		time.Sleep(500 * time.Millisecond)
 	}
 	report("a drain and return a second", at, cpu)
 	return nil
 }
 
-// speak is one proxy: it confirms what comes and sends sums each second.
-func speak(at string, id int, list []roster.Entry, service *files.Service) {
-	c, err := net.Dial("tcp", at)
+// simulateProxy joins the pilot as one proxy, confirms its messages and sends sums each second.
+func simulateProxy(address string, id int, list []roster.Entry, service *files.Service) {
+	c, err := net.Dial("tcp", address)
 	if err != nil {
 		panic(err)
 	}
-	h := runtime.Hello{Proxy: control.ProxyID(id), Token: fmt.Sprint(id), Zone: id % 3, Rate: 5, Pilot: "-", Window: 4096}
-	_, _ = c.Write(h.Append(nil))
+	hello := runtime.Hello{Proxy: control.ProxyID(id), Token: fmt.Sprint(id), Zone: id % 3, Rate: 5, Pilot: "-", Window: 4096}
+	_, _ = c.Write(hello.Append(nil))
 	go func() {
 		rng := rand.New(rand.NewPCG(1, uint64(id)))
 		time.Sleep(time.Duration(rng.IntN(1000)) * time.Millisecond)
@@ -178,6 +182,7 @@
 	}
 }
 
+// cpuOf returns the CPU time that a process has used, user and system; 0 if there is no such process.
 func cpuOf(pid int) time.Duration {
 	b, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
@@ -190,7 +195,8 @@
 	return time.Duration(u+s) * 10 * time.Millisecond
 }
 
-func memory(pid int) string {
+// residentMemory returns the resident set size of a process as text; empty if there is no such process.
+func residentMemory(pid int) string {
 	b, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
 		return ""
--- a/bench/proxy/main.go
+++ b/bench/proxy/main.go
@@ -1,5 +1,6 @@
-// Command proxy measures our proxy beside httputil.ReverseProxy and a fasthttp proxy: the same clients, the same server,
-// each proxy in a process of its own, so that its CPU an op is its own. Run it without arguments.
+// Command proxy compares the proxy with httputil.ReverseProxy and a fasthttp proxy, under the same clients and the
+// same server. Each proxy runs in a process of its own, so that its CPU time per op can be measured. Run it without
+// arguments.
 package main
 
 import (
@@ -28,12 +29,12 @@
 )
 
 func main() {
-	kind := flag.String("kind", "", "run as a proxy of this kind (ours, std, fast)")
-	to := flag.String("to", "", "the server")
+	kind := flag.String("kind", "", "run as a proxy of this kind: ours, std or fast")
+	to := flag.String("to", "", "address of the server")
 	procs := flag.String("procs", "1", "GOMAXPROCS of each proxy")
-	span := flag.Duration("span", 4*time.Second, "of each run")
-	rounds := flag.Int("rounds", 3, "of all kinds in turn")
-	clients := flag.Int("clients", 64, "connections, each with one op in flight")
+	span := flag.Duration("span", 4*time.Second, "duration of each run")
+	rounds := flag.Int("rounds", 3, "number of rounds, each with all kinds in turn")
+	clients := flag.Int("clients", 64, "number of connections, each with one op in flight")
 	flag.Parse()
 	if *kind != "" {
 		serve(*kind, *to)
@@ -54,18 +55,20 @@
 	}
 	fmt.Printf("%-8s %12s %14s %10s %10s\n", "kind", "ops/s", "CPU us an op", "p50 us", "p99 us")
 	for _, k := range kinds {
-		slices.SortFunc(results[k], func(a, b result) int { return int(a.rate - b.rate) })
-		m := results[k][len(results[k])/2]
-		fmt.Printf("%-8s %12.0f %14.1f %10d %10d\n", k, m.rate, m.cpu, m.p50.Microseconds(), m.p99.Microseconds())
+		slices.SortFunc(results[k], func(a, b result) int { return int(a.opsPerSecond - b.opsPerSecond) })
+		median := results[k][len(results[k])/2]
+		fmt.Printf("%-8s %12.0f %14.1f %10d %10d\n", k,
+			median.opsPerSecond, median.cpuMicros, median.p50.Microseconds(), median.p99.Microseconds())
 	}
 }
 
+// result holds the measurements of one run.
 type result struct {
-	rate, cpu float64
-	p50, p99  time.Duration
+	opsPerSecond, cpuMicros float64
+	p50, p99                time.Duration
 }
 
-// startOrigin answers every request with the same bytes, as cheaply as can be.
+// startOrigin starts a server that answers every request with the same small response, and returns its address.
 func startOrigin() string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -79,8 +82,9 @@
 	return ln.Addr().String()
 }
 
+// measure runs a proxy of a kind, or none for "direct", and measures it under load after a warm-up.
 func measure(kind, origin, procs string, span time.Duration, clients int) (result, error) {
-	at, pid := origin, 0
+	address, pid := origin, 0
 	if kind != "direct" {
 		cmd := exec.Command(os.Args[0], "-kind", kind, "-to", origin)
 		cmd.Env = append(os.Environ(), "GOMAXPROCS="+procs)
@@ -94,21 +98,21 @@
 		}
 		defer cmd.Wait()
 		defer cmd.Process.Kill()
-		if at, err = bufio.NewReader(out).ReadString('\n'); err != nil {
+		if address, err = bufio.NewReader(out).ReadString('\n'); err != nil {
 			return result{}, err
 		}
-		at, pid = strings.TrimSpace(at), cmd.Process.Pid
+		address, pid = strings.TrimSpace(address), cmd.Process.Pid
 	}
-	load(at, clients, span/4) // warm
+	load(address, clients, span/4) // warm up
 	before := cpuOf(pid)
-	all := load(at, clients, span)
-	used := cpuOf(pid) - before
+	all := load(address, clients, span)
+	cpuTime := cpuOf(pid) - before
 	slices.Sort(all)
 	n := len(all)
-	return result{float64(n) / span.Seconds(), used.Seconds() * 1e6 / float64(n), all[n/2], all[n*99/100]}, nil
+	return result{float64(n) / span.Seconds(), cpuTime.Seconds() * 1e6 / float64(n), all[n/2], all[n*99/100]}, nil
 }
 
-// cpuOf reads a process's CPU time.
+// cpuOf returns the CPU time that a process has used, user and system; 0 if there is no such process.
 func cpuOf(pid int) time.Duration {
 	if pid == 0 {
 		return 0
@@ -123,21 +127,21 @@
 	return time.Duration(u+s) * 10 * time.Millisecond
 }
 
-// load has each client send one op after another.
-func load(at string, clients int, span time.Duration) (all []time.Duration) {
+// load lets each client send one op after another for a duration, and returns the latencies of all ops.
+func load(address string, clients int, span time.Duration) (all []time.Duration) {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	end := time.Now().Add(span)
 	for range clients {
 		wg.Go(func() {
-			c, err := net.Dial("tcp", at)
+			c, err := net.Dial("tcp", address)
 			if err != nil {
 				panic(err)
 			}
 			defer c.Close()
 			in := bufio.NewReaderSize(c, 4096)
 			req := []byte("GET /page HTTP/1.1\r\nHost: results.example\r\nUser-Agent: x\r\nAccept: */*\r\n\r\n")
-			var mine []time.Duration
+			var latencies []time.Duration
 			for time.Now().Before(end) {
 				begin := time.Now()
 				if _, err := c.Write(req); err != nil {
@@ -159,10 +163,10 @@
 				if _, err := in.Discard(length); err != nil {
 					panic(err)
 				}
-				mine = append(mine, time.Since(begin))
+				latencies = append(latencies, time.Since(begin))
 			}
 			mu.Lock()
-			all = append(all, mine...)
+			all = append(all, latencies...)
 			mu.Unlock()
 		})
 	}
@@ -170,15 +174,18 @@
 	return all
 }
 
-// serve runs one proxy and prints its address.
+// serve runs a proxy of the given kind and prints its address on standard output.
 func serve(kind, to string) {
 	switch kind {
 	case "ours":
 		ms := func(n int) files.Duration { return files.Duration(time.Duration(n) * time.Millisecond) }
-		p, err := proxy.New(&files.Proxy{Kind: "proxy", ID: 1, Zone: "z", Listen: "127.0.0.1:0", Pilots: []files.PilotAddress{{Address: "127.0.0.1:1", Zone: "z"}},
+		p, err := proxy.New(&files.Proxy{Kind: "proxy", ID: 1, Zone: "z", Listen: "127.0.0.1:0",
+			Pilots: []files.PilotAddress{{Address: "127.0.0.1:1", Zone: "z"}},
 			Redial: ms(60000), Servers: []files.StandingServer{{Endpoint: 1, Address: to, Zone: "z"}},
-			Service: files.Service{Zones: []string{"z"}, Bootstrap: 1, ReportEvery: ms(1000), Measures: []string{"cpu_utilization", "inflight"},
-				OpTypes: []files.OpType{{Name: "a", TargetLatency: ms(500), OpTimeout: ms(2000), Repeat: "retryable"}}}}, slog.New(slog.DiscardHandler))
+			Service: files.Service{Zones: []string{"z"}, Bootstrap: 1, ReportEvery: ms(1000),
+				Measures: []string{"cpu_utilization", "inflight"},
+				OpTypes:  []files.OpType{{Name: "a", TargetLatency: ms(500), OpTimeout: ms(2000), Repeat: "retryable"}}}},
+			slog.New(slog.DiscardHandler))
 		if err == nil {
 			err = p.Start()
 		}
@@ -189,24 +196,24 @@
 		defer p.Stop(context.Background())
 	case "std":
 		u, _ := url.Parse("http://" + to)
-		rp := httputil.NewSingleHostReverseProxy(u)
-		rp.Transport = &http.Transport{MaxIdleConnsPerHost: 1024, DisableCompression: true}
-		rp.ErrorLog = nil
+		reverseProxy := httputil.NewSingleHostReverseProxy(u)
+		reverseProxy.Transport = &http.Transport{MaxIdleConnsPerHost: 1024, DisableCompression: true}
+		reverseProxy.ErrorLog = nil
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			panic(err)
 		}
-		go http.Serve(ln, rp)
+		go http.Serve(ln, reverseProxy)
 		fmt.Println(ln.Addr())
 	case "fast":
-		hc := &fasthttp.HostClient{Addr: to, MaxConns: 4096}
+		client := &fasthttp.HostClient{Addr: to, MaxConns: 4096}
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			panic(err)
 		}
 		s := &fasthttp.Server{Handler: func(c *fasthttp.RequestCtx) {
 			c.Request.Header.Del("Connection")
-			if err := hc.Do(&c.Request, &c.Response); err != nil {
+			if err := client.Do(&c.Request, &c.Response); err != nil {
 				c.Error(err.Error(), 502)
 				return
 			}
@@ -224,5 +231,5 @@
 		_ = pprof.StartCPUProfile(f)
 		time.AfterFunc(2*time.Second, func() { pprof.StopCPUProfile(); f.Close() })
 	}
-	select {} // until the measuring process ends this one
+	select {} // the measuring process kills this one
 }
--- a/bench/xds/main.go
+++ b/bench/xds/main.go
@@ -1,5 +1,6 @@
-// Command xds measures, over go-control-plane's delta xDS, what pilot's BenchmarkPush measures over the runtime API: the
-// change of one server's weight in a list of 300 to acknowledged by 500 clients, all in this process over loopback.
+// Command xds measures over the delta xDS protocol of go-control-plane what BenchmarkPush of package pilot measures
+// over the runtime API: the time from a change of one server's weight in a list of 300 until 500 clients have
+// acknowledged it, all in this process over loopback.
 package main
 
 import (
@@ -27,7 +28,7 @@
 const servers, proxies, rounds = 300, 500, 200
 
 func main() {
-	// The linear cache is go-control-plane's cache for one type of resource shared by all clients.
+	// The linear cache of go-control-plane holds one type of resource for all clients.
 	c := cache.NewLinearCache(resource.EndpointType)
 	if err := c.UpdateResource("t0", table(1)); err != nil {
 		panic(err)
@@ -39,31 +40,32 @@
 		panic(err)
 	}
 	go s.Serve(ln)
-	var got, bytes atomic.Int64
+	var received, bytes atomic.Int64
 	for i := range proxies {
-		go client(ln.Addr().String(), i, &got, &bytes)
+		go client(ln.Addr().String(), i, &received, &bytes)
 	}
-	for got.Load() < proxies {
+	for received.Load() < proxies {
 		time.Sleep(time.Millisecond)
 	}
-	var took []time.Duration
+	var latencies []time.Duration
 	bytes.Store(0)
 	for i := range rounds {
-		got.Store(0)
+		received.Store(0)
 		begin := time.Now()
 		if err := c.UpdateResource("t0", table(uint32(i%9+2))); err != nil {
 			panic(err)
 		}
-		for got.Load() < proxies {
+		for received.Load() < proxies {
 			time.Sleep(50 * time.Microsecond)
 		}
-		took = append(took, time.Since(begin))
+		latencies = append(latencies, time.Since(begin))
 	}
-	slices.Sort(took)
-	fmt.Printf("all of %d clients: p50 %v, p99 %v; %d bytes a change and client\n", proxies, took[len(took)/2], took[len(took)*99/100],
-		bytes.Load()/rounds/proxies)
+	slices.Sort(latencies)
+	fmt.Printf("all of %d clients: p50 %v, p99 %v; %d bytes a change and client\n", proxies,
+		latencies[len(latencies)/2], latencies[len(latencies)*99/100], bytes.Load()/rounds/proxies)
 }
 
+// table returns an endpoint assignment in which one server has the given weight.
 func table(weight uint32) types.Resource {
 	l := &endpoint.ClusterLoadAssignment{ClusterName: "t0", Endpoints: []*endpoint.LocalityLbEndpoints{{}}}
 	for i := range servers {
@@ -73,36 +75,40 @@
 		}
 		l.Endpoints[0].LbEndpoints = append(l.Endpoints[0].LbEndpoints, &endpoint.LbEndpoint{
 			LoadBalancingWeight: wrapperspb.UInt32(w),
-			HostIdentifier: &endpoint.LbEndpoint_Endpoint{Endpoint: &endpoint.Endpoint{Address: &core.Address{Address: &core.Address_SocketAddress{
-				SocketAddress: &core.SocketAddress{Address: "127.0.0.1", PortSpecifier: &core.SocketAddress_PortValue{PortValue: uint32(10000 + i)}}}}}}})
+			HostIdentifier: &endpoint.LbEndpoint_Endpoint{Endpoint: &endpoint.Endpoint{
+				Address: &core.Address{Address: &core.Address_SocketAddress{
+					SocketAddress: &core.SocketAddress{Address: "127.0.0.1",
+						PortSpecifier: &core.SocketAddress_PortValue{PortValue: uint32(10000 + i)}}}}}}})
 	}
 	return l
 }
 
-func client(at string, i int, got, bytes *atomic.Int64) {
-	conn, err := grpc.NewClient(at, grpc.WithTransportCredentials(insecure.NewCredentials()))
+// client subscribes to the table, acknowledges every version and counts the responses and their bytes.
+func client(address string, i int, received, bytes *atomic.Int64) {
+	conn, err := grpc.NewClient(address, grpc.WithTransportCredentials(insecure.NewCredentials()))
 	if err != nil {
 		panic(err)
 	}
-	st, err := eds.NewEndpointDiscoveryServiceClient(conn).DeltaEndpoints(context.Background())
+	stream, err := eds.NewEndpointDiscoveryServiceClient(conn).DeltaEndpoints(context.Background())
 	if err != nil {
 		panic(err)
 	}
-	req := &discovery.DeltaDiscoveryRequest{Node: &core.Node{Id: fmt.Sprint(i)}, TypeUrl: resource.EndpointType, ResourceNamesSubscribe: []string{"t0"}}
+	req := &discovery.DeltaDiscoveryRequest{Node: &core.Node{Id: fmt.Sprint(i)}, TypeUrl: resource.EndpointType,
+		ResourceNamesSubscribe: []string{"t0"}}
 	for {
-		if err := st.Send(req); err != nil {
+		if err := stream.Send(req); err != nil {
 			panic(err)
 		}
-		r, err := st.Recv()
+		r, err := stream.Recv()
 		if err != nil {
 			panic(err)
 		}
 		bytes.Add(int64(proto.Size(r)))
-		var l endpoint.ClusterLoadAssignment // a client reads what it is sent
+		var l endpoint.ClusterLoadAssignment // clients decode each response, as in production
 		if err := r.Resources[0].Resource.UnmarshalTo(&l); err != nil {
 			panic(err)
 		}
 		req = &discovery.DeltaDiscoveryRequest{TypeUrl: resource.EndpointType, ResponseNonce: r.Nonce}
-		got.Add(1)
+		received.Add(1)
 	}
 }
