--- a/bench/pilot/main.go
+++ b/bench/pilot/main.go
@@ -40,7 +40,8 @@
 	}
 }
 
-// measure runs the pilot through three phases and prints its CPU time and memory in each: joining, steady, and a changing list.
+// measure runs the pilot through three phases and prints its CPU time and memory in each: proxies joining, steady state,
+// and a changing list.
 func measure(program string, proxies, servers int, span time.Duration) error {
 	day, err := days.Read("large-evening")
 	if err != nil {
--- a/lab/link/memory.go
+++ b/lab/link/memory.go
@@ -17,11 +17,11 @@
 // addresses; a dialer uses a server's address directly, or that of a MemoryLink, which delays, cuts and records what
 // passes.
 type Memory struct {
-	mu      sync.Mutex
-	tap     *Tap
-	next    int
-	servers map[string]*memoryServer
-	links   map[string]*MemoryLink
+	mu         sync.Mutex
+	tap        *Tap
+	lastNumber int // last connection number or port assigned
+	servers    map[string]*memoryServer
+	links      map[string]*MemoryLink
 }
 
 // NewMemory makes a network whose links record their transfers in a tap.
@@ -32,14 +32,14 @@
 // MemoryLink is a link to a server of a Memory. Its exported fields are set before it is dialled.
 type MemoryLink struct {
 	Name    string
-	Target  string
-	Delays  [2]Delay
+	Target  string                             // address of the server
+	Delays  [2]Delay                           // by direction; nil for none
 	Rewrite func(d Direction, b []byte) []byte // rewrites each piece of data; may be nil
 
 	mu         sync.Mutex
 	cut        bool
 	dropping   [2]bool
-	breakAfter [2]int // if positive: bytes until the connections break, by direction
+	breakAfter [2]int // by direction: bytes until a connection breaks; 0 for never
 	ends       map[*memoryEnd]bool
 }
 
@@ -99,8 +99,8 @@
 		to = r.Target
 	}
 	s := m.servers[to]
-	m.next++
-	id := m.next
+	m.lastNumber++
+	id := m.lastNumber
 	m.mu.Unlock()
 	cut := false
 	if r != nil {
@@ -132,8 +132,8 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if host, port, err := net.SplitHostPort(address); err == nil && port == "0" {
-		m.next++
-		address = net.JoinHostPort(host, fmt.Sprint(1024+m.next%60000))
+		m.lastNumber++
+		address = net.JoinHostPort(host, fmt.Sprint(1024+m.lastNumber%60000))
 	}
 	if m.servers[address] != nil {
 		return nil, fmt.Errorf("listen on %s: address already in use", address)
@@ -293,7 +293,8 @@
 // request with a body is complete before that piece arrives.
 const lastPartBytes = 1
 
-// lastPartDelay is how much later the last piece arrives. A fake clock advances only when all goroutines are blocked.
+// lastPartDelay is how much later the last piece arrives. A fake clock advances only when all goroutines are blocked, so
+// the rest of the write has been handled by then.
 const lastPartDelay = time.Microsecond
 
 // sendInParts sends a piece to the peer, in two parts if there is no link.
--- a/lab/node/ledger.go
+++ b/lab/node/ledger.go
@@ -11,7 +11,7 @@
 type Arrival struct {
 	At       time.Duration
 	Endpoint control.EndpointID
-	Proxy    int // ID from the Via header field; negative without one
+	Proxy    int // ID from the Via header field; -1 without one
 	Op       uint64
 	Try      int // the client's try number, from 0; retries by the proxy keep it
 	OpType   int
@@ -43,8 +43,8 @@
 	effects        []Effect
 	crashes        []Crash
 	mixUps         []string                   // descriptions of requests and answers with parts of others
-	effectArrivals map[dedupKey]time.Duration // arrival that last took effect for each key of a group
-	wasted         time.Duration              // work whose answer was not delivered
+	effectArrivals map[dedupKey]time.Duration // arrival time of the last effect, by group and key
+	wasted         time.Duration              // work that led to no delivered answer, such as handshakes
 	worked         time.Duration
 }
 
@@ -137,7 +137,7 @@
 	return append([]string(nil), l.mixUps...)
 }
 
-// Work returns the work done so far and the part of it whose answer was not delivered.
+// Work returns the work done so far and the part of it that led to no delivered answer, handshakes included.
 func (l *Ledger) Work() (all, wasted time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/lab/platform/agent.go
+++ b/lab/platform/agent.go
@@ -9,7 +9,7 @@
 	"sync"
 )
 
-// ManualDiscovery is a discovery stand-in whose calls a test answers one by one, byte by byte if it likes.
+// ManualDiscovery is a discovery stand-in whose calls a test answers one by one; it may write an answer byte by byte.
 type ManualDiscovery struct {
 	Calls chan *Call // unbuffered; receives each call in order of arrival
 
