--- a/lab/load.go
+++ b/lab/load.go
@@ -305,7 +305,7 @@
 const largeEach = 16
 
 // checkSign notes an answer that is another op's, and one that blames the request, for each is well formed.
-func (s *source) checkSign(o *op, a *upstream.Answer) {
+func (s *source) checkSign(o *op, a *upstream.Response) {
 	if a.Status >= 400 && a.Status < 500 {
 		s.ledger.RecordMixUp(fmt.Sprintf("op %d was answered %d", o.number, a.Status))
 	}
