--- a/lab/load.go
+++ b/lab/load.go
@@ -242,7 +242,7 @@
 				}
 			}
 			a.Release()
-		} else if fail.Unrun {
+		} else if fail.NotSent {
 			refused = true
 		}
 		o.ended = time.Since(from)
