--- a/lab/tenants.go
+++ b/lab/tenants.go
@@ -159,7 +159,7 @@
 					continue
 				}
 				f.asked.Add(1)
-				if reply, err := session.Ask(up.AdminAddress(), line, 5*time.Second); err != nil || strings.TrimSpace(reply) != "" {
+				if reply, err := session.Query(up.AdminAddress(), line, 5*time.Second); err != nil || strings.TrimSpace(reply) != "" {
 					f.unasked.Add(1)
 					f.log.Warn("a move was not taken", "command", line, "reply", reply, "error", err)
 				}
