--- a/pilot/hello.go
+++ b/pilot/hello.go
@@ -109,7 +109,7 @@
 	if h.Bound == p.file.Name {
 		has = h.BoundTo
 	}
-	p.move(tenancy.Event{Joined: &tenancy.Joined{Proxy: tenancy.ProxyID(h.Proxy), Has: has}})
+	p.move(tenancy.Event{Joined: &tenancy.Joined{Proxy: tenancy.ProxyID(h.Proxy), AppliedUpTo: has}})
 }
 
 // adoptLaterRun goes on beyond a run of this pilot that a proxy holds, which refuses all older ones: the clock was set back since.
--- a/tenancy/bench_test.go
+++ b/tenancy/bench_test.go
@@ -40,7 +40,7 @@
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				m.Step(time.Minute, Event{Joined: &Joined{Proxy: 1, Has: number}})
+				m.Step(time.Minute, Event{Joined: &Joined{Proxy: 1, AppliedUpTo: number}})
 			}
 		})
 	}
--- a/tenancy/move.go
+++ b/tenancy/move.go
@@ -72,8 +72,8 @@
 // Joined says that a proxy's stream is up. It has all of this pilot's orders up to Has; 0: none. It may hold any older
 // binding beside.
 type Joined struct {
-	Proxy ProxyID
-	Has   uint64
+	Proxy       ProxyID
+	AppliedUpTo uint64
 }
 
 // Confirm is a proxy's word that an order is in force, and that no write that it let go under an older one is yet to be
@@ -263,19 +263,19 @@
 		m.know()
 	}
 	m.proxies[j.Proxy] = true
-	if j.Has <= m.born || j.Has > m.number {
-		j.Has = 0
+	if j.AppliedUpTo <= m.born || j.AppliedUpTo > m.number {
+		j.AppliedUpTo = 0
 	}
 	all := slices.SortedFunc(maps.Values(m.tenants), func(a, b *tenant) int { return cmp.Compare(a.Number, b.Number) })
 	for _, t := range all {
 		if t.Phase != Settled { // what it let go before it is told must be waited out as well
 			t.Phase, t.awaited[j.Proxy] = Holding, true
 			m.order(t, j.Proxy)
-		} else if t.Number > j.Has {
+		} else if t.Number > j.AppliedUpTo {
 			m.order(t, j.Proxy)
 		}
 	}
-	if j.Has == 0 { // what others told it, or this pilot before it lost its store, is over
+	if j.AppliedUpTo == 0 { // what others told it, or this pilot before it lost its store, is over
 		m.done.Orders = append(m.done.Orders, Order{Proxy: j.Proxy, Number: m.born, Clear: true})
 	}
 }
--- a/tenancy/move_test.go
+++ b/tenancy/move_test.go
@@ -139,7 +139,7 @@
 	case 10: // a stream breaks, or comes back
 		p.orders, p.answers = nil, nil
 		if p.joined = !p.joined; p.joined {
-			w.step(Event{Joined: &Joined{Proxy: id, Has: p.has}})
+			w.step(Event{Joined: &Joined{Proxy: id, AppliedUpTo: p.has}})
 		} else {
 			w.m.Left(id)
 		}
@@ -215,7 +215,7 @@
 		for id, p := range w.proxies {
 			if !p.joined {
 				p.joined = true
-				w.step(Event{Joined: &Joined{Proxy: id, Has: p.has}})
+				w.step(Event{Joined: &Joined{Proxy: id, AppliedUpTo: p.has}})
 			}
 		}
 		for range 200 {
@@ -403,10 +403,10 @@
 		t.Errorf("%+v", d)
 	}
 	// A proxy that comes back is told what it has not been told, and no more.
-	if d = m.Step(now, Event{Joined: &Joined{Proxy: 2, Has: d.Orders[0].Number - 1}}); len(d.Orders) != 1 || d.Orders[0].Tenant != "a" {
+	if d = m.Step(now, Event{Joined: &Joined{Proxy: 2, AppliedUpTo: d.Orders[0].Number - 1}}); len(d.Orders) != 1 || d.Orders[0].Tenant != "a" {
 		t.Errorf("%+v", d.Orders)
 	}
-	if d = m.Step(now, Event{Joined: &Joined{Proxy: 2, Has: 1 << 60}}); len(d.Orders) != 4 || !d.Orders[3].Clear {
+	if d = m.Step(now, Event{Joined: &Joined{Proxy: 2, AppliedUpTo: 1 << 60}}); len(d.Orders) != 4 || !d.Orders[3].Clear {
 		t.Errorf("%+v", d.Orders)
 	}
 }
