--- a/lab/run.go
+++ b/lab/run.go
@@ -97,7 +97,7 @@
 		f.mu.Lock()
 		for _, at := range f.proxies {
 			if at.p != nil {
-				open += at.p.Connections()
+				open += at.p.OpenConnections()
 			}
 		}
 		f.mu.Unlock()
