--- a/control/control.go
+++ b/control/control.go
@@ -300,11 +300,11 @@
 		Why     Why
 	}
 	SetLevel struct {
-		Table   TableID
-		OpTypes uint16
-		Level   float64
-		Retry   Again
-		Why     Why
+		Table       TableID
+		OpTypes     uint16
+		Level       float64
+		RetryPolicy Again
+		Why         Why
 	}
 	Suspend struct {
 		Endpoint EndpointID
