--- a/stream/guard.go
+++ b/stream/guard.go
@@ -50,7 +50,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if !g.released {
-		Shut(g.nc)
+		Shutdown(g.nc)
 	}
 }
 
--- a/stream/net.go
+++ b/stream/net.go
@@ -45,8 +45,8 @@
 	return n
 }
 
-// Shut ends a connection in both directions without taking its buffers back, so that whoever still reads from it may.
-func Shut(nc netpoll.Connection) {
+// Shutdown ends a connection in both directions without taking its buffers back, so that whoever still reads from it may.
+func Shutdown(nc netpoll.Connection) {
 	switch nc := nc.(type) {
 	case netpoll.Conn:
 		_ = syscall.Shutdown(nc.Fd(), syscall.SHUT_RDWR)
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -98,7 +98,7 @@
 	defer c.mu.Unlock()
 	c.gone = true
 	if c.nc != nil {
-		stream.Shut(c.nc)
+		stream.Shutdown(c.nc)
 	}
 }
 
