--- a/lab/link/memory.go
+++ b/lab/link/memory.go
@@ -195,8 +195,8 @@
 	e.request = func() { _ = s.hooks.Request(ctx, e) }
 	e.onEnd = func() {
 		remove()
-		if s.hooks.Gone != nil {
-			s.hooks.Gone(ctx)
+		if s.hooks.Disconnected != nil {
+			s.hooks.Disconnected(ctx)
 		}
 	}
 	refused := e.disconnected
