--- a/lab/node/node.go
+++ b/lab/node/node.go
@@ -335,7 +335,7 @@
 	}
 	if silent {
 		n.mu.Unlock()
-		c.OnGone(func() { close(j.clientGone) })
+		c.OnDisconnect(func() { close(j.clientGone) })
 		<-j.clientGone
 		return
 	}
@@ -381,13 +381,13 @@
 	n.queue = append(n.queue, j)
 	n.startJobs()
 	n.mu.Unlock()
-	c.OnGone(func() { n.cancel(j) })
+	c.OnDisconnect(func() { n.cancel(j) })
 	v := dropped
 	select {
 	case v = <-j.done:
 	case <-j.clientGone:
 	}
-	c.OnGone(nil)
+	c.OnDisconnect(nil)
 	switch v {
 	case acked:
 		body := []byte("ok\n")
@@ -632,7 +632,7 @@
 	switch {
 	case t.Silent:
 		clientGone := make(chan struct{})
-		c.OnGone(func() { close(clientGone) })
+		c.OnDisconnect(func() { close(clientGone) })
 		<-clientGone
 	case t.Draining:
 		_ = c.Answer(http1.AppendBody(n.appendReport(http1.AppendStatus(nil, 503)), nil))
--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -331,8 +331,8 @@
 	state := tries{opType: t.OpType, keyed: len(key) > 0}
 	var tried []*server
 	call := &upstream.Call{}
-	c.OnGone(call.GiveUp)
-	defer c.OnGone(nil)
+	c.OnDisconnect(call.GiveUp)
+	defer c.OnDisconnect(nil)
 	var last *upstream.Failure
 	for {
 		begin := time.Now()
--- a/serve/conn.go
+++ b/serve/conn.go
@@ -56,9 +56,9 @@
 	}
 }
 
-// OnGone has f called once if the client goes away before the next call of OnGone; nil ends that. If it is gone already
+// OnDisconnect has f called once if the client goes away before the next call of OnDisconnect; nil ends that. If it is gone already
 // f is called at once.
-func (c *Conn) OnGone(f func()) {
+func (c *Conn) OnDisconnect(f func()) {
 	c.mu.Lock()
 	gone := c.gone
 	if !gone {
--- a/serve/serve_test.go
+++ b/serve/serve_test.go
@@ -189,7 +189,7 @@
 			<-hang
 		case "/hang":
 			away := make(chan struct{})
-			c.OnGone(func() { gone.Add(1); close(away) })
+			c.OnDisconnect(func() { gone.Add(1); close(away) })
 			waiting.Add(1)
 			select {
 			case <-away:
