--- a/serve/serve.go
+++ b/serve/serve.go
@@ -23,13 +23,13 @@
 
 // Server answers requests. Its fields are set before Start.
 type Server struct {
-	Bounds http1.Bounds
-	Handle func(c *Conn, m *http1.Message) // answers by c.Write; m holds for the call
-	Open   func(c *Conn) bool              // optional; false refuses the connection
-	Closed func(c *Conn)                   // optional
-	Idle   time.Duration                   // a connection without a request for so long is closed; 0: a minute
-	Drain  time.Duration                   // the same while the server stops, since Stop; 0: until the end of its context
-	Slow   time.Duration                   // a request must be whole this long after its first byte; 0: ten seconds
+	Bounds       http1.Bounds
+	Handle       func(c *Conn, m *http1.Message) // answers by c.Write; m holds for the call
+	Open         func(c *Conn) bool              // optional; false refuses the connection
+	Closed       func(c *Conn)                   // optional
+	Idle         time.Duration                   // a connection without a request for so long is closed; 0: a minute
+	DrainTimeout time.Duration                   // the same while the server stops, since Stop; 0: until the end of its context
+	Slow         time.Duration                   // a request must be whole this long after its first byte; 0: ten seconds
 
 	Net stream.Net // nil: sockets
 
@@ -144,7 +144,7 @@
 		return true
 	}
 	began := s.stopping.Load()
-	return began != 0 && s.Drain > 0 && now-max(began, c.last.Load()) > int64(s.Drain)
+	return began != 0 && s.DrainTimeout > 0 && now-max(began, c.last.Load()) > int64(s.DrainTimeout)
 }
 
 // sweep closes connections that sent too much ahead or stand idle.
--- a/serve/serve_test.go
+++ b/serve/serve_test.go
@@ -106,7 +106,7 @@
 func TestStopAnswersWhatComes(t *testing.T) {
 	const drain = 2 * time.Second // for all that is written below, on a busy machine
 	began, release := make(chan struct{}, 10), make(chan struct{})
-	s := start(t, &serve.Server{Drain: drain, Handle: func(c *serve.Conn, m *http1.Message) {
+	s := start(t, &serve.Server{DrainTimeout: drain, Handle: func(c *serve.Conn, m *http1.Message) {
 		if string(m.Target) == "/held" {
 			began <- struct{}{}
 			<-release
