--- a/lab/node/node.go
+++ b/lab/node/node.go
@@ -173,7 +173,7 @@
 	if n.up || n.crashed {
 		return nil
 	}
-	s := &serve.Server{Handle: n.handle, Open: n.connOpened, Closed: n.connClosed, Net: n.Net, DrainTimeout: drainIdleTimeout}
+	s := &serve.Server{Handle: n.handle, Accept: n.connOpened, Closed: n.connClosed, Net: n.Net, DrainTimeout: drainIdleTimeout}
 	if err := s.Start(n.address); err != nil {
 		return err
 	}
