--- a/lab/roster/roster.go
+++ b/lab/roster/roster.go
@@ -145,7 +145,7 @@
 			}
 			return
 		}
-		var request list.Ask
+		var request list.Request
 		if json.Unmarshal(text, &request) != nil {
 			c.Close()
 			return
@@ -154,7 +154,7 @@
 	}
 }
 
-func (w *watcher) answer(request list.Ask) {
+func (w *watcher) answer(request list.Request) {
 	s := w.server
 	s.mu.Lock()
 	defer s.mu.Unlock()
