--- a/roster/client.go
+++ b/roster/client.go
@@ -26,8 +26,8 @@
 	have uint64
 }
 
-// Have tells the client which version is held already, before Run.
-func (c *Client) Have(version uint64) { c.have = version }
+// SetVersion tells the client which version is held already, before Run.
+func (c *Client) SetVersion(version uint64) { c.have = version }
 
 // Run follows the list until the context ends.
 func (c *Client) Run(ctx context.Context) {
--- a/roster/roster_test.go
+++ b/roster/roster_test.go
@@ -55,7 +55,7 @@
 				}
 			}
 		}}
-	c.Have(have)
+	c.SetVersion(have)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { c.Run(ctx); close(done) }()
