--- a/lab/roster/roster.go
+++ b/lab/roster/roster.go
@@ -30,7 +30,7 @@
 type watcher struct {
 	server   *Server
 	conn     *stream.Conn
-	lines    list.Lines
+	lines    list.LineSplitter
 	watching bool
 }
 
