--- a/lab/account.go
+++ b/lab/account.go
@@ -59,7 +59,7 @@
 	var whole part
 	byType := make([]part, len(types))
 	const stretch = 10 * time.Second
-	windows := make([]part, int(d.Length.Span()/time.Second)+1)
+	windows := make([]part, int(d.Length.AsDuration()/time.Second)+1)
 	tails := make([]map[int]*tail, len(types))
 	lateFail := 0.0
 	for i := range tails {
--- a/lab/check.go
+++ b/lab/check.go
@@ -327,7 +327,7 @@
 		}
 	}
 	for _, l := range last {
-		if l.mode == control.Ready && at-l.started >= e.limits.ColdFor.Span() {
+		if l.mode == control.Ready && at-l.started >= e.limits.ColdFor.AsDuration() {
 			return true
 		}
 	}
@@ -377,7 +377,7 @@
 					if bareFor += step; !e.warmListed(h.lists[s.pilot], at) {
 						bareFor = 0
 					}
-					if bareFor > e.limits.EmptyFor.Span()+slack {
+					if bareFor > e.limits.EmptyFor.AsDuration()+slack {
 						out = append(out, Break{1, at, fmt.Sprintf("proxy %d had no line for op type %s since %v", s.proxy,
 							e.service.OpTypes[i].Name, since[i].Round(time.Millisecond))})
 						since[i] = until // one break a spell
@@ -520,7 +520,7 @@
 		if !known || mode == control.Ready {
 			continue
 		}
-		if late := a.At - max(since, s.joined); late > e.limits.DrainGrace.Span()+slack {
+		if late := a.At - max(since, s.joined); late > e.limits.DrainGrace.AsDuration()+slack {
 			flagged[[2]int{a.Proxy, int(a.Endpoint)}] = true
 			out = append(out, Break{3, a.At, fmt.Sprintf("proxy %d sent to e%d %v after its pilot knew that it was %s",
 				a.Proxy, a.Endpoint, late.Round(time.Millisecond), [...]string{"gone", "draining"}[mode])})
@@ -535,7 +535,7 @@
 	for _, f := range e.falls {
 		knowing, all := time.Duration(0), time.Duration(0)
 		for _, a := range e.arrivals {
-			if a.Endpoint != f.Endpoint || a.At > f.At || a.At < f.At-e.limits.FallAfter.Span() {
+			if a.Endpoint != f.Endpoint || a.At > f.At || a.At < f.At-e.limits.FallAfter.AsDuration() {
 				continue
 			}
 			all += a.Work
@@ -545,7 +545,7 @@
 			}
 			knew := time.Duration(-1)
 			for _, l := range h.lists[s.pilot] {
-				if l.endpoint == f.Endpoint && l.mode == control.Ready && l.at <= a.At && l.started > f.At-e.limits.ColdFor.Span() {
+				if l.endpoint == f.Endpoint && l.mode == control.Ready && l.at <= a.At && l.started > f.At-e.limits.ColdFor.AsDuration() {
 					knew = l.at
 				}
 			}
@@ -558,7 +558,7 @@
 					last = m.ordered
 				}
 			}
-			if last >= knew || a.At-knew > e.limits.DrainGrace.Span() {
+			if last >= knew || a.At-knew > e.limits.DrainGrace.AsDuration() {
 				knowing += a.Work
 			}
 		}
@@ -610,9 +610,9 @@
 				w := written[proxy]
 				slices.Sort(w)
 				for i := c.MessageCap; i < len(w); i++ {
-					if w[i]-w[i-c.MessageCap] < c.MessageCapOver.Span()-slack {
+					if w[i]-w[i-c.MessageCap] < c.MessageCapOver.AsDuration()-slack {
 						out = append(out, Break{5, w[i], fmt.Sprintf("proxy %d was written more than %d messages within %v", proxy,
-							c.MessageCap, c.MessageCapOver.Span())})
+							c.MessageCap, c.MessageCapOver.AsDuration())})
 						break
 					}
 				}
--- a/lab/fleet.go
+++ b/lab/fleet.go
@@ -196,9 +196,9 @@
 
 // way is how long a piece takes between two zones.
 func (f *fleet) way(a, b int, extra files.Duration, seed uint64) link.Delay {
-	base := f.day.Net.Same.Span()
+	base := f.day.Net.Same.AsDuration()
 	if a != b {
-		base = f.day.Net.Cross.Span()
+		base = f.day.Net.Cross.AsDuration()
 	}
 	var mu sync.Mutex
 	rng := rand.New(rand.NewPCG(f.day.Seed, seed))
--- a/lab/load.go
+++ b/lab/load.go
@@ -72,7 +72,7 @@
 func (f *fleet) rateAt(at time.Duration) float64 {
 	d, rate := f.day, 0.0
 	if shape := d.Load.Shape; len(shape) > 0 {
-		i := sort.Search(len(shape), func(i int) bool { return shape[i].At.Span() > at })
+		i := sort.Search(len(shape), func(i int) bool { return shape[i].At.AsDuration() > at })
 		switch {
 		case i == 0:
 			rate = shape[0].Times
@@ -80,7 +80,7 @@
 			rate = shape[i-1].Times
 		default:
 			a, b := shape[i-1], shape[i]
-			rate = a.Times + (b.Times-a.Times)*float64(at-a.At.Span())/float64(max(b.At-a.At, 1))
+			rate = a.Times + (b.Times-a.Times)*float64(at-a.At.AsDuration())/float64(max(b.At-a.At, 1))
 		}
 	} else {
 		rate = 1 + d.Load.Swing*math.Sin(2*math.Pi*float64(at)/float64(d.Length))
@@ -98,7 +98,7 @@
 	d, perSecond := f.day, f.perSecond()
 	rng := rand.New(rand.NewPCG(d.Seed, 1))
 	most := 0.0
-	for at := time.Duration(0); at <= d.Length.Span(); at += d.Length.Span()/1000 + 1 {
+	for at := time.Duration(0); at <= d.Length.AsDuration(); at += d.Length.AsDuration()/1000 + 1 {
 		most = max(most, perSecond*f.rateAt(at)*1.01)
 	}
 	total := 0.0
@@ -115,7 +115,7 @@
 	until := time.Duration(-1)
 	for at := time.Duration(0); ; {
 		at += time.Duration(rng.ExpFloat64() / most * float64(time.Second))
-		if at >= d.Length.Span() {
+		if at >= d.Length.AsDuration() {
 			return ops
 		}
 		if rng.Float64()*most > perSecond*f.rateAt(at) {
@@ -228,7 +228,7 @@
 		o.tries++
 		a, fail := s.pool.Send(&upstream.Call{}, s.targets[at], req, until, false)
 		o.outcome = opAborted
-		refused, wait := false, c.Backoff.Span()
+		refused, wait := false, c.Backoff.AsDuration()
 		if fail == nil {
 			s.checkSign(o, a)
 			switch {
--- a/lab/node/node.go
+++ b/lab/node/node.go
@@ -283,7 +283,7 @@
 		return false
 	}
 	n.conns++
-	if d := n.machine.Handshake.Span(); d > 0 {
+	if d := n.machine.Handshake.AsDuration(); d > 0 {
 		if x := n.faults.HandshakeFactor; x > 0 {
 			d = time.Duration(float64(d) * x)
 		}
@@ -440,7 +440,7 @@
 		return false
 	}
 	n.recentWork = append(n.recentWork, workSample{now, work})
-	span := n.limits.FallAfter.Span()
+	span := n.limits.FallAfter.AsDuration()
 	for len(n.recentWork) > 0 && now.Sub(n.recentWork[0].at) > span {
 		n.recentWork = n.recentWork[1:]
 	}
@@ -577,7 +577,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := time.Now()
-	every := max(n.machine.Report.Span(), 10*time.Millisecond)
+	every := max(n.machine.Report.AsDuration(), 10*time.Millisecond)
 	if span := now.Sub(n.load.windowStart); span >= every || n.load.lastReport == nil {
 		n.updateBusyTime(now)
 		l := &n.load
--- a/lab/orders_test.go
+++ b/lab/orders_test.go
@@ -54,7 +54,7 @@
 		f.pilots[0].Kill()
 		f.startPilot(0)
 	},
-	"tick": func(f *tiny) { time.Sleep(f.day.Service.ReportEvery.Span()) },
+	"tick": func(f *tiny) { time.Sleep(f.day.Service.ReportEvery.AsDuration()) },
 }
 
 var names = []string{"news", "drain", "cold", "late", "broken", "rejoin", "restart", "tick"}
--- a/lab/packs.go
+++ b/lab/packs.go
@@ -33,14 +33,14 @@
 // with the new ones alone. Both rolls and the wait between them take the trouble's length.
 func (f *fleet) changePacks(t *files.Trouble) {
 	down := time.Duration(max(t.Extra, 0.2) * float64(time.Second))
-	write, window := tenancy.Needs(f.day.Service.Types(), f.day.Service.WriteLife.Span())
-	roll := max(0, (t.Length.Span()-write-window)/2-down)
+	write, window := tenancy.Needs(f.day.Service.Types(), f.day.Service.WriteLife.AsDuration())
+	roll := max(0, (t.Length.AsDuration()-write-window)/2-down)
 	all := packsOf(slices.Concat(f.nodes, f.spare))
-	second := t.At.Span() + roll + down + write + window
+	second := t.At.AsDuration() + roll + down + write + window
 	for i, at := range f.proxies {
 		turn := roll * time.Duration(i) / time.Duration(len(f.proxies))
-		f.later(t.At.Span()+turn, func() { f.killProxy(i) })
-		f.later(t.At.Span()+turn+down, func() {
+		f.later(t.At.AsDuration()+turn, func() { f.killProxy(i) })
+		f.later(t.At.AsDuration()+turn+down, func() {
 			at.file.Service.WritePacksNext = all
 			f.reviveProxy(i)
 		})
--- a/lab/tenants.go
+++ b/lab/tenants.go
@@ -34,7 +34,7 @@
 		return ops
 	}
 	rng := rand.New(rand.NewPCG(f.day.Seed, 5))
-	from, to := c.BadAt.Span(), c.BadAt.Span()+c.BadLength.Span()
+	from, to := c.BadAt.AsDuration(), c.BadAt.AsDuration()+c.BadLength.AsDuration()
 	for at := from; c.BadRate > 0; {
 		if at += time.Duration(rng.ExpFloat64() / c.BadRate * float64(time.Second)); at >= to {
 			break
@@ -134,7 +134,7 @@
 
 // poisoned has a node that a poisonous op killed come back after a while.
 func (f *fleet) poisoned(n *node.Node) {
-	f.tell(f.day.List.Notice.Span(), n, "gone")
+	f.tell(f.day.List.Notice.AsDuration(), n, "gone")
 	f.later(2*time.Second, func() { f.bringBack(n) })
 }
 
@@ -143,14 +143,14 @@
 	count, size := f.day.Load.Tenants.Count, max(t.Size, 0.1)
 	rng := rand.New(rand.NewPCG(f.day.Seed, 6))
 	draws := map[int]int{}
-	for at := time.Duration(0); at < t.Length.Span(); at += time.Duration(float64(time.Second) / size) {
+	for at := time.Duration(0); at < t.Length.AsDuration(); at += time.Duration(float64(time.Second) / size) {
 		who := 1 + rng.IntN(max(1, count))
 		if t.Part > 0 { // the largest part of them alone
 			who = 1 + rng.IntN(max(1, int(t.Part*float64(count))))
 		}
 		draws[who]++
 		line := fmt.Sprintf("move tenant %s draw %d", newsroom(who), draws[who])
-		f.later(t.At.Span()+at, func() {
+		f.later(t.At.AsDuration()+at, func() {
 			for _, p := range f.pilots {
 				f.mu.Lock()
 				up := p.p
@@ -186,9 +186,9 @@
 		return nil
 	}
 	types := d.Service.Types()
-	from, to := time.Duration(0), d.Length.Span()
+	from, to := time.Duration(0), d.Length.AsDuration()
 	if c.Bad > 0 {
-		from, to = c.BadAt.Span(), c.BadAt.Span()+c.BadLength.Span()
+		from, to = c.BadAt.AsDuration(), c.BadAt.AsDuration()+c.BadLength.AsDuration()
 	}
 	by := map[int]*part{}
 	var others, bad, outside, inside part
@@ -235,7 +235,7 @@
 // apart tells which ops could reach none of the bad tenant's pods, by the tables in force in the midst of its spell.
 func (e *evidence) apart(h *history, d *files.Day, start time.Duration) func(*op) bool {
 	c := &d.Load.Tenants
-	at := start + c.BadAt.Span() + c.BadLength.Span()/2
+	at := start + c.BadAt.AsDuration() + c.BadLength.AsDuration()/2
 	held := map[int]*holdings{}
 	for _, s := range h.streams {
 		if s.hello == nil || s.joined < 0 || s.joined > at {
--- a/lab/trouble.go
+++ b/lab/trouble.go
@@ -28,7 +28,7 @@
 		for _, n := range f.someNodes(t) {
 			f.at(t, func() {
 				n.UpdateFaults(func(x *node.Faults) { x.Silent = true })
-				f.tell(f.day.List.SilentNotice.Span(), n, "gone")
+				f.tell(f.day.List.SilentNotice.AsDuration(), n, "gone")
 			}, func() { f.bringBack(n) })
 		}
 	},
@@ -49,14 +49,14 @@
 		const steps = 10
 		for _, n := range f.someNodes(t) {
 			for i := range steps {
-				f.later(t.At.Span()+t.Length.Span()*time.Duration(i)/steps, func() {
+				f.later(t.At.AsDuration()+t.Length.AsDuration()*time.Duration(i)/steps, func() {
 					n.UpdateFaults(func(x *node.Faults) { x.SlowFactor = 1 + (max(t.Size, 1)-1)*float64(i+1)/steps })
 				})
 			}
-			end := t.At.Span() + t.Length.Span()
+			end := t.At.AsDuration() + t.Length.AsDuration()
 			f.later(end, func() {
 				n.Stop()
-				f.tell(f.day.List.Notice.Span(), n, "gone")
+				f.tell(f.day.List.Notice.AsDuration(), n, "gone")
 			})
 			f.later(end+time.Duration(t.Extra*float64(time.Second)), func() { f.bringBack(n) })
 		}
@@ -65,8 +65,8 @@
 		every := max(time.Duration(t.Extra*float64(time.Second)), 200*time.Millisecond)
 		for _, n := range f.someNodes(t) {
 			off := time.Duration(f.rng.Float64() * float64(every))
-			for at := off; at < t.Length.Span(); at += every {
-				f.later(t.At.Span()+at, func() { n.Pause(time.Duration(t.Size * float64(time.Millisecond))) })
+			for at := off; at < t.Length.AsDuration(); at += every {
+				f.later(t.At.AsDuration()+at, func() { n.Pause(time.Duration(t.Size * float64(time.Millisecond))) })
 			}
 		}
 	},
@@ -75,13 +75,13 @@
 	"flapping":     (*fleet).flap,
 	"grow": func(f *fleet, t *files.Trouble) { // new machines, cold, and traffic that follows
 		for i, n := range f.spare {
-			f.later(t.At.Span()+t.Length.Span()*time.Duration(i)/time.Duration(len(f.spare)), func() {
+			f.later(t.At.AsDuration()+t.Length.AsDuration()*time.Duration(i)/time.Duration(len(f.spare)), func() {
 				if n.Start(true) == nil {
-					f.tell(f.day.List.Add.Span(), n, "ready")
+					f.tell(f.day.List.Add.AsDuration(), n, "ready")
 				}
 			})
 		}
-		f.grown = append(f.grown, hotSpell{from: t.At.Span(), to: t.At.Span() + t.Length.Span(),
+		f.grown = append(f.grown, hotSpell{from: t.At.AsDuration(), to: t.At.AsDuration() + t.Length.AsDuration(),
 			size: float64(len(f.spare)) / float64(len(f.nodes)) * t.Extra})
 	},
 	"zone_loss": (*fleet).loseZone,
@@ -106,12 +106,12 @@
 	},
 	"pilot_pause": func(f *fleet, t *files.Trouble) { // as a process that is stopped and goes on
 		for _, p := range f.somePilots(t) {
-			f.later(t.At.Span(), func() {
+			f.later(t.At.AsDuration(), func() {
 				f.mu.Lock()
 				up := p.p
 				f.mu.Unlock()
 				if up != nil {
-					up.Pause(t.Length.Span())
+					up.Pause(t.Length.AsDuration())
 				}
 			})
 		}
@@ -130,7 +130,7 @@
 	"reconnect": func(f *fleet, t *files.Trouble) {
 		for _, i := range pick(f, len(f.proxies), t.Size, nil) {
 			off := time.Duration(f.rng.Float64() * float64(t.Length))
-			f.later(t.At.Span()+off, func() {
+			f.later(t.At.AsDuration()+off, func() {
 				for _, p := range f.pilots {
 					p.links[i].Break()
 				}
@@ -142,7 +142,7 @@
 		if part <= 0 {
 			part = 0.02
 		}
-		f.hot = append(f.hot, hotSpell{from: t.At.Span(), to: t.At.Span() + t.Length.Span(),
+		f.hot = append(f.hot, hotSpell{from: t.At.AsDuration(), to: t.At.AsDuration() + t.Length.AsDuration(),
 			ramp: time.Duration(t.Extra * float64(time.Second)), size: t.Size, proxies: pick(f, len(f.proxies), part, t.On)})
 	},
 	"shift": func(f *fleet, t *files.Trouble) { // for good; its length is the time that it takes
@@ -153,7 +153,7 @@
 				there = append(there, i)
 			}
 		}
-		f.shifts = append(f.shifts, hotSpell{from: t.At.Span(), to: t.At.Span() + t.Length.Span(), ramp: t.Length.Span(),
+		f.shifts = append(f.shifts, hotSpell{from: t.At.AsDuration(), to: t.At.AsDuration() + t.Length.AsDuration(), ramp: t.Length.AsDuration(),
 			size: t.Size, proxies: there, forGood: true})
 	},
 	"slow_link": func(f *fleet, t *files.Trouble) { // between a zone and the others, or one other
@@ -161,9 +161,9 @@
 		if t.How == "pair" {
 			other = (zone + 1) % len(f.day.Service.Zones)
 		}
-		aim := f.day.Service.OpTypes[0].TargetLatency.Span()
+		aim := f.day.Service.OpTypes[0].TargetLatency.AsDuration()
 		for _, x := range f.day.Service.OpTypes {
-			aim = min(aim, x.TargetLatency.Span())
+			aim = min(aim, x.TargetLatency.AsDuration())
 		}
 		late := time.Duration(2 * t.Size * float64(aim)) // there and back
 		for _, n := range f.nodes {
@@ -202,8 +202,8 @@
 
 // at plays a trouble's begin and end.
 func (f *fleet) at(t *files.Trouble, begin, end func()) {
-	f.later(t.At.Span(), begin)
-	f.later(t.At.Span()+t.Length.Span(), end)
+	f.later(t.At.AsDuration(), begin)
+	f.later(t.At.AsDuration()+t.Length.AsDuration(), end)
 }
 
 // pick draws a part of n, at least one; or takes those named.
@@ -266,7 +266,7 @@
 func (f *fleet) bringBack(n *node.Node) {
 	n.Stop()
 	if n.Start(true) == nil && n.Running() {
-		f.tell(f.day.List.Add.Span(), n, "ready")
+		f.tell(f.day.List.Add.AsDuration(), n, "ready")
 	}
 }
 
@@ -277,8 +277,8 @@
 	batches := (len(chosen) + batch - 1) / batch
 	drain := time.Duration(max(t.Extra, 0.5) * float64(time.Second))
 	for i, n := range chosen {
-		at := t.At.Span() + t.Length.Span()*time.Duration(i/batch)/time.Duration(max(batches, 1))
-		f.tell(at+f.day.List.Add.Span(), n, "draining")
+		at := t.At.AsDuration() + t.Length.AsDuration()*time.Duration(i/batch)/time.Duration(max(batches, 1))
+		f.tell(at+f.day.List.Add.AsDuration(), n, "draining")
 		f.later(at+drain, func() { n.UpdateFaults(func(x *node.Faults) { x.Draining = true }) })
 		f.later(at+drain+time.Second, func() { f.bringBack(n) })
 	}
@@ -290,8 +290,8 @@
 	down := time.Duration(min(max(t.Extra, 0.1), 0.9) * float64(turn))
 	for _, n := range f.someNodes(t) {
 		off := time.Duration(f.rng.Float64() * float64(turn))
-		for at := off; at < t.Length.Span(); at += turn {
-			begin, end := t.At.Span()+at, t.At.Span()+at+down
+		for at := off; at < t.Length.AsDuration(); at += turn {
+			begin, end := t.At.AsDuration()+at, t.At.AsDuration()+at+down
 			switch t.How {
 			case "hang":
 				f.later(begin, func() { n.UpdateFaults(func(x *node.Faults) { x.Hang = true }) })
@@ -302,13 +302,13 @@
 			case "silence":
 				f.later(begin, func() {
 					n.UpdateFaults(func(x *node.Faults) { x.Silent = true })
-					f.tell(f.day.List.SilentNotice.Span(), n, "gone")
+					f.tell(f.day.List.SilentNotice.AsDuration(), n, "gone")
 				})
 				f.later(end, func() { f.bringBack(n) })
 			default: // crash
 				f.later(begin, func() {
 					n.Stop()
-					f.tell(f.day.List.Notice.Span(), n, "gone")
+					f.tell(f.day.List.Notice.AsDuration(), n, "gone")
 				})
 				f.later(end, func() { f.bringBack(n) })
 			}
@@ -326,11 +326,11 @@
 		f.at(t, func() {
 			if t.Extra > 0.5 {
 				n.UpdateFaults(func(x *node.Faults) { x.Silent = true })
-				f.tell(f.day.List.SilentNotice.Span(), n, "gone")
+				f.tell(f.day.List.SilentNotice.AsDuration(), n, "gone")
 				return
 			}
 			n.Stop()
-			f.tell(f.day.List.Notice.Span(), n, "gone")
+			f.tell(f.day.List.Notice.AsDuration(), n, "gone")
 		}, func() { f.bringBack(n) })
 	}
 	if t.Size <= 0.5 {
@@ -370,7 +370,7 @@
 	down := time.Duration(max(t.Extra, 0.2) * float64(time.Second))
 	if t.How == "pilots" || t.How == "pilots-in-order" {
 		for i, at := range f.pilots {
-			when := t.At.Span() + t.Length.Span()*time.Duration(i)/time.Duration(len(f.pilots))
+			when := t.At.AsDuration() + t.Length.AsDuration()*time.Duration(i)/time.Duration(len(f.pilots))
 			if t.How == "pilots" {
 				f.later(when, func() { f.killPilot(at) })
 			} else {
@@ -384,7 +384,7 @@
 	batch := max(1, int(math.Round(t.Size*float64(len(f.proxies)))))
 	batches := (len(chosen) + batch - 1) / batch
 	for k, i := range chosen {
-		when := t.At.Span() + t.Length.Span()*time.Duration(k/batch)/time.Duration(max(batches, 1))
+		when := t.At.AsDuration() + t.Length.AsDuration()*time.Duration(k/batch)/time.Duration(max(batches, 1))
 		f.later(when, func() { f.killProxy(i) })
 		f.later(when+down, func() { f.reviveProxy(i) })
 	}
--- a/pilot/moves.go
+++ b/pilot/moves.go
@@ -58,8 +58,8 @@
 		s.Close()
 		return err
 	}
-	w := tenancy.MoveLimits{Most: f.Most.Span(), Abreast: f.Abreast}
-	w.WriteLifetime, w.Window = tenancy.Needs(p.facts.OpTypes, p.file.Service.WriteLife.Span())
+	w := tenancy.MoveLimits{Most: f.Most.AsDuration(), Abreast: f.Abreast}
+	w.WriteLifetime, w.Window = tenancy.Needs(p.facts.OpTypes, p.file.Service.WriteLife.AsDuration())
 	if w.Most <= 0 {
 		w.Most = 10 * (w.WriteLifetime + w.Window)
 	}
