--- a/lab/check.go
+++ b/lab/check.go
@@ -222,7 +222,7 @@
 						return err
 					}
 					seen := &messageSeen{Message: m, left: p.ReceivedAt, reached: p.ForwardedAt, inForce: -1}
-					seen.ordered = time.UnixMicro(int64(m.Run)).Sub(e.from) + m.At
+					seen.ordered = time.UnixMicro(int64(m.Run)).Sub(e.from) + m.CreatedAt
 					byNumber[m.Number] = seen
 					s.messages = append(s.messages, seen)
 				}
--- a/lab/check_test.go
+++ b/lab/check_test.go
@@ -67,7 +67,7 @@
 // order is a message ordered, sent and confirmed at these times.
 func (c *scene) order(ordered, sent, confirmed time.Duration, lines int, changes ...string) {
 	c.number++
-	m := runtime.Message{Pilot: "p", Run: uint64(c.from.UnixMicro()), Number: c.number, At: ordered, Lines: lines, Checkpoint: -1}
+	m := runtime.Message{Pilot: "p", Run: uint64(c.from.UnixMicro()), Number: c.number, CreatedAt: ordered, Lines: lines, Checkpoint: -1}
 	for _, line := range changes {
 		x, err := runtime.ParseChange(strings.Fields(line))
 		if err != nil {
