--- a/lab/fleet.go
+++ b/lab/fleet.go
@@ -242,7 +242,7 @@
 		at.file = &files.Pilot{Kind: "pilot", Name: fmt.Sprintf("pilot-%d", i), Zone: d.Service.Zones[zone], Instance: i,
 			Instances: d.Fleet.Pilots, Proxies: d.Fleet.Proxies, Listen: listen[i], Roster: at.list.Address(),
 			Cache: filepath.Join(f.dir, fmt.Sprintf("list-%d.json", i)), Seed: d.Seed*100 + uint64(i) + 1,
-			LeaveWithin: files.Duration(time.Second), Service: f.believed, Limits: d.Limits, Channel: d.Channel, Silent: files.Duration(3 * time.Second),
+			LeaveWithin: files.Duration(time.Second), Service: f.believed, Limits: d.Limits, Channel: d.Channel, SilenceTimeout: files.Duration(3 * time.Second),
 			Tenants: d.Load.Tenants.Limits}
 		for j, other := range listen {
 			if i != j {
