--- a/lab/fleet.go
+++ b/lab/fleet.go
@@ -275,7 +275,7 @@
 		f.proxies = append(f.proxies, at)
 		at.file = &files.Proxy{Kind: "proxy", ID: uint16(i), Zone: d.Service.Zones[zone], Listen: net.JoinHostPort(f.host, "0"),
 			Rate: f.shares[i] * perSecond, Service: f.believed, Redial: files.Duration(400 * time.Millisecond),
-			Silent: files.Duration(4 * time.Second)}
+			SilenceTimeout: files.Duration(4 * time.Second)}
 		if c := &d.Load.Tenants; c.Count > 0 {
 			at.file.Tenants = &files.Tenants{Header: tenantField, Subset: c.Subset}
 			for n := 1; c.Known && n <= c.Count; n++ {
