--- a/lab/bench.go
+++ b/lab/bench.go
@@ -226,7 +226,7 @@
 	for _, k := range tier.Kinds {
 		d.Fleet.Machines = append(d.Fleet.Machines, files.Machine{Name: k.Name, Cores: k.Cores, Speed: [2]float64{1, 1}, Slots: max(1, k.Slots),
 			Queue: k.Queue, Connections: max(1, int(tier.ConnCap*float64(k.Cores))), Handshake: span(tier.HandshakeWork), ColdShare: k.ColdFrom,
-			ColdFor: span(k.Cold), ErrorRate: k.ErrorRate, Report: span(tier.ReportPeriod), Cancels: k.Cancel == "all",
+			ColdFor: span(k.Cold), ErrorRate: k.ErrorRate, ReportEvery: span(tier.ReportPeriod), Cancels: k.Cancel == "all",
 			SlowsAt: k.Knee, SlowsBy: k.Thrash, ConnectionTax: tier.FullTax})
 	}
 	importFleet(&b, d, proxies, pilots, shrink)
--- a/lab/node/node.go
+++ b/lab/node/node.go
@@ -577,7 +577,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := time.Now()
-	every := max(n.machine.Report.AsDuration(), 10*time.Millisecond)
+	every := max(n.machine.ReportEvery.AsDuration(), 10*time.Millisecond)
 	if span := now.Sub(n.load.windowStart); span >= every || n.load.lastReport == nil {
 		n.updateBusyTime(now)
 		l := &n.load
