--- a/files/files.go
+++ b/files/files.go
@@ -332,7 +332,7 @@
 		LinesPerSecond: c.LinesPerSecond, MostWaiting: float64(c.MostWaiting - p.NoticeLines()),
 		MessageCap:     max(0, c.MessageCap-1), // one is the pilot's own
 		MessageCapOver: c.MessageCapOver.AsDuration(), PushDelayMost: c.PushDelayMost.AsDuration(),
-		ReportEvery: s.ReportEvery.AsDuration(), ReportLinesPerS: c.ReportLinesPerSecond,
+		ReportInterval: s.ReportEvery.AsDuration(), ReportLinesPerS: c.ReportLinesPerSecond,
 		CrossZonePrice: s.CrossZone, ListedWeights: true, WarmUpTime: l.ColdFor.AsDuration(),
 		ColdCapacityShare: l.ColdShare, DrainGrace: l.DrainGrace.AsDuration(), AcrossCells: s.acrossCells(), PackWrites: s.packWrites(),
 	}
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -113,7 +113,7 @@
 		Slices: x.Shards, OutlierAfter: x.OutlierAfter, Bootstrap: x.Bootstrap, Proxies: x.ProxyCount,
 		MessageLines: x.Envelope, LinesPerSecond: x.LinesPerS, MostWaiting: x.MostWaiting,
 		MessageCap: x.UpdateCap, MessageCapOver: Milliseconds(x.MessagesOver),
-		PushDelayMost: Milliseconds(x.TransitMax), ReportEvery: Milliseconds(x.Cycle), ReportLinesPerS: x.IntakePerS,
+		PushDelayMost: Milliseconds(x.TransitMax), ReportInterval: Milliseconds(x.Cycle), ReportLinesPerS: x.IntakePerS,
 		CrossZonePrice: o.Prices.CrossZone, ListedWeights: o.Weights != "off",
 		WarmUpTime: Milliseconds(o.Rules.Cold), ColdCapacityShare: o.Rules.ColdShare, DrainGrace: Milliseconds(o.Rules.DrainGrace),
 	}
