--- a/lab/account.go
+++ b/lab/account.go
@@ -185,7 +185,7 @@
 	Pilots     int           `json:"pilots"`
 	PerSecond  float64       `json:"ops_per_second"`
 	Ops        int           `json:"ops"`
-	Breaks     []Break       `json:"breaks"`
+	Breaks     []Violation   `json:"breaks"`
 	Service    Service       `json:"service"`
 	Tenants    *TenantLine   `json:"tenants,omitempty"`
 	Moves      *MoveLine     `json:"moves,omitempty"`
--- a/lab/check.go
+++ b/lab/check.go
@@ -18,8 +18,8 @@
 	"vetchdoor/runtime"
 )
 
-// Break is a broken rule: which of the five, when, and what was seen.
-type Break struct {
+// Violation is a broken rule: which of the five, when, and what was seen.
+type Violation struct {
 	Rule int           `json:"rule"`
 	At   time.Duration `json:"at"`
 	What string        `json:"what"`
@@ -233,8 +233,8 @@
 }
 
 // check returns all breaks of the five rules that a history shows, by time; none, not nil, where there is none.
-func (e *evidence) check(h *history) []Break {
-	out := []Break{}
+func (e *evidence) check(h *history) []Violation {
+	out := []Violation{}
 	out = append(out, e.neverBare(h)...)
 	out = append(out, e.neverTwice(h)...)
 	out = append(out, e.onceEach(h)...)
@@ -242,9 +242,9 @@
 	out = append(out, e.coldKept(h)...)
 	out = append(out, e.queueShort(h)...)
 	for _, what := range e.mixed {
-		out = append(out, Break{Rule: noRule, At: e.until, What: what})
+		out = append(out, Violation{Rule: noRule, At: e.until, What: what})
 	}
-	slices.SortStableFunc(out, func(a, b Break) int { return cmp.Compare(a.At, b.At) })
+	slices.SortStableFunc(out, func(a, b Violation) int { return cmp.Compare(a.At, b.At) })
 	return out
 }
 
@@ -335,7 +335,7 @@
 }
 
 // neverBare checks rule 1: a joined proxy never lacks a line past the limit while a warm ready endpoint is listed.
-func (e *evidence) neverBare(h *history) (out []Break) {
+func (e *evidence) neverBare(h *history) (out []Violation) {
 	held := map[int]*holdings{}
 	types := len(e.service.OpTypes)
 	for _, s := range h.streams {
@@ -378,7 +378,7 @@
 						bareFor = 0
 					}
 					if bareFor > e.limits.EmptyFor.Span()+slack {
-						out = append(out, Break{1, at, fmt.Sprintf("proxy %d had no line for op type %s since %v", s.proxy,
+						out = append(out, Violation{1, at, fmt.Sprintf("proxy %d had no line for op type %s since %v", s.proxy,
 							e.service.OpTypes[i].Name, since[i].Round(time.Millisecond))})
 						since[i] = until // one break a spell
 						break
@@ -406,7 +406,7 @@
 }
 
 // neverTwice checks rule 2 on what reached the nodes: the tries of one client try are the proxy's.
-func (e *evidence) neverTwice(h *history) (out []Break) {
+func (e *evidence) neverTwice(h *history) (out []Violation) {
 	type key struct {
 		op    uint64
 		try   int
@@ -437,7 +437,7 @@
 					what = "a deduplicated op was tried again outside its group"
 				}
 				if what != "" {
-					out = append(out, Break{2, a.At, fmt.Sprintf("proxy %d, op %d: %s", k.proxy, k.op, what)})
+					out = append(out, Violation{2, a.At, fmt.Sprintf("proxy %d, op %d: %s", k.proxy, k.op, what)})
 				}
 			}
 			if a.Taken {
@@ -445,7 +445,7 @@
 			}
 		}
 	}
-	slices.SortFunc(out, func(a, b Break) int { return cmp.Or(cmp.Compare(a.At, b.At), cmp.Compare(a.What, b.What)) })
+	slices.SortFunc(out, func(a, b Violation) int { return cmp.Or(cmp.Compare(a.At, b.At), cmp.Compare(a.What, b.What)) })
 	return out
 }
 
@@ -501,7 +501,7 @@
 
 // drainsKept checks rule 3: joined proxies stop sending to an endpoint that drains or is gone within the grace from when
 // their pilot knew, or from when they joined.
-func (e *evidence) drainsKept(h *history) (out []Break) {
+func (e *evidence) drainsKept(h *history) (out []Violation) {
 	byProxy := h.byProxy()
 	byEndpoint := make([]map[control.EndpointID][]listed, len(h.lists))
 	for i, l := range h.lists {
@@ -522,7 +522,7 @@
 		}
 		if late := a.At - max(since, s.joined); late > e.limits.DrainGrace.Span()+slack {
 			flagged[[2]int{a.Proxy, int(a.Endpoint)}] = true
-			out = append(out, Break{3, a.At, fmt.Sprintf("proxy %d sent to e%d %v after its pilot knew that it was %s",
+			out = append(out, Violation{3, a.At, fmt.Sprintf("proxy %d sent to e%d %v after its pilot knew that it was %s",
 				a.Proxy, a.Endpoint, late.Round(time.Millisecond), [...]string{"gone", "draining"}[mode])})
 		}
 	}
@@ -530,7 +530,7 @@
 }
 
 // coldKept checks rule 4: no cold endpoint is pushed over by proxies whose orders knew of its start.
-func (e *evidence) coldKept(h *history) (out []Break) {
+func (e *evidence) coldKept(h *history) (out []Violation) {
 	byProxy := h.byProxy()
 	for _, f := range e.falls {
 		knowing, all := time.Duration(0), time.Duration(0)
@@ -563,7 +563,7 @@
 			}
 		}
 		if 3*knowing >= 2*all && all > 0 {
-			out = append(out, Break{4, f.At, fmt.Sprintf("e%d fell over while cold; %.0f%% of its work came on orders that knew",
+			out = append(out, Violation{4, f.At, fmt.Sprintf("e%d fell over while cold; %.0f%% of its work came on orders that knew",
 				f.Endpoint, 100*float64(knowing)/float64(all))})
 		}
 	}
@@ -572,7 +572,7 @@
 
 // queueShort checks rule 5: the lines between their order and their leaving stay within the bound, the pace is kept, and
 // so is the cap on messages to one proxy.
-func (e *evidence) queueShort(h *history) (out []Break) {
+func (e *evidence) queueShort(h *history) (out []Violation) {
 	type step struct {
 		at    time.Duration
 		lines int
@@ -595,14 +595,14 @@
 		waiting := 0
 		for _, x := range steps {
 			if waiting += x.lines; waiting > e.channel.MostWaiting {
-				out = append(out, Break{5, x.at, fmt.Sprintf("pilot %d had %d lines waiting, %d are allowed", p, waiting,
+				out = append(out, Violation{5, x.at, fmt.Sprintf("pilot %d had %d lines waiting, %d are allowed", p, waiting,
 					e.channel.MostWaiting)})
 				break
 			}
 		}
 		slices.SortStableFunc(sent, func(a, b *messageSeen) int { return cmp.Compare(a.left, b.left) })
 		if at, lines := e.pace(sent); lines > 0 {
-			out = append(out, Break{5, at, fmt.Sprintf("pilot %d sent %d lines within a second, %.0f are its pace", p, lines,
+			out = append(out, Violation{5, at, fmt.Sprintf("pilot %d sent %d lines within a second, %.0f are its pace", p, lines,
 				e.channel.LinesPerSecond)})
 		}
 		for _, proxy := range sortedKeys(written) {
@@ -611,7 +611,7 @@
 				slices.Sort(w)
 				for i := c.MessageCap; i < len(w); i++ {
 					if w[i]-w[i-c.MessageCap] < c.MessageCapOver.Span()-slack {
-						out = append(out, Break{5, w[i], fmt.Sprintf("proxy %d was written more than %d messages within %v", proxy,
+						out = append(out, Violation{5, w[i], fmt.Sprintf("proxy %d was written more than %d messages within %v", proxy,
 							c.MessageCap, c.MessageCapOver.Span())})
 						break
 					}
--- a/lab/check_test.go
+++ b/lab/check_test.go
@@ -23,7 +23,7 @@
 type scene struct {
 	evidence
 	number uint64
-	breaks []Break // as last checked
+	breaks []Violation // as last checked
 }
 
 const s = time.Second
--- a/lab/doublings.go
+++ b/lab/doublings.go
@@ -124,7 +124,7 @@
 const mostDoublings = 5
 
 // onceEach checks rule 2 on what took effect, whichever proxies the tries of an op went through.
-func (e *evidence) onceEach(h *history) (out []Break) {
+func (e *evidence) onceEach(h *history) (out []Violation) {
 	more := 0
 	for _, d := range e.doublings() {
 		if !d.ours {
@@ -138,11 +138,11 @@
 		if d.op.tenant > 0 {
 			kind += " of " + d.op.whose()
 		}
-		out = append(out, Break{2, d.effect.Arrived, fmt.Sprintf("op %d, %s, took effect again: tries %q, effects %q", d.op.number, kind,
+		out = append(out, Violation{2, d.effect.Arrived, fmt.Sprintf("op %d, %s, took effect again: tries %q, effects %q", d.op.number, kind,
 			d.trail.tries(h.places), d.trail.tookEffect(h.places))})
 	}
 	if more > 0 {
-		out = append(out, Break{2, e.until, fmt.Sprintf("%d more effects beyond an op's first", more)})
+		out = append(out, Violation{2, e.until, fmt.Sprintf("%d more effects beyond an op's first", more)})
 	}
 	return out
 }
--- a/lab/orders_test.go
+++ b/lab/orders_test.go
@@ -276,7 +276,7 @@
 }
 
 // check returns the rules that are broken by now.
-func (f *tiny) check() []Break {
+func (f *tiny) check() []Violation {
 	e := &evidence{service: &f.day.Service, limits: &f.day.Limits, channel: &f.day.Channel, from: f.ledger.From(), passed: f.tap.All(),
 		arrivals: f.ledger.Arrivals(), falls: f.ledger.Falls(), mixed: f.ledger.Mixed(), until: time.Since(f.ledger.From())}
 	h, err := e.read(2)
@@ -322,7 +322,7 @@
 
 // playOrder plays an order in a bubble of its own and returns what broke, and after which event; each rule is checked after
 // each event and at the end, by when all proxies must be joined.
-func playOrder(t *testing.T, events []string, plant breach) (broken []Break, after string) {
+func playOrder(t *testing.T, events []string, plant breach) (broken []Violation, after string) {
 	inTiny(t, plant, func(f *tiny) {
 		t := f.t
 		for i, name := range events {
@@ -355,7 +355,7 @@
 		// Clients try once here, so that no effect beyond the first of an op is theirs.
 		e := &evidence{service: &f.day.Service, arrivals: f.ledger.Arrivals(), effects: f.ledger.Effects(), ops: f.ops.ops}
 		if all := len(e.doublings()); all > 0 {
-			broken = append(broken, Break{2, time.Since(f.ledger.From()), fmt.Sprintf("%d effects were repeated", all)})
+			broken = append(broken, Violation{2, time.Since(f.ledger.From()), fmt.Sprintf("%d effects were repeated", all)})
 		}
 	})
 	return broken, after
--- a/lab/run.go
+++ b/lab/run.go
@@ -137,7 +137,7 @@
 	r.Tenants = tenantAccount(d, s.ops, e.apart(h, d, start))
 	r.Moves = f.moveAccount(h, s, trails(e.arrivals, e.effects), start)
 	if r.Moves != nil && r.Moves.Lost > 0 {
-		r.Breaks = append(r.Breaks, Break{2, until, fmt.Sprintf("%d writes were acked and took no effect", r.Moves.Lost)})
+		r.Breaks = append(r.Breaks, Violation{2, until, fmt.Sprintf("%d writes were acked and took no effect", r.Moves.Lost)})
 	}
 	r.Effects = len(e.effects)
 	for _, x := range e.doublings() {
--- a/lab/tenants_test.go
+++ b/lab/tenants_test.go
@@ -53,7 +53,7 @@
 				t.Fatal(err)
 			}
 			m := r.Moves
-			otherRule := slices.ContainsFunc(r.Breaks, func(b Break) bool { return b.Rule != 2 })
+			otherRule := slices.ContainsFunc(r.Breaks, func(b Violation) bool { return b.Rule != 2 })
 			if r.Kept() == planted || otherRule || m == nil || m.Moved < 10 || r.Effects < 100 {
 				t.Fatalf("%+v, %d effects, breaks %v", m, r.Effects, r.Breaks)
 			}
