--- a/lab/account.go
+++ b/lab/account.go
@@ -233,7 +233,7 @@
 		if b.Rule == noRule {
 			name = "mixed"
 		}
-		fmt.Fprintf(w, "  %s at %v: %s\n", name, b.At.Round(time.Millisecond), b.What)
+		fmt.Fprintf(w, "  %s at %v: %s\n", name, b.At.Round(time.Millisecond), b.Description)
 	}
 	s := &r.Service
 	fmt.Fprintf(w, "service %.3f: whole %.3f, worst 10 s %.3f, worst op type %.3f, tail %.3f, prices %.3f\n", s.Figure, s.Whole,
--- a/lab/check.go
+++ b/lab/check.go
@@ -20,9 +20,9 @@
 
 // Violation is a broken rule: which of the five, when, and what was seen.
 type Violation struct {
-	Rule int           `json:"rule"`
-	At   time.Duration `json:"at"`
-	What string        `json:"what"`
+	Rule        int           `json:"rule"`
+	At          time.Duration `json:"at"`
+	Description string        `json:"what"`
 }
 
 // evidence is all that the rules are checked on: what passed the links, what the nodes saw and what clients did. No part of the
@@ -242,7 +242,7 @@
 	out = append(out, e.coldKept(h)...)
 	out = append(out, e.queueShort(h)...)
 	for _, what := range e.mixed {
-		out = append(out, Violation{Rule: noRule, At: e.until, What: what})
+		out = append(out, Violation{Rule: noRule, At: e.until, Description: what})
 	}
 	slices.SortStableFunc(out, func(a, b Violation) int { return cmp.Compare(a.At, b.At) })
 	return out
@@ -445,7 +445,9 @@
 			}
 		}
 	}
-	slices.SortFunc(out, func(a, b Violation) int { return cmp.Or(cmp.Compare(a.At, b.At), cmp.Compare(a.What, b.What)) })
+	slices.SortFunc(out, func(a, b Violation) int {
+		return cmp.Or(cmp.Compare(a.At, b.At), cmp.Compare(a.Description, b.Description))
+	})
 	return out
 }
 
--- a/lab/doublings_test.go
+++ b/lab/doublings_test.go
@@ -113,11 +113,11 @@
 		t.Errorf("rules broken: %q", got)
 	}
 	for _, part := range []string{"tally-post of newsroom-7", "1s try 0 proxy 3 pod", "1.5s try 1 proxy 5 pod", "refused", "2s try 2 proxy 4 pod", "2.1s pod"} {
-		if !strings.Contains(x.breaks[0].What, part) {
-			t.Errorf("%q is not told: %s", part, x.breaks[0].What)
+		if !strings.Contains(x.breaks[0].Description, part) {
+			t.Errorf("%q is not told: %s", part, x.breaks[0].Description)
 		}
 	}
-	if last := x.breaks[5]; !strings.HasPrefix(last.What, "3 more effects") || last.At != x.until {
+	if last := x.breaks[5]; !strings.HasPrefix(last.Description, "3 more effects") || last.At != x.until {
 		t.Errorf("%+v", last)
 	}
 }
