--- a/lab/account.go
+++ b/lab/account.go
@@ -185,7 +185,7 @@
 	Pilots     int           `json:"pilots"`
 	PerSecond  float64       `json:"ops_per_second"`
 	Ops        int           `json:"ops"`
-	Breaks     []Violation   `json:"breaks"`
+	Violations []Violation   `json:"breaks"`
 	Service    Service       `json:"service"`
 	Tenants    *TenantLine   `json:"tenants,omitempty"`
 	Moves      *MoveLine     `json:"moves,omitempty"`
@@ -203,7 +203,7 @@
 }
 
 // Kept tells whether all rules were kept.
-func (r *Report) Kept() bool { return len(r.Breaks) == 0 }
+func (r *Report) Kept() bool { return len(r.Violations) == 0 }
 
 // Print writes the report for people.
 func (r *Report) Print(w io.Writer) {
@@ -213,7 +213,7 @@
 		"the queue stays short"}
 	for rule := 1; rule <= 5; rule++ {
 		count := 0
-		for _, b := range r.Breaks {
+		for _, b := range r.Violations {
 			if b.Rule == rule {
 				count++
 			}
@@ -224,9 +224,9 @@
 		}
 		fmt.Fprintf(w, "rule %d, %-30s %s\n", rule, names[rule]+":", verdict)
 	}
-	for i, b := range r.Breaks {
+	for i, b := range r.Violations {
 		if i == 20 {
-			fmt.Fprintf(w, "  and %d more\n", len(r.Breaks)-i)
+			fmt.Fprintf(w, "  and %d more\n", len(r.Violations)-i)
 			break
 		}
 		name := fmt.Sprintf("rule %d", b.Rule)
--- a/lab/check_test.go
+++ b/lab/check_test.go
@@ -232,7 +232,7 @@
 				t.Fatal(err)
 			}
 			third := 0
-			for _, b := range r.Breaks {
+			for _, b := range r.Violations {
 				if b.Rule == 3 {
 					third++
 				} else {
@@ -290,7 +290,7 @@
 		t.Fatal(err)
 	}
 	if !r.Kept() || r.Joins < 2*d.Fleet.Proxies || r.Service.Whole < 0.3 {
-		t.Errorf("%d joins of %d proxies, service %v, breaks %v", r.Joins, d.Fleet.Proxies, r.Service.Whole, r.Breaks)
+		t.Errorf("%d joins of %d proxies, service %v, breaks %v", r.Joins, d.Fleet.Proxies, r.Service.Whole, r.Violations)
 	}
 	if r.Messages < 2*d.Fleet.Proxies {
 		t.Errorf("%d messages: the second run laid no tables", r.Messages)
--- a/lab/repeats_days_test.go
+++ b/lab/repeats_days_test.go
@@ -65,7 +65,7 @@
 			if r.Effects < fewest {
 				t.Errorf("%d effects, at least %d show something", r.Effects, fewest)
 			}
-			for _, b := range r.Breaks {
+			for _, b := range r.Violations {
 				if b.Rule == 2 {
 					t.Errorf("%+v", b)
 				}
--- a/lab/run.go
+++ b/lab/run.go
@@ -120,7 +120,7 @@
 		return nil, err
 	}
 	r := &Report{Day: d.Name, Seed: d.Seed, Took: time.Since(begin), Nodes: len(f.nodes), Proxies: len(f.proxies),
-		Pilots: len(f.pilots), PerSecond: f.perSecond(), Ops: len(s.ops), Breaks: e.check(h), Falls: len(f.ledger.Falls())}
+		Pilots: len(f.pilots), PerSecond: f.perSecond(), Ops: len(s.ops), Violations: e.check(h), Falls: len(f.ledger.Falls())}
 	for _, x := range h.streams {
 		if x.joined >= 0 && x.resumed {
 			r.Resumes++
@@ -137,7 +137,7 @@
 	r.Tenants = tenantAccount(d, s.ops, e.apart(h, d, start))
 	r.Moves = f.moveAccount(h, s, trails(e.arrivals, e.effects), start)
 	if r.Moves != nil && r.Moves.Lost > 0 {
-		r.Breaks = append(r.Breaks, Violation{2, until, fmt.Sprintf("%d writes were acked and took no effect", r.Moves.Lost)})
+		r.Violations = append(r.Violations, Violation{2, until, fmt.Sprintf("%d writes were acked and took no effect", r.Moves.Lost)})
 	}
 	r.Effects = len(e.effects)
 	for _, x := range e.doublings() {
--- a/lab/tenants_test.go
+++ b/lab/tenants_test.go
@@ -53,9 +53,9 @@
 				t.Fatal(err)
 			}
 			m := r.Moves
-			otherRule := slices.ContainsFunc(r.Breaks, func(b Violation) bool { return b.Rule != 2 })
+			otherRule := slices.ContainsFunc(r.Violations, func(b Violation) bool { return b.Rule != 2 })
 			if r.Kept() == planted || otherRule || m == nil || m.Moved < 10 || r.Effects < 100 {
-				t.Fatalf("%+v, %d effects, breaks %v", m, r.Effects, r.Breaks)
+				t.Fatalf("%+v, %d effects, breaks %v", m, r.Effects, r.Violations)
 			}
 			if (m.Wrong > 0) != planted {
 				t.Errorf("%d histories are wrong, %d effects doubled; the generator was behind by %v at p99, %v at most", m.Wrong, r.Doubled, r.BehindP99, r.BehindMost)
@@ -107,7 +107,7 @@
 			}
 			l := r.Tenants
 			if !r.Kept() || l == nil || l.OutsideShare <= 0 || l.OutsideShare >= 1 || l.Others <= 0 {
-				t.Errorf("%+v, breaks %v; the generator was behind by %v at p99, %v at most", l, r.Breaks, r.BehindP99, r.BehindMost)
+				t.Errorf("%+v, breaks %v; the generator was behind by %v at p99, %v at most", l, r.Violations, r.BehindP99, r.BehindMost)
 			}
 		})
 	}
