--- a/cmd/vetchdoor/lab.go
+++ b/cmd/vetchdoor/lab.go
@@ -83,7 +83,7 @@
 			} else {
 				r.Print(cmd.OutOrStdout())
 			}
-			if !r.Kept() {
+			if !r.AllRulesKept() {
 				return failure{fmt.Errorf("rules were broken")}
 			}
 			return nil
--- a/lab/account.go
+++ b/lab/account.go
@@ -202,8 +202,8 @@
 	BehindMost time.Duration `json:"generator_behind_most_ns"`
 }
 
-// Kept tells whether all rules were kept.
-func (r *Report) Kept() bool { return len(r.Violations) == 0 }
+// AllRulesKept tells whether all rules were kept.
+func (r *Report) AllRulesKept() bool { return len(r.Violations) == 0 }
 
 // Print writes the report for people.
 func (r *Report) Print(w io.Writer) {
--- a/lab/check_test.go
+++ b/lab/check_test.go
@@ -289,7 +289,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !r.Kept() || r.Joins < 2*d.Fleet.Proxies || r.Service.Whole < 0.3 {
+	if !r.AllRulesKept() || r.Joins < 2*d.Fleet.Proxies || r.Service.Whole < 0.3 {
 		t.Errorf("%d joins of %d proxies, service %v, breaks %v", r.Joins, d.Fleet.Proxies, r.Service.Whole, r.Violations)
 	}
 	if r.Messages < 2*d.Fleet.Proxies {
--- a/lab/tenants_test.go
+++ b/lab/tenants_test.go
@@ -54,7 +54,7 @@
 			}
 			m := r.Moves
 			otherRule := slices.ContainsFunc(r.Violations, func(b Violation) bool { return b.Rule != 2 })
-			if r.Kept() == planted || otherRule || m == nil || m.Moved < 10 || r.Effects < 100 {
+			if r.AllRulesKept() == planted || otherRule || m == nil || m.Moved < 10 || r.Effects < 100 {
 				t.Fatalf("%+v, %d effects, breaks %v", m, r.Effects, r.Violations)
 			}
 			if (m.Wrong > 0) != planted {
@@ -106,7 +106,7 @@
 				t.Fatal(err)
 			}
 			l := r.Tenants
-			if !r.Kept() || l == nil || l.OutsideShare <= 0 || l.OutsideShare >= 1 || l.Others <= 0 {
+			if !r.AllRulesKept() || l == nil || l.OutsideShare <= 0 || l.OutsideShare >= 1 || l.Others <= 0 {
 				t.Errorf("%+v, breaks %v; the generator was behind by %v at p99, %v at most", l, r.Violations, r.BehindP99, r.BehindMost)
 			}
 		})
