--- a/lab/account.go
+++ b/lab/account.go
@@ -11,17 +11,17 @@
 // Service is a day's service as the bench's account defines it: revenue answered within the target latency over revenue
 // asked for, with the worst stretch and the worst op type mixed in and prices taken off. All shares are from 0 to 1.
 type Service struct {
-	Figure      float64    `json:"figure"` // the mix, less the prices
-	Whole       float64    `json:"whole"`
-	WorstWindow float64    `json:"worst_window"` // of 10 seconds
-	WorstType   float64    `json:"worst_type"`
-	Tail        float64    `json:"tail"`
-	Price       float64    `json:"price"`
-	Types       []TypeLine `json:"types"`
+	Figure      float64        `json:"figure"` // the mix, less the prices
+	Whole       float64        `json:"whole"`
+	WorstWindow float64        `json:"worst_window"` // of 10 seconds
+	WorstType   float64        `json:"worst_type"`
+	Tail        float64        `json:"tail"`
+	Price       float64        `json:"price"`
+	Types       []OpTypeResult `json:"types"`
 }
 
-// TypeLine is the account of one op type.
-type TypeLine struct {
+// OpTypeResult is the account of one op type.
+type OpTypeResult struct {
 	Name     string  `json:"name"`
 	Ops      int     `json:"ops"`
 	InTime   int     `json:"in_time"`
@@ -55,7 +55,7 @@
 // account adds up what the clients saw.
 func account(d *files.Day, ops []*op, s spending) Service {
 	types := d.Service.Types()
-	out := Service{Types: make([]TypeLine, len(types))}
+	out := Service{Types: make([]OpTypeResult, len(types))}
 	var whole part
 	byType := make([]part, len(types))
 	const stretch = 10 * time.Second
