--- a/lab/account.go
+++ b/lab/account.go
@@ -187,7 +187,7 @@
 	Ops        int           `json:"ops"`
 	Violations []Violation   `json:"breaks"`
 	Service    Service       `json:"service"`
-	Tenants    *TenantLine   `json:"tenants,omitempty"`
+	Tenants    *TenantResult `json:"tenants,omitempty"`
 	Moves      *MoveLine     `json:"moves,omitempty"`
 	Tries      int           `json:"tries_at_nodes"`
 	Falls      int           `json:"cold_nodes_fallen"`
--- a/lab/tenants.go
+++ b/lab/tenants.go
@@ -168,9 +168,9 @@
 	}
 }
 
-// TenantLine is how the tenants fared while one of them misbehaved: the others' service, the part of them that got less
+// TenantResult is how the tenants fared while one of them misbehaved: the others' service, the part of them that got less
 // than half, and its own. Outside are the ops of others that could reach none of its pods.
-type TenantLine struct {
+type TenantResult struct {
 	Others       float64 `json:"others"`
 	Ruined       float64 `json:"others_under_half"`
 	Bad          float64 `json:"bad"`
@@ -180,7 +180,7 @@
 }
 
 // tenantAccount adds up the ops of the bad tenant's spell, or of the whole day where there is none.
-func tenantAccount(d *files.Day, ops []*op, apart func(*op) bool) *TenantLine {
+func tenantAccount(d *files.Day, ops []*op, apart func(*op) bool) *TenantResult {
 	c := &d.Load.Tenants
 	if c.Count == 0 {
 		return nil
@@ -223,7 +223,7 @@
 			ruined++
 		}
 	}
-	l := &TenantLine{Others: others.share(), Ruined: float64(ruined) / float64(max(len(by), 1)), Bad: bad.share()}
+	l := &TenantResult{Others: others.share(), Ruined: float64(ruined) / float64(max(len(by), 1)), Bad: bad.share()}
 	if c.Bad > 0 {
 		l.Outside, l.Inside, l.OutsideShare = outside.share(), inside.share(), outside.asked/max(others.asked, 1e-9)
 	}
