--- a/lab/account.go
+++ b/lab/account.go
@@ -188,7 +188,7 @@
 	Violations []Violation   `json:"breaks"`
 	Service    Service       `json:"service"`
 	Tenants    *TenantResult `json:"tenants,omitempty"`
-	Moves      *MoveLine     `json:"moves,omitempty"`
+	Moves      *MoveResult   `json:"moves,omitempty"`
 	Tries      int           `json:"tries_at_nodes"`
 	Falls      int           `json:"cold_nodes_fallen"`
 	Effects    int           `json:"effects"`
--- a/lab/tenants.go
+++ b/lab/tenants.go
@@ -291,8 +291,8 @@
 	}
 }
 
-// MoveLine is what moves of tenants came to.
-type MoveLine struct {
+// MoveResult is what moves of tenants came to.
+type MoveResult struct {
 	Asked     int           `json:"asked"` // of each pilot
 	Untaken   int           `json:"untaken"`
 	Moved     int           `json:"moved"`
@@ -322,11 +322,11 @@
 const nearMove = 2500 * time.Millisecond
 
 // moveAccount reads the moves off the wire and holds each write's history against the nodes' records.
-func (f *fleet) moveAccount(h *history, s *source, nodes map[uint64]trail, start time.Duration) *MoveLine {
+func (f *fleet) moveAccount(h *history, s *source, nodes map[uint64]trail, start time.Duration) *MoveResult {
 	if !f.day.Load.Tenants.Moves {
 		return nil
 	}
-	l := &MoveLine{Asked: int(f.asked.Load()), Untaken: int(f.unasked.Load())}
+	l := &MoveResult{Asked: int(f.asked.Load()), Untaken: int(f.unasked.Load())}
 	type key struct {
 		pilot  int
 		tenant string
@@ -444,7 +444,7 @@
 }
 
 // print writes the lines for people.
-func (l *MoveLine) print(w io.Writer) {
+func (l *MoveResult) print(w io.Writer) {
 	fmt.Fprintf(w, "moves: %d asked (%d not taken), %d moved, %d cancelled, writes held for %v each; %d ops were told to come back; the others' acked in %v, p99 %v\n",
 		l.Asked, l.Untaken, l.Moved, l.Cancelled, l.HeldMean.Round(time.Millisecond), l.Held, l.P50.Round(time.Millisecond), l.P99.Round(time.Millisecond))
 	for _, x := range l.Which {
