--- a/lab/tenants.go
+++ b/lab/tenants.go
@@ -306,11 +306,11 @@
 	P99    time.Duration `json:"acked_p99_ns"`
 	Moving int           `json:"wrong_moving"` // of those, of tenants that were ordered to move or to open within nearMove of it
 
-	Which []WrongWrite `json:"which,omitempty"` // the first of them
+	Which []InconsistentWrite `json:"which,omitempty"` // the first of them
 }
 
-// WrongWrite is a write that took effect more or less often than it should, with where each of its tries came.
-type WrongWrite struct {
+// InconsistentWrite is a write that took effect more or less often than it should, with where each of its tries came.
+type InconsistentWrite struct {
 	Tenant  string   `json:"tenant"`
 	At      string   `json:"at"`
 	Tries   []string `json:"tries"`
@@ -366,7 +366,7 @@
 	explain := func(o *op) {
 		moving := false
 		t := nodes[o.number]
-		w := WrongWrite{Tenant: o.whose(), At: (start + o.at).String(), Tries: t.tries(h.places), Effects: t.tookEffect(h.places)}
+		w := InconsistentWrite{Tenant: o.whose(), At: (start + o.at).String(), Tries: t.tries(h.places), Effects: t.tookEffect(h.places)}
 		for k, list := range orders {
 			for _, x := range list {
 				if d := x.at - start - o.at; k.tenant == o.whose() && d > -10*time.Second && d < 10*time.Second {
