--- a/lab/account.go
+++ b/lab/account.go
@@ -8,9 +8,9 @@
 	"vetchdoor/files"
 )
 
-// Service is a day's service as the bench's account defines it: revenue answered within the target latency over revenue
+// ServiceScore is a day's service as the bench's account defines it: revenue answered within the target latency over revenue
 // asked for, with the worst stretch and the worst op type mixed in and prices taken off. All shares are from 0 to 1.
-type Service struct {
+type ServiceScore struct {
 	Figure      float64        `json:"figure"` // the mix, less the prices
 	Whole       float64        `json:"whole"`
 	WorstWindow float64        `json:"worst_window"` // of 10 seconds
@@ -53,9 +53,9 @@
 }
 
 // account adds up what the clients saw.
-func account(d *files.Day, ops []*op, s spending) Service {
+func account(d *files.Day, ops []*op, s spending) ServiceScore {
 	types := d.Service.Types()
-	out := Service{Types: make([]OpTypeResult, len(types))}
+	out := ServiceScore{Types: make([]OpTypeResult, len(types))}
 	var whole part
 	byType := make([]part, len(types))
 	const stretch = 10 * time.Second
@@ -186,7 +186,7 @@
 	PerSecond  float64       `json:"ops_per_second"`
 	Ops        int           `json:"ops"`
 	Violations []Violation   `json:"breaks"`
-	Service    Service       `json:"service"`
+	Service    ServiceScore  `json:"service"`
 	Tenants    *TenantResult `json:"tenants,omitempty"`
 	Moves      *MoveResult   `json:"moves,omitempty"`
 	Tries      int           `json:"tries_at_nodes"`
