--- a/lab/account.go
+++ b/lab/account.go
@@ -11,7 +11,7 @@
 // ServiceScore is a day's service as the bench's account defines it: revenue answered within the target latency over revenue
 // asked for, with the worst stretch and the worst op type mixed in and prices taken off. All shares are from 0 to 1.
 type ServiceScore struct {
-	Figure      float64        `json:"figure"` // the mix, less the prices
+	Score       float64        `json:"figure"` // the mix, less the prices
 	Whole       float64        `json:"whole"`
 	WorstWindow float64        `json:"worst_window"` // of 10 seconds
 	WorstType   float64        `json:"worst_type"`
@@ -122,10 +122,10 @@
 	g := &d.Goal
 	sum := g.Whole + g.WorstWindow + g.WorstType + g.Tail
 	if sum > 0 {
-		out.Figure = (g.Whole*out.Whole + g.WorstWindow*out.WorstWindow + g.WorstType*out.WorstType + g.Tail*out.Tail) / sum
+		out.Score = (g.Whole*out.Whole + g.WorstWindow*out.WorstWindow + g.WorstType*out.WorstType + g.Tail*out.Tail) / sum
 	}
 	out.Price = price(&d.Prices, s, lateFail, whole.asked, len(ops))
-	out.Figure -= out.Price
+	out.Score -= out.Price
 	return out
 }
 
@@ -236,7 +236,7 @@
 		fmt.Fprintf(w, "  %s at %v: %s\n", name, b.At.Round(time.Millisecond), b.Description)
 	}
 	s := &r.Service
-	fmt.Fprintf(w, "service %.3f: whole %.3f, worst 10 s %.3f, worst op type %.3f, tail %.3f, prices %.3f\n", s.Figure, s.Whole,
+	fmt.Fprintf(w, "service %.3f: whole %.3f, worst 10 s %.3f, worst op type %.3f, tail %.3f, prices %.3f\n", s.Score, s.Whole,
 		s.WorstWindow, s.WorstType, s.Tail, s.Price)
 	for _, t := range s.Types {
 		fmt.Fprintf(w, "  %-14s %6d ops: %6d in time, %5d late, %5d rejected, %5d aborted; service %.3f\n", t.Name, t.Ops, t.InTime,
