--- a/lab/run.go
+++ b/lab/run.go
@@ -141,7 +141,7 @@
 	}
 	r.Effects = len(e.effects)
 	for _, x := range e.doublings() {
-		if r.Doubled++; x.ours {
+		if r.DuplicateEffects++; x.ours {
 			r.Against++
 		}
 	}
--- a/lab/tenants_test.go
+++ b/lab/tenants_test.go
@@ -58,7 +58,7 @@
 				t.Fatalf("%+v, %d effects, breaks %v", m, r.Effects, r.Violations)
 			}
 			if (m.Wrong > 0) != planted {
-				t.Errorf("%d histories are wrong, %d effects doubled; the generator was behind by %v at p99, %v at most", m.Wrong, r.Doubled, r.BehindP99, r.BehindMost)
+				t.Errorf("%d histories are wrong, %d effects doubled; the generator was behind by %v at p99, %v at most", m.Wrong, r.DuplicateEffects, r.BehindP99, r.BehindMost)
 			}
 		})
 	}
