--- a/lab/account.go
+++ b/lab/account.go
@@ -177,29 +177,29 @@
 
 // Report is what a day came to.
 type Report struct {
-	Day              string        `json:"day"`
-	Seed             uint64        `json:"seed"`
-	Took             time.Duration `json:"took_ns"`
-	Nodes            int           `json:"nodes"`
-	Proxies          int           `json:"proxies"`
-	Pilots           int           `json:"pilots"`
-	PerSecond        float64       `json:"ops_per_second"`
-	Ops              int           `json:"ops"`
-	Violations       []Violation   `json:"breaks"`
-	Service          ServiceScore  `json:"service"`
-	Tenants          *TenantResult `json:"tenants,omitempty"`
-	Moves            *MoveResult   `json:"moves,omitempty"`
-	Tries            int           `json:"tries_at_nodes"`
-	Falls            int           `json:"cold_nodes_fallen"`
-	Effects          int           `json:"effects"`
-	DuplicateEffects int           `json:"effects_doubled"`              // beyond the first of an op, all
-	Against          int           `json:"effects_doubled_against_rule"` // of those, the ones that break rule 2
-	Messages         int           `json:"messages"`
-	Lines            int           `json:"lines"`
-	Joins            int           `json:"joins"`
-	Resumes          int           `json:"resumes"`
-	BehindP99        time.Duration `json:"generator_behind_p99_ns"`
-	BehindMost       time.Duration `json:"generator_behind_most_ns"`
+	Day               string        `json:"day"`
+	Seed              uint64        `json:"seed"`
+	Took              time.Duration `json:"took_ns"`
+	Nodes             int           `json:"nodes"`
+	Proxies           int           `json:"proxies"`
+	Pilots            int           `json:"pilots"`
+	PerSecond         float64       `json:"ops_per_second"`
+	Ops               int           `json:"ops"`
+	Violations        []Violation   `json:"breaks"`
+	Service           ServiceScore  `json:"service"`
+	Tenants           *TenantResult `json:"tenants,omitempty"`
+	Moves             *MoveResult   `json:"moves,omitempty"`
+	Tries             int           `json:"tries_at_nodes"`
+	Falls             int           `json:"cold_nodes_fallen"`
+	Effects           int           `json:"effects"`
+	DuplicateEffects  int           `json:"effects_doubled"`              // beyond the first of an op, all
+	RuleTwoDuplicates int           `json:"effects_doubled_against_rule"` // of those, the ones that break rule 2
+	Messages          int           `json:"messages"`
+	Lines             int           `json:"lines"`
+	Joins             int           `json:"joins"`
+	Resumes           int           `json:"resumes"`
+	BehindP99         time.Duration `json:"generator_behind_p99_ns"`
+	BehindMost        time.Duration `json:"generator_behind_most_ns"`
 }
 
 // AllRulesKept tells whether all rules were kept.
@@ -252,7 +252,7 @@
 		r.Moves.print(w)
 	}
 	fmt.Fprintf(w, "%d tries at nodes, %d effects of writes (%d doubled against rule 2, %d by clients' repeats that it does not cover), %d cold nodes fell over\n",
-		r.Tries, r.Effects, r.Against, r.DuplicateEffects-r.Against, r.Falls)
+		r.Tries, r.Effects, r.RuleTwoDuplicates, r.DuplicateEffects-r.RuleTwoDuplicates, r.Falls)
 	fmt.Fprintf(w, "%d messages, %d lines; %d joins, %d resumed; generator behind by %v at p99, %v at most\n", r.Messages, r.Lines,
 		r.Joins, r.Resumes, r.BehindP99.Round(10*time.Microsecond), r.BehindMost.Round(10*time.Microsecond))
 }
--- a/lab/repeats_days_test.go
+++ b/lab/repeats_days_test.go
@@ -70,7 +70,7 @@
 					t.Errorf("%+v", b)
 				}
 			}
-			t.Logf("%d of %d effects doubled against rule 2, %d otherwise; generator behind by %v at p99", r.Against, r.Effects, r.DuplicateEffects-r.Against,
+			t.Logf("%d of %d effects doubled against rule 2, %d otherwise; generator behind by %v at p99", r.RuleTwoDuplicates, r.Effects, r.DuplicateEffects-r.RuleTwoDuplicates,
 				r.BehindP99)
 		})
 	}
--- a/lab/run.go
+++ b/lab/run.go
@@ -142,7 +142,7 @@
 	r.Effects = len(e.effects)
 	for _, x := range e.doublings() {
 		if r.DuplicateEffects++; x.ours {
-			r.Against++
+			r.RuleTwoDuplicates++
 		}
 	}
 	r.BehindP99 = time.Duration(s.behind.ValueAtQuantile(99)) * time.Microsecond
