--- a/lab/account.go
+++ b/lab/account.go
@@ -190,7 +190,7 @@
 	Tenants           *TenantResult `json:"tenants,omitempty"`
 	Moves             *MoveResult   `json:"moves,omitempty"`
 	Tries             int           `json:"tries_at_nodes"`
-	Falls             int           `json:"cold_nodes_fallen"`
+	ColdCrashes       int           `json:"cold_nodes_fallen"`
 	Effects           int           `json:"effects"`
 	DuplicateEffects  int           `json:"effects_doubled"`              // beyond the first of an op, all
 	RuleTwoDuplicates int           `json:"effects_doubled_against_rule"` // of those, the ones that break rule 2
@@ -252,7 +252,7 @@
 		r.Moves.print(w)
 	}
 	fmt.Fprintf(w, "%d tries at nodes, %d effects of writes (%d doubled against rule 2, %d by clients' repeats that it does not cover), %d cold nodes fell over\n",
-		r.Tries, r.Effects, r.RuleTwoDuplicates, r.DuplicateEffects-r.RuleTwoDuplicates, r.Falls)
+		r.Tries, r.Effects, r.RuleTwoDuplicates, r.DuplicateEffects-r.RuleTwoDuplicates, r.ColdCrashes)
 	fmt.Fprintf(w, "%d messages, %d lines; %d joins, %d resumed; generator behind by %v at p99, %v at most\n", r.Messages, r.Lines,
 		r.Joins, r.Resumes, r.BehindP99.Round(10*time.Microsecond), r.BehindMost.Round(10*time.Microsecond))
 }
--- a/lab/run.go
+++ b/lab/run.go
@@ -120,7 +120,7 @@
 		return nil, err
 	}
 	r := &Report{Day: d.Name, Seed: d.Seed, Took: time.Since(begin), Nodes: len(f.nodes), Proxies: len(f.proxies),
-		Pilots: len(f.pilots), PerSecond: f.perSecond(), Ops: len(s.ops), Violations: e.check(h), Falls: len(f.ledger.Falls())}
+		Pilots: len(f.pilots), PerSecond: f.perSecond(), Ops: len(s.ops), Violations: e.check(h), ColdCrashes: len(f.ledger.Falls())}
 	for _, x := range h.streams {
 		if x.joined >= 0 && x.resumed {
 			r.Resumes++
