--- a/lab/repeats_days_test.go
+++ b/lab/repeats_days_test.go
@@ -71,7 +71,7 @@
 				}
 			}
 			t.Logf("%d of %d effects doubled against rule 2, %d otherwise; generator behind by %v at p99", r.RuleTwoDuplicates, r.Effects, r.DuplicateEffects-r.RuleTwoDuplicates,
-				r.BehindP99)
+				r.GeneratorLagP99)
 		})
 	}
 }
--- a/lab/run.go
+++ b/lab/run.go
@@ -145,7 +145,7 @@
 			r.RuleTwoDuplicates++
 		}
 	}
-	r.BehindP99 = time.Duration(s.behind.ValueAtQuantile(99)) * time.Microsecond
+	r.GeneratorLagP99 = time.Duration(s.behind.ValueAtQuantile(99)) * time.Microsecond
 	r.BehindMost = time.Duration(s.behind.Max()) * time.Microsecond
 	return r, nil
 }
