--- a/lab/account.go
+++ b/lab/account.go
@@ -199,7 +199,7 @@
 	Joins             int           `json:"joins"`
 	Resumes           int           `json:"resumes"`
 	GeneratorLagP99   time.Duration `json:"generator_behind_p99_ns"`
-	BehindMost        time.Duration `json:"generator_behind_most_ns"`
+	GeneratorLagMax   time.Duration `json:"generator_behind_most_ns"`
 }
 
 // AllRulesKept tells whether all rules were kept.
@@ -254,5 +254,5 @@
 	fmt.Fprintf(w, "%d tries at nodes, %d effects of writes (%d doubled against rule 2, %d by clients' repeats that it does not cover), %d cold nodes fell over\n",
 		r.Tries, r.Effects, r.RuleTwoDuplicates, r.DuplicateEffects-r.RuleTwoDuplicates, r.ColdCrashes)
 	fmt.Fprintf(w, "%d messages, %d lines; %d joins, %d resumed; generator behind by %v at p99, %v at most\n", r.Messages, r.Lines,
-		r.Joins, r.Resumes, r.GeneratorLagP99.Round(10*time.Microsecond), r.BehindMost.Round(10*time.Microsecond))
+		r.Joins, r.Resumes, r.GeneratorLagP99.Round(10*time.Microsecond), r.GeneratorLagMax.Round(10*time.Microsecond))
 }
--- a/lab/run.go
+++ b/lab/run.go
@@ -146,7 +146,7 @@
 		}
 	}
 	r.GeneratorLagP99 = time.Duration(s.behind.ValueAtQuantile(99)) * time.Microsecond
-	r.BehindMost = time.Duration(s.behind.Max()) * time.Microsecond
+	r.GeneratorLagMax = time.Duration(s.behind.Max()) * time.Microsecond
 	return r, nil
 }
 
--- a/lab/tenants_test.go
+++ b/lab/tenants_test.go
@@ -58,7 +58,7 @@
 				t.Fatalf("%+v, %d effects, breaks %v", m, r.Effects, r.Violations)
 			}
 			if (m.Wrong > 0) != planted {
-				t.Errorf("%d histories are wrong, %d effects doubled; the generator was behind by %v at p99, %v at most", m.Wrong, r.DuplicateEffects, r.GeneratorLagP99, r.BehindMost)
+				t.Errorf("%d histories are wrong, %d effects doubled; the generator was behind by %v at p99, %v at most", m.Wrong, r.DuplicateEffects, r.GeneratorLagP99, r.GeneratorLagMax)
 			}
 		})
 	}
@@ -107,7 +107,7 @@
 			}
 			l := r.Tenants
 			if !r.AllRulesKept() || l == nil || l.OutsideShare <= 0 || l.OutsideShare >= 1 || l.Others <= 0 {
-				t.Errorf("%+v, breaks %v; the generator was behind by %v at p99, %v at most", l, r.Violations, r.GeneratorLagP99, r.BehindMost)
+				t.Errorf("%+v, breaks %v; the generator was behind by %v at p99, %v at most", l, r.Violations, r.GeneratorLagP99, r.GeneratorLagMax)
 			}
 		})
 	}
