--- a/lab/account.go
+++ b/lab/account.go
@@ -243,7 +243,7 @@
 			t.Late, t.Rejected, t.Aborted, t.Service)
 	}
 	if t := r.Tenants; t != nil {
-		fmt.Fprintf(w, "tenants: others' service %.3f, %.1f%% of them under half; the one that misbehaves %.3f\n", t.Others, 100*t.UnderHalf, t.Bad)
+		fmt.Fprintf(w, "tenants: others' service %.3f, %.1f%% of them under half; the one that misbehaves %.3f\n", t.Others, 100*t.UnderHalf, t.Misbehaving)
 		if t.OutsideShare > 0 {
 			fmt.Fprintf(w, "  %.1f%% of the others' ops could reach none of its pods: service %.3f; the rest %.3f\n", 100*t.OutsideShare, t.Outside, t.Inside)
 		}
--- a/lab/tenants.go
+++ b/lab/tenants.go
@@ -173,7 +173,7 @@
 type TenantResult struct {
 	Others       float64 `json:"others"`
 	UnderHalf    float64 `json:"others_under_half"`
-	Bad          float64 `json:"bad"`
+	Misbehaving  float64 `json:"bad"`
 	Outside      float64 `json:"outside"`
 	OutsideShare float64 `json:"outside_share"` // of the others' ops
 	Inside       float64 `json:"inside"`
@@ -223,7 +223,7 @@
 			ruined++
 		}
 	}
-	l := &TenantResult{Others: others.share(), UnderHalf: float64(ruined) / float64(max(len(by), 1)), Bad: bad.share()}
+	l := &TenantResult{Others: others.share(), UnderHalf: float64(ruined) / float64(max(len(by), 1)), Misbehaving: bad.share()}
 	if c.Bad > 0 {
 		l.Outside, l.Inside, l.OutsideShare = outside.share(), inside.share(), outside.asked/max(others.asked, 1e-9)
 	}
