--- a/lab/tenants.go
+++ b/lab/tenants.go
@@ -294,7 +294,7 @@
 // MoveResult is what moves of tenants came to.
 type MoveResult struct {
 	Asked     int           `json:"asked"` // of each pilot
-	Untaken   int           `json:"untaken"`
+	Refused   int           `json:"untaken"`
 	Moved     int           `json:"moved"`
 	Cancelled int           `json:"cancelled"`
 	Held      int           `json:"ops_held"`   // ops refused with a time to come back at least once
@@ -326,7 +326,7 @@
 	if !f.day.Load.Tenants.Moves {
 		return nil
 	}
-	l := &MoveResult{Asked: int(f.asked.Load()), Untaken: int(f.unasked.Load())}
+	l := &MoveResult{Asked: int(f.asked.Load()), Refused: int(f.unasked.Load())}
 	type key struct {
 		pilot  int
 		tenant string
@@ -446,7 +446,7 @@
 // print writes the lines for people.
 func (l *MoveResult) print(w io.Writer) {
 	fmt.Fprintf(w, "moves: %d asked (%d not taken), %d moved, %d cancelled, writes held for %v each; %d ops were told to come back; the others' acked in %v, p99 %v\n",
-		l.Asked, l.Untaken, l.Moved, l.Cancelled, l.HeldMean.Round(time.Millisecond), l.Held, l.P50.Round(time.Millisecond), l.P99.Round(time.Millisecond))
+		l.Asked, l.Refused, l.Moved, l.Cancelled, l.HeldMean.Round(time.Millisecond), l.Held, l.P50.Round(time.Millisecond), l.P99.Round(time.Millisecond))
 	for _, x := range l.Which {
 		fmt.Fprintf(w, "  wrong: %s at %s: tries %q, effects %q, orders %q\n", x.Tenant, x.At, x.Tries, x.Effects, x.Moves)
 	}
