--- a/lab/run.go
+++ b/lab/run.go
@@ -136,8 +136,8 @@
 	r.Service = account(d, s.ops, spent)
 	r.Tenants = tenantAccount(d, s.ops, e.apart(h, d, start))
 	r.Moves = f.moveAccount(h, s, trails(e.arrivals, e.effects), start)
-	if r.Moves != nil && r.Moves.Lost > 0 {
-		r.Violations = append(r.Violations, Violation{2, until, fmt.Sprintf("%d writes were acked and took no effect", r.Moves.Lost)})
+	if r.Moves != nil && r.Moves.AckedLost > 0 {
+		r.Violations = append(r.Violations, Violation{2, until, fmt.Sprintf("%d writes were acked and took no effect", r.Moves.AckedLost)})
 	}
 	r.Effects = len(e.effects)
 	for _, x := range e.doublings() {
--- a/lab/tenants.go
+++ b/lab/tenants.go
@@ -299,7 +299,7 @@
 	Cancelled int           `json:"cancelled"`
 	Held      int           `json:"ops_held"`   // ops refused with a time to come back at least once
 	HeldMean  time.Duration `json:"held_ns"`    // that a tenant was held, of the moves that ended
-	Lost      int           `json:"acked_lost"` // writes that were acked and took no effect
+	AckedLost int           `json:"acked_lost"` // writes that were acked and took no effect
 	Wrong     int           `json:"wrong"`      // writes whose history is no order of one effect
 
 	P50    time.Duration `json:"acked_p50_ns"` // of the latency of acked ops, those that waited for no move
@@ -394,7 +394,7 @@
 			continue
 		}
 		if o.outcome == opAcked && len(nodes[o.number].effects) == 0 {
-			l.Lost++
+			l.AckedLost++
 		}
 		if !onceInOrder(o, nodes[o.number].times(), start) {
 			l.Wrong++
@@ -450,5 +450,5 @@
 	for _, x := range l.Which {
 		fmt.Fprintf(w, "  wrong: %s at %s: tries %q, effects %q, orders %q\n", x.Tenant, x.At, x.Tries, x.Effects, x.Moves)
 	}
-	fmt.Fprintf(w, "writes: %d acked without an effect, %d whose history is not that of one effect, %d of those of tenants that moved then\n", l.Lost, l.Wrong, l.Moving)
+	fmt.Fprintf(w, "writes: %d acked without an effect, %d whose history is not that of one effect, %d of those of tenants that moved then\n", l.AckedLost, l.Wrong, l.Moving)
 }
