--- a/lab/tenants.go
+++ b/lab/tenants.go
@@ -293,14 +293,14 @@
 
 // MoveResult is what moves of tenants came to.
 type MoveResult struct {
-	Asked     int           `json:"asked"` // of each pilot
-	Refused   int           `json:"untaken"`
-	Moved     int           `json:"moved"`
-	Cancelled int           `json:"cancelled"`
-	Held      int           `json:"ops_held"`   // ops refused with a time to come back at least once
-	HeldMean  time.Duration `json:"held_ns"`    // that a tenant was held, of the moves that ended
-	AckedLost int           `json:"acked_lost"` // writes that were acked and took no effect
-	Wrong     int           `json:"wrong"`      // writes whose history is no order of one effect
+	Asked        int           `json:"asked"` // of each pilot
+	Refused      int           `json:"untaken"`
+	Moved        int           `json:"moved"`
+	Cancelled    int           `json:"cancelled"`
+	Held         int           `json:"ops_held"`   // ops refused with a time to come back at least once
+	HeldMean     time.Duration `json:"held_ns"`    // that a tenant was held, of the moves that ended
+	AckedLost    int           `json:"acked_lost"` // writes that were acked and took no effect
+	Inconsistent int           `json:"wrong"`      // writes whose history is no order of one effect
 
 	P50    time.Duration `json:"acked_p50_ns"` // of the latency of acked ops, those that waited for no move
 	P99    time.Duration `json:"acked_p99_ns"`
@@ -397,7 +397,7 @@
 			l.AckedLost++
 		}
 		if !onceInOrder(o, nodes[o.number].times(), start) {
-			l.Wrong++
+			l.Inconsistent++
 			explain(o)
 		}
 	}
@@ -450,5 +450,5 @@
 	for _, x := range l.Which {
 		fmt.Fprintf(w, "  wrong: %s at %s: tries %q, effects %q, orders %q\n", x.Tenant, x.At, x.Tries, x.Effects, x.Moves)
 	}
-	fmt.Fprintf(w, "writes: %d acked without an effect, %d whose history is not that of one effect, %d of those of tenants that moved then\n", l.AckedLost, l.Wrong, l.Moving)
+	fmt.Fprintf(w, "writes: %d acked without an effect, %d whose history is not that of one effect, %d of those of tenants that moved then\n", l.AckedLost, l.Inconsistent, l.Moving)
 }
--- a/lab/tenants_test.go
+++ b/lab/tenants_test.go
@@ -57,8 +57,8 @@
 			if r.AllRulesKept() == planted || otherRule || m == nil || m.Moved < 10 || r.Effects < 100 {
 				t.Fatalf("%+v, %d effects, breaks %v", m, r.Effects, r.Violations)
 			}
-			if (m.Wrong > 0) != planted {
-				t.Errorf("%d histories are wrong, %d effects doubled; the generator was behind by %v at p99, %v at most", m.Wrong, r.DuplicateEffects, r.GeneratorLagP99, r.GeneratorLagMax)
+			if (m.Inconsistent > 0) != planted {
+				t.Errorf("%d histories are wrong, %d effects doubled; the generator was behind by %v at p99, %v at most", m.Inconsistent, r.DuplicateEffects, r.GeneratorLagP99, r.GeneratorLagMax)
 			}
 		})
 	}
