--- a/lab/tenants.go
+++ b/lab/tenants.go
@@ -302,9 +302,9 @@
 	AckedLost    int           `json:"acked_lost"` // writes that were acked and took no effect
 	Inconsistent int           `json:"wrong"`      // writes whose history is no order of one effect
 
-	P50    time.Duration `json:"acked_p50_ns"` // of the latency of acked ops, those that waited for no move
-	P99    time.Duration `json:"acked_p99_ns"`
-	Moving int           `json:"wrong_moving"` // of those, of tenants that were ordered to move or to open within nearMove of it
+	P50                time.Duration `json:"acked_p50_ns"` // of the latency of acked ops, those that waited for no move
+	P99                time.Duration `json:"acked_p99_ns"`
+	InconsistentMoving int           `json:"wrong_moving"` // of those, of tenants that were ordered to move or to open within nearMove of it
 
 	Which []InconsistentWrite `json:"which,omitempty"` // the first of them
 }
@@ -376,7 +376,7 @@
 			}
 		}
 		if moving {
-			l.Moving++
+			l.InconsistentMoving++
 		}
 		if len(l.Which) < 20 {
 			l.Which = append(l.Which, w)
@@ -450,5 +450,5 @@
 	for _, x := range l.Which {
 		fmt.Fprintf(w, "  wrong: %s at %s: tries %q, effects %q, orders %q\n", x.Tenant, x.At, x.Tries, x.Effects, x.Moves)
 	}
-	fmt.Fprintf(w, "writes: %d acked without an effect, %d whose history is not that of one effect, %d of those of tenants that moved then\n", l.AckedLost, l.Inconsistent, l.Moving)
+	fmt.Fprintf(w, "writes: %d acked without an effect, %d whose history is not that of one effect, %d of those of tenants that moved then\n", l.AckedLost, l.Inconsistent, l.InconsistentMoving)
 }
