--- a/lab/tenants.go
+++ b/lab/tenants.go
@@ -306,7 +306,7 @@
 	P99                time.Duration `json:"acked_p99_ns"`
 	InconsistentMoving int           `json:"wrong_moving"` // of those, of tenants that were ordered to move or to open within nearMove of it
 
-	Which []InconsistentWrite `json:"which,omitempty"` // the first of them
+	Examples []InconsistentWrite `json:"which,omitempty"` // the first of them
 }
 
 // InconsistentWrite is a write that took effect more or less often than it should, with where each of its tries came.
@@ -378,8 +378,8 @@
 		if moving {
 			l.InconsistentMoving++
 		}
-		if len(l.Which) < 20 {
-			l.Which = append(l.Which, w)
+		if len(l.Examples) < 20 {
+			l.Examples = append(l.Examples, w)
 		}
 	}
 	var acked []time.Duration
@@ -447,7 +447,7 @@
 func (l *MoveResult) print(w io.Writer) {
 	fmt.Fprintf(w, "moves: %d asked (%d not taken), %d moved, %d cancelled, writes held for %v each; %d ops were told to come back; the others' acked in %v, p99 %v\n",
 		l.Asked, l.Refused, l.Moved, l.Cancelled, l.HeldMean.Round(time.Millisecond), l.Held, l.P50.Round(time.Millisecond), l.P99.Round(time.Millisecond))
-	for _, x := range l.Which {
+	for _, x := range l.Examples {
 		fmt.Fprintf(w, "  wrong: %s at %s: tries %q, effects %q, orders %q\n", x.Tenant, x.At, x.Tries, x.Effects, x.Moves)
 	}
 	fmt.Fprintf(w, "writes: %d acked without an effect, %d whose history is not that of one effect, %d of those of tenants that moved then\n", l.AckedLost, l.Inconsistent, l.InconsistentMoving)
