--- a/lab/xfail/xfail.go
+++ b/lab/xfail/xfail.go
@@ -29,7 +29,7 @@
 const fields = 4
 
 // KnownFailure is one listed fault. Folder and Test name its test; both are empty where no test shows it.
-type KnownFailure struct{ Folder, Test, Command, Seen, Issue string }
+type KnownFailure struct{ Folder, Test, Command, Observed, Issue string }
 
 // ReadRegister reads the register's text. A line that says too little, and a test that is listed twice, are errors.
 func ReadRegister(text string) (reds []KnownFailure, err error) {
@@ -65,7 +65,7 @@
 			return KnownFailure{}, errLine
 		}
 	}
-	red := KnownFailure{Command: words[1], Seen: words[2], Issue: words[3]}
+	red := KnownFailure{Command: words[1], Observed: words[2], Issue: words[3]}
 	if words[0] == bench || words[0] == lab {
 		return red, nil
 	}
