--- a/lab/xfail/xfail.go
+++ b/lab/xfail/xfail.go
@@ -77,8 +77,8 @@
 	return red, nil
 }
 
-// Root is the module's root, from a folder in it.
-func Root(from string) (string, error) {
+// ModuleRoot is the module's root, from a folder in it.
+func ModuleRoot(from string) (string, error) {
 	dir, err := filepath.Abs(from)
 	if err != nil {
 		return "", err
@@ -97,7 +97,7 @@
 
 // listed tells whether the register lists a test of the package in whose folder tests run now.
 func listed(name string) (bool, error) {
-	root, err := Root(".")
+	root, err := ModuleRoot(".")
 	if err != nil {
 		return false, err
 	}
--- a/lab/xfail/xfail_test.go
+++ b/lab/xfail/xfail_test.go
@@ -60,7 +60,7 @@
 
 // Every test that is listed bears the mark, so that it fails once it passes; marks that are not listed fail where they run.
 func TestRegister(t *testing.T) {
-	root, err := Root(".")
+	root, err := ModuleRoot(".")
 	if err != nil {
 		t.Fatal(err)
 	}
