--- a/lab/account.go
+++ b/lab/account.go
@@ -8,19 +8,19 @@
 	"vetchdoor/files"
 )
 
-// ServiceScore is a day's service as the bench's account defines it: revenue answered within the target latency over revenue
-// asked for, with the worst stretch and the worst op type mixed in and prices taken off. All shares are from 0 to 1.
+// ServiceScore rates the service of a day: revenue answered within the target latency over revenue asked for, combined with
+// the worst period and the worst op type, less the prices. All shares are between 0 and 1.
 type ServiceScore struct {
-	Score       float64        `json:"figure"` // the mix, less the prices
+	Score       float64        `json:"figure"` // weighted mean of the shares below, less Price
 	Whole       float64        `json:"whole"`
-	WorstWindow float64        `json:"worst_window"` // of 10 seconds
+	WorstWindow float64        `json:"worst_window"` // worst period of 10 seconds
 	WorstType   float64        `json:"worst_type"`
 	Tail        float64        `json:"tail"`
 	Price       float64        `json:"price"`
 	Types       []OpTypeResult `json:"types"`
 }
 
-// OpTypeResult is the account of one op type.
+// OpTypeResult counts the outcomes of one op type.
 type OpTypeResult struct {
 	Name     string  `json:"name"`
 	Ops      int     `json:"ops"`
@@ -31,52 +31,53 @@
 	Service  float64 `json:"service"`
 }
 
-// spending is what the day cost beside its service.
-type spending struct {
-	crossed, tries    int
-	worked, wasted    time.Duration
+// costs counts what the prices are charged on: traffic across zones, wasted work, connections, handshakes and messages.
+type costs struct {
+	crossZone, tries  int
+	work, wasted      time.Duration
 	offered           time.Duration
 	handshakes, nodes int
 	connections       float64
 	lines             int
-	channel           float64 // lines that the channels could have sent
+	channelLines      float64 // lines that the pilots could have sent in that time
 }
 
-// part is a running share.
-type part struct{ got, asked float64 }
+// revenueShare accumulates revenue earned and revenue asked for.
+type revenueShare struct{ earned, offered float64 }
 
-func (p part) share() float64 {
-	if p.asked == 0 {
+// share returns the earned share of the revenue asked for, from 0 to 1; 1 if none was asked for.
+func (p revenueShare) share() float64 {
+	if p.offered == 0 {
 		return 1
 	}
-	return p.got / p.asked
+	return p.earned / p.offered
 }
 
-// account adds up what the clients saw.
-func account(d *files.Day, ops []*op, s spending) ServiceScore {
+// scoreService computes the service score from what the clients saw.
+func scoreService(d *files.Day, ops []*op, s costs) ServiceScore {
 	types := d.Service.Types()
 	out := ServiceScore{Types: make([]OpTypeResult, len(types))}
-	var whole part
-	byType := make([]part, len(types))
-	const stretch = 10 * time.Second
-	windows := make([]part, int(d.Length.Span()/time.Second)+1)
-	tails := make([]map[int]*tail, len(types))
-	lateFail := 0.0
+	var whole revenueShare
+	byType := make([]revenueShare, len(types))
+	const worstWindowLength = 10 * time.Second
+	windows := make([]revenueShare, int(d.Length.Span()/time.Second)+1)
+	tails := make([]map[int]*tailWindow, len(types))
+	lateFailRevenue := 0.0
 	for i := range tails {
-		tails[i] = map[int]*tail{}
+		tails[i] = map[int]*tailWindow{}
 		out.Types[i].Name = d.Service.OpTypes[i].Name
 	}
 	for _, o := range ops {
 		t, line := &types[o.opType], &out.Types[o.opType]
-		got := 0.0
+		earned := 0.0
 		inTime := o.outcome == opAcked && o.latency() <= t.TargetLatency
 		line.Ops++
 		switch {
 		case inTime:
-			got = t.Revenue
+			earned = t.Revenue
 			line.InTime++
 		case o.outcome == opAcked:
-			got = t.Revenue * t.LateShare
+			earned = t.Revenue * t.LateShare
 			line.Late++
 		case o.outcome == opRejected:
 			line.Rejected++
@@ -84,20 +85,20 @@
 			line.Aborted++
 		}
 		if o.outcome != opAcked && o.latency() > t.TargetLatency {
-			lateFail += t.Revenue
+			lateFailRevenue += t.Revenue
 		}
-		add := func(p *part) { p.got, p.asked = p.got+got, p.asked+t.Revenue }
+		add := func(p *revenueShare) { p.earned, p.offered = p.earned+earned, p.offered+t.Revenue }
 		add(&whole)
 		add(&byType[o.opType])
-		add(&windows[min(int(o.at/time.Second), len(windows)-1)])
-		k := int(o.at / (5 * time.Second))
-		if tails[o.opType][k] == nil {
-			tails[o.opType][k] = &tail{}
+		add(&windows[min(int(o.due/time.Second), len(windows)-1)])
+		windowIndex := int(o.due / (5 * time.Second))
+		if tails[o.opType][windowIndex] == nil {
+			tails[o.opType][windowIndex] = &tailWindow{}
 		}
-		w := tails[o.opType][k]
-		w.asked, w.n = w.asked+t.Revenue, w.n+1
+		w := tails[o.opType][windowIndex]
+		w.offered, w.ops = w.offered+t.Revenue, w.ops+1
 		if inTime {
-			w.got += t.Revenue
+			w.earned += t.Revenue
 		} else if !(o.outcome == opRejected && o.latency() <= t.TargetLatency) {
 			w.missed++
 		}
@@ -107,14 +108,14 @@
 		out.Types[i].Service = p.share()
 		out.WorstType = min(out.WorstType, p.share())
 	}
-	span := int(stretch / time.Second)
+	windowSeconds := int(worstWindowLength / time.Second)
 	for i := range windows {
-		if i+span > len(windows) && i > 0 {
+		if i+windowSeconds > len(windows) && i > 0 {
 			break
 		}
-		var w part
-		for _, p := range windows[i:min(i+span, len(windows))] {
-			w.got, w.asked = w.got+p.got, w.asked+p.asked
+		var w revenueShare
+		for _, p := range windows[i:min(i+windowSeconds, len(windows))] {
+			w.earned, w.offered = w.earned+p.earned, w.offered+p.offered
 		}
 		out.WorstWindow = min(out.WorstWindow, w.share())
 	}
@@ -124,58 +125,61 @@
 	if sum > 0 {
 		out.Score = (g.Whole*out.Whole + g.WorstWindow*out.WorstWindow + g.WorstType*out.WorstType + g.Tail*out.Tail) / sum
 	}
-	out.Price = price(&d.Prices, s, lateFail, whole.asked, len(ops))
+	out.Price = price(&d.Prices, s, lateFailRevenue, whole.offered, len(ops))
 	out.Score -= out.Price
 	return out
 }
 
-// tail is an op type's five seconds.
-type tail struct {
-	got, asked float64
-	n, missed  int
+// tailWindow counts the ops of one op type within a window of five seconds.
+type tailWindow struct {
+	earned, offered float64
+	ops, missed     int
 }
 
-// tailShare counts revenue in full while few enough ops miss, and less evenly down to nothing at five times that share.
-func tailShare(tails []map[int]*tail, most float64) float64 {
-	var all part
+// tailShare returns the share of revenue that counts when each window is weighted by its misses: in full up to the share
+// most of missed ops, then linearly less, down to nothing at five times that share.
+func tailShare(tails []map[int]*tailWindow, maxMiss float64) float64 {
+	var all revenueShare
 	for _, windows := range tails {
 		for _, w := range windows {
-			all.asked += w.asked
-			miss := float64(w.missed) / float64(w.n)
+			all.offered += w.offered
+			miss := float64(w.missed) / float64(w.ops)
 			switch {
-			case miss <= most:
-				all.got += w.got
-			case miss < 5*most:
-				all.got += w.got * (5*most - miss) / (4 * most)
+			case miss <= maxMiss:
+				all.earned += w.earned
+			case miss < 5*maxMiss:
+				all.earned += w.earned * (5*maxMiss - miss) / (4 * maxMiss)
 			}
 		}
 	}
 	return all.share()
 }
 
-func price(p *files.Prices, s spending, lateFail, asked float64, ops int) float64 {
+// price returns the total of the prices, each weighted as the day sets it, relative to the ops or to the revenue asked
+// for.
+func price(p *files.Prices, s costs, lateFailRevenue, revenueAsked float64, ops int) float64 {
 	if ops == 0 {
 		return 0
 	}
-	first := float64(ops)
-	total := p.CrossZone * float64(s.crossed) / first
+	opCount := float64(ops)
+	total := p.CrossZone * float64(s.crossZone) / opCount
 	if s.offered > 0 {
 		total += p.Waste * float64(s.wasted) / float64(s.offered)
 	}
 	if s.nodes > 0 {
 		total += p.Connection * s.connections / (100 * float64(s.nodes))
 	}
-	total += p.Handshake * float64(s.handshakes) / first
-	if asked > 0 {
-		total += p.LateFail * lateFail / asked
+	total += p.Handshake * float64(s.handshakes) / opCount
+	if revenueAsked > 0 {
+		total += p.LateFail * lateFailRevenue / revenueAsked
 	}
-	if s.channel > 0 {
-		total += p.Orders * float64(s.lines) / s.channel
+	if s.channelLines > 0 {
+		total += p.Orders * float64(s.lines) / s.channelLines
 	}
 	return total
 }
 
-// Report is what a day came to.
+// Report is the result of a run. Durations are in nanoseconds in the JSON form.
 type Report struct {
 	Day               string        `json:"day"`
 	Seed              uint64        `json:"seed"`
@@ -192,8 +196,8 @@
 	Tries             int           `json:"tries_at_nodes"`
 	ColdCrashes       int           `json:"cold_nodes_fallen"`
 	Effects           int           `json:"effects"`
-	DuplicateEffects  int           `json:"effects_doubled"`              // beyond the first of an op, all
-	RuleTwoDuplicates int           `json:"effects_doubled_against_rule"` // of those, the ones that break rule 2
+	DuplicateEffects  int           `json:"effects_doubled"`              // all effects beyond the first of an op
+	RuleTwoDuplicates int           `json:"effects_doubled_against_rule"` // those of DuplicateEffects that break rule 2
 	Messages          int           `json:"messages"`
 	Lines             int           `json:"lines"`
 	Joins             int           `json:"joins"`
@@ -202,10 +206,10 @@
 	GeneratorLagMax   time.Duration `json:"generator_behind_most_ns"`
 }
 
-// AllRulesKept tells whether all rules were kept.
+// AllRulesKept reports whether the run had no violations.
 func (r *Report) AllRulesKept() bool { return len(r.Violations) == 0 }
 
-// Print writes the report for people.
+// Print writes the report to w as text.
 func (r *Report) Print(w io.Writer) {
 	fmt.Fprintf(w, "day %s, seed %d: %d pilots, %d proxies, %d nodes (simulated servers); %d ops, %.0f a second\n", r.Day, r.Seed,
 		r.Pilots, r.Proxies, r.Nodes, r.Ops, r.PerSecond)
@@ -243,16 +247,20 @@
 			t.Late, t.Rejected, t.Aborted, t.Service)
 	}
 	if t := r.Tenants; t != nil {
-		fmt.Fprintf(w, "tenants: others' service %.3f, %.1f%% of them under half; the one that misbehaves %.3f\n", t.Others, 100*t.UnderHalf, t.Misbehaving)
+		fmt.Fprintf(w, "tenants: service of the others %.3f, %.1f%% of them below half; of the misbehaving one %.3f\n", t.Others,
+			100*t.UnderHalf, t.Misbehaving)
 		if t.OutsideShare > 0 {
-			fmt.Fprintf(w, "  %.1f%% of the others' ops could reach none of its pods: service %.3f; the rest %.3f\n", 100*t.OutsideShare, t.Outside, t.Inside)
+			fmt.Fprintf(w,
+				"  %.1f%% of the others' revenue in ops that could reach none of its pods: service %.3f; the rest %.3f\n",
+				100*t.OutsideShare, t.Outside, t.Inside)
 		}
 	}
 	if r.Moves != nil {
 		r.Moves.print(w)
 	}
-	fmt.Fprintf(w, "%d tries at nodes, %d effects of writes (%d doubled against rule 2, %d by clients' repeats that it does not cover), %d cold nodes fell over\n",
+	fmt.Fprintf(w, "%d tries at nodes, %d effects of writes (%d duplicates against rule 2, %d others), %d cold nodes overloaded\n",
 		r.Tries, r.Effects, r.RuleTwoDuplicates, r.DuplicateEffects-r.RuleTwoDuplicates, r.ColdCrashes)
-	fmt.Fprintf(w, "%d messages, %d lines; %d joins, %d resumed; generator behind by %v at p99, %v at most\n", r.Messages, r.Lines,
+	fmt.Fprintf(w, "%d messages, %d lines; %d joins, %d resumed; load generator late by %v at p99, %v at most\n", r.Messages,
+		r.Lines,
 		r.Joins, r.Resumes, r.GeneratorLagP99.Round(10*time.Microsecond), r.GeneratorLagMax.Round(10*time.Microsecond))
 }
--- a/lab/bench.go
+++ b/lab/bench.go
@@ -10,7 +10,7 @@
 	"vetchdoor/files"
 )
 
-// benchDay is the part of a day drawn by the bench that is read; times are in microseconds.
+// benchDay is the part of a benchmark's day file that is imported. Times are in microseconds.
 type benchDay struct {
 	V       int      `json:"v"`
 	Site    string   `json:"site"`
@@ -131,89 +131,109 @@
 }
 
 var (
-	benchRepeat  = map[string]string{"safe": "retryable", "keyed": "deduplicated", "unsafe": "once-only"}
-	benchGroup   = map[string]string{"all": "all", "zone": "zone", "cell": "pack"}
-	benchAgain   = []string{"never", "if-unrun", "once", "twice"}
-	benchMeasure = map[string]string{"util": "cpu_utilization", "inflight": "inflight", "queue": "queue", "latency_ms": "latency_ms",
-		"qps": "rps_fractional", "eps": "eps"}
+	benchRepeatModes = map[string]string{"safe": "retryable", "keyed": "deduplicated", "unsafe": "once-only"}
+	benchGroups      = map[string]string{"all": "all", "zone": "zone", "cell": "pack"}
+	benchRetryModes  = []string{"never", "if-unrun", "once", "twice"}
+	benchMeasures    = map[string]string{"util": "cpu_utilization", "inflight": "inflight", "queue": "queue",
+		"latency_ms": "latency_ms",
+		"qps":        "rps_fractional", "eps": "eps"}
 )
 
-func span(us float64) files.Duration { return files.Duration(us * float64(time.Microsecond)) }
+// fromMicroseconds converts a time of the benchmark.
+func fromMicroseconds(us float64) files.Duration {
+	return files.Duration(us * float64(time.Microsecond))
+}
 
-// ImportBenchDay reads a day that the bench drew into one of ours, every shrink-th machine and proxy of it at the same
-// load a machine. notes say what could not be carried over.
+// ImportBenchDay converts a day of the benchmark to a day of this package, with every shrink-th server and proxy and the
+// load scaled to match. notes list what could not be converted. It returns a *files.Fault for a file that is not a
+// supported day.
 func ImportBenchDay(path string, data []byte, shrink int) (day *files.Day, notes []string, err error) {
 	var b benchDay
 	if err := files.Whole(path, data); err != nil {
 		return nil, nil, err
 	}
 	if err := json.Unmarshal(data, &b); err != nil {
-		return nil, nil, &files.Fault{File: path, Found: "a file that is no day of the bench (" + err.Error() + ")", Allowed: "what its draw prints"}
+		return nil, nil, &files.Fault{File: path, Found: "a file that is not a benchmark day (" + err.Error() + ")",
+			Allowed: "the output of the benchmark's day generator"}
 	}
 	note := func(format string, args ...any) { notes = append(notes, fmt.Sprintf(format, args...)) }
 	switch {
 	case b.V != 1 || b.Family != "control" || len(b.Tiers) != 1 || len(b.Servers) == 0 || len(b.Classes) == 0 || len(b.Zones) == 0:
-		return nil, nil, &files.Fault{File: path, Found: "no day of a control site with one tier", Allowed: "what the bench's draw prints for one"}
+		return nil, nil, &files.Fault{File: path, Found: "not a day of a control site with one tier",
+			Allowed: "the output of the benchmark's day generator for such a site"}
 	case b.Fam.Slices > 0:
-		return nil, nil, &files.Fault{File: path, Pointer: "/fam/slices", Found: fmt.Sprint(b.Fam.Slices), Allowed: "0: keys in slices have no counterpart here"}
+		return nil, nil, &files.Fault{File: path, Pointer: "/fam/slices", Found: fmt.Sprint(b.Fam.Slices),
+			Allowed: "0: keys in slices are not supported"}
 	case shrink < 1:
-		return nil, nil, fmt.Errorf("--shrink %d: allowed is 1 or more", shrink)
+		return nil, nil, fmt.Errorf("--shrink %d: must be at least 1", shrink)
 	}
 	tier, fam := &b.Tiers[0], &b.Fam
 	pilots := max(1, len(fam.Controllers))
 	proxies := len(b.Balancers) - pilots
 	if proxies < 1 {
-		return nil, nil, &files.Fault{File: path, Pointer: "/balancers", Found: fmt.Sprint(len(b.Balancers)), Allowed: "proxies and, last, the controllers"}
+		return nil, nil, &files.Fault{File: path, Pointer: "/balancers", Found: fmt.Sprint(len(b.Balancers)),
+			Allowed: "proxies followed by the controllers"}
 	}
-	d := &files.Day{Kind: "day", Name: fmt.Sprintf("%s-%s", b.Site, b.Kind), Length: span(b.Length), Seed: b.Noise % (1 << 50)}
-	d.Service = files.Service{Zones: b.Zones, ReportEvery: span(fam.Period), TryShare: fam.TryAims, OutlierAfter: fam.Ejects,
-		OutlierFor: span(fam.Eject), Bootstrap: max(1, fam.Standing), CrossZone: b.Prices.CrossZone}
-	if fam.UsualHow >= 0 && fam.UsualHow < len(benchAgain) {
-		d.Service.UsualAgain = benchAgain[fam.UsualHow]
+	d := &files.Day{Kind: "day", Name: fmt.Sprintf("%s-%s", b.Site, b.Kind), Length: fromMicroseconds(b.Length),
+		Seed: b.Noise % (1 << 50)}
+	d.Service = files.Service{Zones: b.Zones, ReportEvery: fromMicroseconds(fam.Period), TryShare: fam.TryAims,
+		OutlierAfter: fam.Ejects,
+		OutlierFor:   fromMicroseconds(fam.Eject), Bootstrap: max(1, fam.Standing), CrossZone: b.Prices.CrossZone}
+	if fam.UsualHow >= 0 && fam.UsualHow < len(benchRetryModes) {
+		d.Service.UsualAgain = benchRetryModes[fam.UsualHow]
 	}
 	if tier.ReportHow == "answers" {
 		for _, m := range tier.ReportFields {
-			if ours := benchMeasure[m]; ours != "" {
-				d.Service.Measures = append(d.Service.Measures, ours)
+			if measure := benchMeasures[m]; measure != "" {
+				d.Service.Measures = append(d.Service.Measures, measure)
 			}
 		}
 	} else {
-		note("load reports come by %s; here there are none in answers", tier.ReportHow)
+		note("load reports by %s are not supported; responses carry none here", tier.ReportHow)
 	}
 	for i, c := range b.Classes {
-		t := files.OpType{Name: c.Name, Match: files.Match{Method: "POST", PathPrefix: "/" + c.Name}, TargetLatency: span(c.Aim),
-			OpTimeout: span(c.Deadline), Revenue: c.Worth, LateShare: c.LateWorth, Repeat: benchRepeat[c.Effect], Writes: c.Write}
+		t := files.OpType{Name: c.Name, Match: files.Match{Method: "POST", PathPrefix: "/" + c.Name},
+			TargetLatency: fromMicroseconds(c.Aim),
+			OpTimeout:     fromMicroseconds(c.Deadline), Revenue: c.Worth, LateShare: c.LateWorth, Repeat: benchRepeatModes[c.Effect],
+			Writes: c.Write}
 		if t.Repeat == "" {
-			return nil, nil, &files.Fault{File: path, Pointer: fmt.Sprintf("/classes/%d/effect", i), Found: fmt.Sprintf("%q", c.Effect), Allowed: "safe, keyed or unsafe"}
+			return nil, nil, &files.Fault{File: path, Pointer: fmt.Sprintf("/classes/%d/effect", i),
+				Found: fmt.Sprintf("%q", c.Effect), Allowed: "safe, keyed or unsafe"}
 		}
 		if t.Repeat == "deduplicated" {
-			t.Group, t.DedupWindow, t.Writes = benchGroup[c.Group], span(c.Window), true
+			t.Group, t.DedupWindow, t.Writes = benchGroups[c.Group], fromMicroseconds(c.Window), true
 		}
 		t.OwnZoneOnly = i < len(fam.ClassOwnZones) && fam.ClassOwnZones[i]
 		t.Writes = t.Writes || t.Repeat == "once-only"
 		d.Service.OpTypes = append(d.Service.OpTypes, t)
-		d.Load.Works = append(d.Load.Works, files.Work{OpType: c.Name, Share: c.Share, Mean: span(c.Work), CV: c.CV})
+		d.Load.Works = append(d.Load.Works, files.Work{OpType: c.Name, Share: c.Share, Mean: fromMicroseconds(c.Work), CV: c.CV})
 		if c.IO > 0 {
-			note("op type %s also waits %.0f ms without a core", c.Name, c.IO/1000)
+			note("op type %s: waits of %.0f ms without a core are ignored", c.Name, c.IO/1000)
 		}
 	}
-	d.Limits = files.Limits{EmptyFor: span(fam.Bare), DrainGrace: span(b.DrainGrace), ColdFor: span(tier.StatedCold),
-		ColdShare: tier.StatedFrom, OverloadFactor: b.FallMultiple, FallAfter: span(b.FallFor)}
-	d.Channel = files.Channel{LinesPerSecond: fam.Rate, MessageLines: int(fam.Head), MostWaiting: int(fam.Backlog), MessageCap: fam.MessagesMost,
-		MessageCapOver: span(fam.MessagesOver), PushDelayMost: span(2.5 * fam.Late), ReportLinesPerSecond: fam.Intake}
+	d.Limits = files.Limits{EmptyFor: fromMicroseconds(fam.Bare), DrainGrace: fromMicroseconds(b.DrainGrace),
+		ColdFor:   fromMicroseconds(tier.StatedCold),
+		ColdShare: tier.StatedFrom, OverloadFactor: b.FallMultiple, FallAfter: fromMicroseconds(b.FallFor)}
+	d.Channel = files.Channel{LinesPerSecond: fam.Rate, MessageLines: int(fam.Head), MostWaiting: int(fam.Backlog),
+		MessageCap:     fam.MessagesMost,
+		MessageCapOver: fromMicroseconds(fam.MessagesOver), PushDelayMost: fromMicroseconds(2.5 * fam.Late),
+		ReportLinesPerSecond: fam.Intake}
 	if d.Channel.MessageCap > 0 && d.Channel.MessageCapOver == 0 {
 		d.Channel.MessageCapOver = files.Duration(10 * time.Second)
 	}
-	d.Net = files.Net{Same: span(b.Net.Same), Cross: span(b.Net.Cross), Push: span(fam.Late), Hears: span(fam.HeardLate)}
-	d.List = files.List{Notice: span(b.Discovery.Notice), SilentNotice: span(b.Discovery.Silent), Add: span(b.Discovery.Add)}
+	d.Net = files.Net{Same: fromMicroseconds(b.Net.Same), Cross: fromMicroseconds(b.Net.Cross),
+		Push: fromMicroseconds(fam.Late), Hears: fromMicroseconds(fam.HeardLate)}
+	d.List = files.List{Notice: fromMicroseconds(b.Discovery.Notice), SilentNotice: fromMicroseconds(b.Discovery.Silent),
+		Add: fromMicroseconds(b.Discovery.Add)}
 	if b.Discovery.Ask {
-		note("the list must be asked for there; here changes are pushed")
+		note("polling of the list is replaced by pushed changes")
 	}
 	d.Clients = files.Clients{Retries: b.Clients.Retries, TryShare: b.Clients.TryShare, Honour: b.Clients.Honour}
 	if b.Clients.Backoff != "none" {
-		d.Clients.Backoff = span(b.Clients.BackoffUS)
+		d.Clients.Backoff = fromMicroseconds(b.Clients.BackoffUS)
 	}
-	d.Goal = files.Goal{Whole: b.Goal.Whole, WorstWindow: b.Goal.WorstWindow, WorstType: b.Goal.WorstClass, Tail: b.Goal.Tail, TailMiss: b.Goal.TailMiss}
+	d.Goal = files.Goal{Whole: b.Goal.Whole, WorstWindow: b.Goal.WorstWindow, WorstType: b.Goal.WorstClass, Tail: b.Goal.Tail,
+		TailMiss: b.Goal.TailMiss}
 	d.Prices = files.Prices{CrossZone: b.Prices.CrossZone, Waste: b.Prices.Waste, Connection: b.Prices.Connection,
 		Handshake: b.Prices.Handshake, LateFail: b.Prices.LateFail, Orders: fam.OrderPrice}
 	d.Load.OfCapacity, d.Load.ZoneShare = b.Traffic.Load, b.Traffic.ZoneShare
@@ -221,19 +241,20 @@
 		d.Load.Shape = append(d.Load.Shape, files.Point{At: files.Duration(p[0] * float64(time.Second)), Times: p[1]})
 	}
 	if b.Traffic.BurstCV > 0 || b.Traffic.Keys > 0 || b.Traffic.DriftS > 0 {
-		note("bursts, keys and the drift of single clients' traffic are left out")
+		note("bursts, keys and the drift of individual clients' traffic are ignored")
 	}
 	for _, k := range tier.Kinds {
-		d.Fleet.Machines = append(d.Fleet.Machines, files.Machine{Name: k.Name, Cores: k.Cores, Speed: [2]float64{1, 1}, Slots: max(1, k.Slots),
-			Queue: k.Queue, Connections: max(1, int(tier.ConnCap*float64(k.Cores))), Handshake: span(tier.HandshakeWork), ColdShare: k.ColdFrom,
-			ColdFor: span(k.Cold), ErrorRate: k.ErrorRate, Report: span(tier.ReportPeriod), Cancels: k.Cancel == "all",
-			SlowsAt: k.Knee, SlowsBy: k.Thrash, ConnectionTax: tier.FullTax})
+		d.Fleet.Machines = append(d.Fleet.Machines, files.Machine{Name: k.Name, Cores: k.Cores, Speed: [2]float64{1, 1},
+			Slots: max(1, k.Slots), Queue: k.Queue, Connections: max(1, int(tier.ConnCap*float64(k.Cores))),
+			Handshake: fromMicroseconds(tier.HandshakeWork), ColdShare: k.ColdFrom,
+			ColdFor: fromMicroseconds(k.Cold), ErrorRate: k.ErrorRate, Report: fromMicroseconds(tier.ReportPeriod),
+			Cancels: k.Cancel == "all", SlowsAt: k.Knee, SlowsBy: k.Thrash, ConnectionTax: tier.FullTax})
 	}
 	importFleet(&b, d, proxies, pilots, shrink)
 	importTroubles(&b, d, proxies, shrink, note)
 	if shrink > 1 {
 		d.Name = fmt.Sprintf("%s-by-%d", d.Name, shrink)
-		note("every %d. machine and proxy, at the same load a machine; the channel as it was", shrink)
+		note("every %d. machine and proxy is imported, with the same load per machine and the channel unchanged", shrink)
 	}
 	text, err := json.Marshal(d)
 	if err == nil {
@@ -242,17 +263,17 @@
 	return d, notes, err
 }
 
-// importFleet takes every shrink-th server and proxy.
+// importFleet imports every shrink-th server and proxy.
 func importFleet(b *benchDay, d *files.Day, proxies, pilots, shrink int) {
 	first, added := 0, 0
 	for i, s := range b.Servers {
 		if i%shrink != 0 {
 			continue
 		}
-		at := files.NodeAt{Endpoint: uint32(i + 1), Listen: "127.0.0.1:0", Zone: b.Zones[s.Zone], Pack: s.Cell,
+		nodeAt := files.NodeAt{Endpoint: uint32(i + 1), Listen: "127.0.0.1:0", Zone: b.Zones[s.Zone], Pack: s.Cell,
 			Machine: b.Tiers[0].Kinds[s.Kind].Name, Speed: s.Speed, Weight: s.Weight}
 		if s.Up {
-			d.Fleet.Exactly = slices.Insert(d.Fleet.Exactly, first, at)
+			d.Fleet.Exactly = slices.Insert(d.Fleet.Exactly, first, nodeAt)
 			first++
 		}
 	}
@@ -265,10 +286,10 @@
 		}
 	}
 	d.Fleet.Spare = added / shrink
-	for i := range d.Fleet.Spare { // as the servers that are there are
-		at := d.Fleet.Exactly[i%first]
-		at.Endpoint = uint32(len(b.Servers) + 1 + i)
-		d.Fleet.Exactly = append(d.Fleet.Exactly, at)
+	for i := range d.Fleet.Spare { // spare servers copy the properties of the existing ones
+		nodeAt := d.Fleet.Exactly[i%first]
+		nodeAt.Endpoint = uint32(len(b.Servers) + 1 + i)
+		d.Fleet.Exactly = append(d.Fleet.Exactly, nodeAt)
 	}
 	for i := 0; i < proxies; i += shrink {
 		d.Fleet.ProxyList = append(d.Fleet.ProxyList, files.ProxyAt{Zone: b.Zones[b.Balancers[i].Zone], Share: b.Balancers[i].Weight})
@@ -279,7 +300,7 @@
 	d.Fleet.Proxies, d.Fleet.Pilots = len(d.Fleet.ProxyList), pilots
 }
 
-// importTroubles takes over what goes wrong, and on whom.
+// importTroubles imports the troubles and their targets.
 func importTroubles(b *benchDay, d *files.Day, proxies, shrink int, note func(string, ...any)) {
 	servers := func(on []int) (out []uint32) {
 		for _, i := range on {
@@ -289,68 +310,69 @@
 		}
 		return out
 	}
-	for _, t := range b.Troubles {
-		if troubles[t.Kind] == nil {
-			note("trouble %q is not known", t.Kind)
+	for _, source := range b.Troubles {
+		if troubles[source.Kind] == nil {
+			note("unknown trouble %q is ignored", source.Kind)
 			continue
 		}
-		x := files.Trouble{Kind: t.Kind, At: span(t.At), Length: span(t.Len), Size: t.Size, Extra: t.Extra, How: t.How}
-		switch t.Kind {
+		trouble := files.Trouble{Kind: source.Kind, At: fromMicroseconds(source.At), Length: fromMicroseconds(source.Len),
+			Size: source.Size, Extra: source.Extra, How: source.How}
+		switch source.Kind {
 		case "balancer_crash":
-			x.Extra = 0
-			var hit []uint32
-			for _, i := range t.On {
+			trouble.Extra = 0
+			var targets []uint32
+			for _, i := range source.On {
 				if i >= proxies {
-					x.Extra = 1
+					trouble.Extra = 1
 				}
 			}
-			for _, i := range t.On {
-				if x.Extra == 1 && i >= proxies {
-					hit = append(hit, uint32(i-proxies))
-				} else if x.Extra == 0 && i%shrink == 0 {
-					hit = append(hit, uint32(i/shrink))
+			for _, i := range source.On {
+				if trouble.Extra == 1 && i >= proxies {
+					targets = append(targets, uint32(i-proxies))
+				} else if trouble.Extra == 0 && i%shrink == 0 {
+					targets = append(targets, uint32(i/shrink))
 				}
 			}
-			x.On = hit
+			trouble.On = targets
 		case "balancer_roll":
-			if len(t.Steps) > 0 && len(t.Steps[0].Stop) > 0 && t.Steps[0].Stop[0] >= proxies {
-				x.How = "pilots"
+			if len(source.Steps) > 0 && len(source.Steps[0].Stop) > 0 && source.Steps[0].Stop[0] >= proxies {
+				trouble.How = "pilots"
 			}
-			x.Part = 0.75
+			trouble.Part = 0.75
 		case "deploy":
-			var hit []int
-			for _, s := range t.Steps {
-				hit = append(hit, s.Stop...)
+			var targets []int
+			for _, s := range source.Steps {
+				targets = append(targets, s.Stop...)
 			}
-			if x.On = servers(hit); len(t.Steps) > 1 {
-				n := float64(len(t.Steps))
-				x.Length = span((t.Steps[len(t.Steps)-1].At - t.Steps[0].At) * n / (n - 1))
+			if trouble.On = servers(targets); len(source.Steps) > 1 {
+				n := float64(len(source.Steps))
+				trouble.Length = fromMicroseconds((source.Steps[len(source.Steps)-1].At - source.Steps[0].At) * n / (n - 1))
 			}
-			note("deploy: a successor keeps the number of what it replaces")
+			note("deploy: a restarted server keeps its endpoint number")
 		case "zone_loss", "zone_cut":
-			x.Zone = b.Zones[min(max(t.Which, 0), len(b.Zones)-1)]
+			trouble.Zone = b.Zones[min(max(source.Which, 0), len(b.Zones)-1)]
 		case "hot_caller":
-			for _, i := range t.On {
-				if i/shrink < len(d.Fleet.ProxyList) && !slices.Contains(x.On, uint32(i/shrink)) {
-					x.On = append(x.On, uint32(i/shrink))
+			for _, i := range source.On {
+				if i/shrink < len(d.Fleet.ProxyList) && !slices.Contains(trouble.On, uint32(i/shrink)) {
+					trouble.On = append(trouble.On, uint32(i/shrink))
 				}
 			}
 		case "shift", "slow_link":
-			x.Zone = b.Zones[min(max(t.Which, 0), len(b.Zones)-1)]
-			if t.Kind == "shift" && t.How == "mix" {
-				note("shift: traffic turns into the heaviest op type there; here it moves to a zone")
+			trouble.Zone = b.Zones[min(max(source.Which, 0), len(b.Zones)-1)]
+			if source.Kind == "shift" && source.How == "mix" {
+				note("shift: traffic moves to a zone instead of the heaviest op type")
 			}
 		case "grow":
-			x.Extra = 0 // the shape of the load has it already
+			trouble.Extra = 0 // the load shape already contains the growth
 		case "heavy_tail", "reconnect":
 		default:
-			x.On = servers(t.On)
-			if len(x.On) == 0 {
-				note("%s: nobody that it strikes is left after shrinking", t.Kind)
+			trouble.On = servers(source.On)
+			if len(trouble.On) == 0 {
+				note("%s: ignored, because none of its targets is left after shrinking", source.Kind)
 				continue
 			}
-			x.Part = math.Min(1, float64(len(x.On))/float64(d.Fleet.Nodes))
+			trouble.Part = math.Min(1, float64(len(trouble.On))/float64(d.Fleet.Nodes))
 		}
-		d.Troubles = append(d.Troubles, x)
+		d.Troubles = append(d.Troubles, trouble)
 	}
 }
--- a/lab/check.go
+++ b/lab/check.go
@@ -18,77 +18,79 @@
 	"vetchdoor/runtime"
 )
 
-// Violation is a broken rule: which of the five, when, and what was seen.
+// Violation is a breach of one of the five rules: the rule's number, the time since the start of the run, and a description
+// of what was observed.
 type Violation struct {
 	Rule        int           `json:"rule"`
 	At          time.Duration `json:"at"`
 	Description string        `json:"what"`
 }
 
-// evidence is all that the rules are checked on: what passed the links, what the nodes saw and what clients did. No part of the
-// control plane is asked.
+// evidence is the input of the rule checks: the bytes that crossed the links, what the nodes observed and what the clients
+// saw. It comes from observers outside the control plane; nothing is asked of pilots or proxies.
 type evidence struct {
-	service  *files.Service
-	limits   *files.Limits
-	channel  *files.Channel
-	from     time.Time // when the times of the rest begin
-	passed   []link.Passed
-	arrivals []node.Arrival
-	effects  []node.Effect
-	ops      []*op
-	falls    []node.Fall
-	mixed    []string // requests and answers that were mixed with others
-	until    time.Duration
+	service     *files.Service
+	limits      *files.Limits
+	channel     *files.Channel
+	start       time.Time // zero point of all other times
+	traffic     []link.Passed
+	arrivals    []node.Arrival
+	effects     []node.Effect
+	ops         []*op
+	coldCrashes []node.Fall
+	mixups      []string // descriptions of requests and responses that were mixed up with others
+	end         time.Duration
 }
 
-// noRule is the number of a break of what no rule names.
+// noRule marks a violation that belongs to none of the five rules, such as a response that was sent to the wrong request.
 const noRule = 0
 
-// slack is what the measuring itself may add to a time: a relay's hop and a scheduler's turn on a busy machine.
-const slack = 150 * time.Millisecond
+// measurementSlack is the error that the measurement itself may add to a time: a relay's hop and scheduling delay on a busy
+// machine.
+const measurementSlack = 150 * time.Millisecond
 
-// history is what the taps show, by pilot and by proxy.
+// history is the control traffic reconstructed from the taps, by pilot and by proxy.
 type history struct {
-	lists   [][]listed // by pilot
-	places  places     // where endpoints stand, by the lists
-	streams []*streamSeen
+	listChanges [][]listChange // indexed by pilot
+	placements  placements     // where the endpoints run, from the lists
+	streams     []*observedStream
 }
 
-// listed is a change of an endpoint that a pilot was told of.
-type listed struct {
+// listChange is a change of an endpoint that a pilot received from the list service.
+type listChange struct {
 	at       time.Duration
 	endpoint control.EndpointID
 	mode     control.Mode
-	started  time.Duration // far below 0: long ago
+	started  time.Duration // start time of the endpoint; far below 0 if the list gives none
 }
 
-// streamSeen is one stream between a proxy and a pilot.
-type streamSeen struct {
+// observedStream is one stream between a proxy and a pilot.
+type observedStream struct {
 	proxy, pilot int
 	hello        *runtime.Hello
-	joined       time.Duration // when the welcome reached the proxy; below 0: never
+	joined       time.Duration // when the welcome reached the proxy; negative if it never did
 	ended        time.Duration
 	resumed      bool
 	run          uint64
-	messages     []*messageSeen
+	messages     []*observedMessage
 }
 
-// messageSeen is a message as it passed.
-type messageSeen struct {
+// observedMessage is a message of a pilot as it crossed the link to a proxy.
+type observedMessage struct {
 	*runtime.Message
-	left    time.Duration // the pilot's end
-	reached time.Duration // the proxy's
-	inForce time.Duration // when its confirmation passed; below 0: never
-	again   bool
-	ordered time.Duration
+	sent      time.Duration // when it left the pilot
+	received  time.Duration // when it reached the proxy
+	confirmed time.Duration // when its confirmation left the proxy; negative if none was seen
+	reapplied bool
+	decided   time.Duration
 }
 
-// read makes a history of the taps. What cannot be read is an error: the parts speak a wire that this checker knows.
-func (e *evidence) read(pilots int) (*history, error) {
-	h := &history{lists: make([][]listed, pilots), places: places{}}
+// reconstruct builds the history from the traffic on the taps. It returns an error if a connection cannot be parsed.
+func (e *evidence) reconstruct(pilots int) (*history, error) {
+	h := &history{listChanges: make([][]listChange, pilots), placements: placements{}}
 	byConn := map[int][]link.Passed{}
 	var order []int
-	for _, p := range e.passed {
+	for _, p := range e.traffic {
 		if byConn[p.Conn] == nil {
 			order = append(order, p.Conn)
 		}
@@ -102,9 +104,9 @@
 		case "list":
 			var n int
 			fmt.Sscan(name[1], &n)
-			h.lists[n], err = e.readList(h.lists[n], h.places, pieces)
+			h.listChanges[n], err = e.readList(h.listChanges[n], h.placements, pieces)
 		case "stream":
-			s := &streamSeen{joined: -1, ended: e.until}
+			s := &observedStream{joined: -1, ended: e.end}
 			fmt.Sscan(name[1], &s.proxy)
 			fmt.Sscan(name[2], &s.pilot)
 			err = e.readStream(s, pieces)
@@ -114,17 +116,19 @@
 			return nil, fmt.Errorf("%s, connection %d: %w", pieces[0].Link, id, err)
 		}
 	}
-	for _, l := range h.lists {
-		slices.SortStableFunc(l, func(a, b listed) int { return cmp.Compare(a.at, b.at) })
+	for _, l := range h.listChanges {
+		slices.SortStableFunc(l, func(a, b listChange) int { return cmp.Compare(a.at, b.at) })
 	}
-	slices.SortStableFunc(h.streams, func(a, b *streamSeen) int { return cmp.Compare(a.joined, b.joined) })
+	slices.SortStableFunc(h.streams, func(a, b *observedStream) int { return cmp.Compare(a.joined, b.joined) })
 	return h, nil
 }
 
-func (e *evidence) readList(to []listed, at places, pieces []link.Passed) ([]listed, error) {
-	now := map[control.EndpointID]bool{}
-	for _, l := range to {
-		now[l.endpoint] = true
+// readList appends the changes in the traffic of one connection to the list service to changes, and records the
+// placements of the listed endpoints. An endpoint that is missing from a full list counts as gone.
+func (e *evidence) readList(changes []listChange, placements placements, pieces []link.Passed) ([]listChange, error) {
+	listed := map[control.EndpointID]bool{}
+	for _, l := range changes {
+		listed[l.endpoint] = true
 	}
 	var buf []byte
 	for _, p := range pieces {
@@ -138,40 +142,41 @@
 				break
 			}
 			buf = rest
-			var u roster.Update
-			if err := json.Unmarshal(line, &u); err != nil {
-				return to, err
+			var update roster.Update
+			if err := json.Unmarshal(line, &update); err != nil {
+				return changes, err
 			}
-			named := map[control.EndpointID]bool{}
-			for _, x := range u.Entries {
-				mode, err := files.ModeOf(x.Mode)
+			inUpdate := map[control.EndpointID]bool{}
+			for _, entry := range update.Entries {
+				mode, err := files.ModeOf(entry.Mode)
 				if err != nil {
-					return to, err
+					return changes, err
 				}
 				started := -time.Duration(1 << 60)
-				if x.Started > 0 {
-					started = time.UnixMilli(x.Started).Sub(e.from)
+				if entry.Started > 0 {
+					started = time.UnixMilli(entry.Started).Sub(e.start)
 				}
-				to = append(to, listed{p.Gone, x.Endpoint, mode, started})
-				if named[x.Endpoint], now[x.Endpoint] = true, true; mode != control.Gone {
-					at[x.Endpoint] = place{x.Zone, x.Pack}
+				changes = append(changes, listChange{p.Gone, entry.Endpoint, mode, started})
+				if inUpdate[entry.Endpoint], listed[entry.Endpoint] = true, true; mode != control.Gone {
+					placements[entry.Endpoint] = placement{entry.Zone, entry.Pack}
 				}
 			}
-			if u.Kind == "full" {
-				for id := range now {
-					if !named[id] {
-						to = append(to, listed{p.Gone, id, control.Gone, 0})
+			if update.Kind == "full" {
+				for id := range listed {
+					if !inUpdate[id] {
+						changes = append(changes, listChange{p.Gone, id, control.Gone, 0})
 					}
 				}
 			}
 		}
 	}
-	return to, nil
+	return changes, nil
 }
 
-func (e *evidence) readStream(s *streamSeen, pieces []link.Passed) error {
+// readStream adds the hello, the welcome, the messages and their confirmations in the traffic of one stream to s.
+func (e *evidence) readStream(s *observedStream, pieces []link.Passed) error {
 	blocks, scan := runtime.NewBlocks(1<<24), runtime.NewScanner(runtime.Orders)
-	byNumber := map[uint64]*messageSeen{}
+	byNumber := map[uint64]*observedMessage{}
 	for _, p := range pieces {
 		switch {
 		case p.End:
@@ -194,8 +199,8 @@
 				case *runtime.Hello:
 					s.hello = b
 				case runtime.InForce:
-					if m := byNumber[b.Number]; m != nil && m.inForce < 0 {
-						m.inForce, m.again = p.Came, b.Again
+					if m := byNumber[b.Number]; m != nil && m.confirmed < 0 {
+						m.confirmed, m.reapplied = p.Came, b.Again
 					}
 				}
 			}
@@ -221,8 +226,8 @@
 					if err != nil {
 						return err
 					}
-					seen := &messageSeen{Message: m, left: p.Came, reached: p.Gone, inForce: -1}
-					seen.ordered = time.UnixMicro(int64(m.Run)).Sub(e.from) + m.At
+					seen := &observedMessage{Message: m, sent: p.Came, received: p.Gone, confirmed: -1}
+					seen.decided = time.UnixMicro(int64(m.Run)).Sub(e.start) + m.At
 					byNumber[m.Number] = seen
 					s.messages = append(s.messages, seen)
 				}
@@ -232,34 +237,38 @@
 	return nil
 }
 
-// check returns all breaks of the five rules that a history shows, by time; none, not nil, where there is none.
+// check returns all violations of the five rules in the history, sorted by time. The result is never nil, so that a report
+// shows an empty list.
 func (e *evidence) check(h *history) []Violation {
 	out := []Violation{}
-	out = append(out, e.neverBare(h)...)
-	out = append(out, e.neverTwice(h)...)
-	out = append(out, e.onceEach(h)...)
-	out = append(out, e.drainsKept(h)...)
-	out = append(out, e.coldKept(h)...)
-	out = append(out, e.queueShort(h)...)
-	for _, what := range e.mixed {
-		out = append(out, Violation{Rule: noRule, At: e.until, Description: what})
+	out = append(out, e.checkTables(h)...)
+	out = append(out, e.checkRetries(h)...)
+	out = append(out, e.checkDuplicates(h)...)
+	out = append(out, e.checkDrains(h)...)
+	out = append(out, e.checkColdServers(h)...)
+	out = append(out, e.checkQueues(h)...)
+	for _, description := range e.mixups {
+		out = append(out, Violation{Rule: noRule, At: e.end, Description: description})
 	}
 	slices.SortStableFunc(out, func(a, b Violation) int { return cmp.Compare(a.At, b.At) })
 	return out
 }
 
-// holdings are a proxy's tables as its confirmations show them; the checker's own account, kept as the wire's page says.
-type holdings struct {
-	pilot  string
-	run    uint64
-	tables map[control.TableID]map[control.EndpointID]bool
-	byType []map[control.EndpointID]bool // shared with tables
-	out    map[control.EndpointID]bool
-	token  string
-	joined map[uint64]map[control.EndpointID]bool // what it joined with, by the digests of its hello
+// proxyTables is the state of a proxy's tables as its confirmations imply it. The checker computes it independently of the
+// proxy, by the semantics of the wire protocol.
+type proxyTables struct {
+	pilot     string
+	run       uint64
+	tables    map[control.TableID]map[control.EndpointID]bool
+	byType    []map[control.EndpointID]bool // current table of each op type; shares its maps with tables
+	withdrawn map[control.EndpointID]bool
+	token     string
+	byDigest  map[uint64]map[control.EndpointID]bool // tables that the proxy held when it joined, by the digests in its hello
 }
 
-func (x *holdings) apply(m *runtime.Message) {
+// apply applies the changes of a confirmed message. A message of another pilot or run starts with no tables; the current
+// table of an op type stays in use until the new run maps another one.
+func (x *proxyTables) apply(m *runtime.Message) {
 	if x.pilot != m.Pilot || x.run != m.Run {
 		x.pilot, x.run, x.tables = m.Pilot, m.Run, map[control.TableID]map[control.EndpointID]bool{}
 	}
@@ -277,7 +286,7 @@
 			delete(table(c.Table), c.Endpoint)
 		case runtime.AdoptTable:
 			clear(table(c.Table))
-			for e := range x.joined[c.Digest] {
+			for e := range x.byDigest[c.Digest] {
 				table(c.Table)[e] = true
 			}
 		case runtime.ClearTable:
@@ -289,38 +298,39 @@
 				}
 			}
 		case runtime.SetState:
-			if delete(x.out, c.Endpoint); c.Out {
-				x.out[c.Endpoint] = true
+			if delete(x.withdrawn, c.Endpoint); c.Out {
+				x.withdrawn[c.Endpoint] = true
 			}
 		case runtime.ClearState:
-			clear(x.out)
+			clear(x.withdrawn)
 		}
 	}
 }
 
-// join notes what a proxy said of its tables.
-func (x *holdings) join(h *runtime.Hello) {
-	x.joined = map[uint64]map[control.EndpointID]bool{}
+// join records the digests that a proxy's hello gives for its current tables.
+func (x *proxyTables) join(h *runtime.Hello) {
+	x.byDigest = map[uint64]map[control.EndpointID]bool{}
 	for i, d := range h.Digests {
 		if d != 0 && i < len(x.byType) {
-			x.joined[d] = maps.Clone(x.byType[i])
+			x.byDigest[d] = maps.Clone(x.byType[i])
 		}
 	}
 }
 
-// bare tells whether an op type has no line to pick.
-func (x *holdings) bare(opType int) bool {
+// empty reports whether the table of an op type has no endpoint that may be picked.
+func (x *proxyTables) empty(opType int) bool {
 	for e := range x.byType[opType] {
-		if !x.out[e] {
+		if !x.withdrawn[e] {
 			return false
 		}
 	}
 	return true
 }
 
-// warmListed tells whether a pilot's list shows, at a time, an endpoint as ready and surely warm.
-func (e *evidence) warmListed(list []listed, at time.Duration) bool {
-	last := map[control.EndpointID]listed{}
+// hasWarmEndpoint reports whether a pilot's list shows at least one endpoint at the given time that is ready and has been
+// up for longer than the cold period.
+func (e *evidence) hasWarmEndpoint(list []listChange, at time.Duration) bool {
+	last := map[control.EndpointID]listChange{}
 	for _, l := range list {
 		if l.at <= at {
 			last[l.endpoint] = l
@@ -334,79 +344,83 @@
 	return false
 }
 
-// neverBare checks rule 1: a joined proxy never lacks a line past the limit while a warm ready endpoint is listed.
-func (e *evidence) neverBare(h *history) (out []Violation) {
-	held := map[int]*holdings{}
-	types := len(e.service.OpTypes)
+// checkTables checks rule 1: while a warm ready endpoint is listed, no joined proxy is without an endpoint for an op type
+// for longer than the limit.
+func (e *evidence) checkTables(h *history) (out []Violation) {
+	tablesByProxy := map[int]*proxyTables{}
+	typeCount := len(e.service.OpTypes)
 	for _, s := range h.streams {
 		if s.hello == nil || s.joined < 0 {
 			continue
 		}
-		x := held[s.proxy]
-		if x == nil || x.token != s.hello.Token { // it started anew, with its standing table
-			x = &holdings{token: s.hello.Token, out: map[control.EndpointID]bool{}, tables: map[control.TableID]map[control.EndpointID]bool{}}
+		tables := tablesByProxy[s.proxy]
+		if tables == nil || tables.token != s.hello.Token { // the proxy was restarted and uses its standing table
+			tables = &proxyTables{token: s.hello.Token, withdrawn: map[control.EndpointID]bool{},
+				tables: map[control.TableID]map[control.EndpointID]bool{}}
 			standing := map[control.EndpointID]bool{}
 			for _, id := range s.hello.Standing {
 				standing[id] = true
 			}
-			for range types {
-				x.byType = append(x.byType, standing)
+			for range typeCount {
+				tables.byType = append(tables.byType, standing)
 			}
-			held[s.proxy] = x
-		}
-		x.join(s.hello)
-		since := make([]time.Duration, types)
-		look := func(at time.Duration) {
-			for i := range types {
-				if bare := x.bare(i); !bare {
-					since[i] = -1
-				} else if since[i] < 0 {
-					since[i] = at
+			tablesByProxy[s.proxy] = tables
+		}
+		tables.join(s.hello)
+		emptySince := make([]time.Duration, typeCount)
+		update := func(at time.Duration) {
+			for i := range typeCount {
+				if isEmpty := tables.empty(i); !isEmpty {
+					emptySince[i] = -1
+				} else if emptySince[i] < 0 {
+					emptySince[i] = at
 				}
 			}
 		}
-		// A bare spell counts while the list shows somebody who could take the op.
-		flag := func(until time.Duration) {
-			for i := range types {
-				if since[i] < 0 {
+		// report adds a violation for each op type whose table stayed empty past the limit. The period starts anew whenever
+		// the list shows no warm ready endpoint.
+		report := func(until time.Duration) {
+			for i := range typeCount {
+				if emptySince[i] < 0 {
 					continue
 				}
-				bareFor := time.Duration(0)
+				emptyFor := time.Duration(0)
 				const step = 50 * time.Millisecond
-				for at := since[i]; at < until; at += step {
-					if bareFor += step; !e.warmListed(h.lists[s.pilot], at) {
-						bareFor = 0
+				for at := emptySince[i]; at < until; at += step {
+					if emptyFor += step; !e.hasWarmEndpoint(h.listChanges[s.pilot], at) {
+						emptyFor = 0
 					}
-					if bareFor > e.limits.EmptyFor.Span()+slack {
-						out = append(out, Violation{1, at, fmt.Sprintf("proxy %d had no line for op type %s since %v", s.proxy,
-							e.service.OpTypes[i].Name, since[i].Round(time.Millisecond))})
-						since[i] = until // one break a spell
+					if emptyFor > e.limits.EmptyFor.Span()+measurementSlack {
+						out = append(out, Violation{1, at, fmt.Sprintf("proxy %d had no endpoint for op type %s since %v", s.proxy,
+							e.service.OpTypes[i].Name, emptySince[i].Round(time.Millisecond))})
+						emptySince[i] = until // at most one violation for each period without an endpoint
 						break
 					}
 				}
 			}
 		}
-		for i := range since {
-			since[i] = -1
+		for i := range emptySince {
+			emptySince[i] = -1
 		}
-		look(s.joined)
+		update(s.joined)
 		for _, m := range s.messages {
-			if m.inForce < 0 {
+			if m.confirmed < 0 {
 				continue
 			}
-			flag(m.inForce)
-			if !m.again {
-				x.apply(m.Message)
+			report(m.confirmed)
+			if !m.reapplied {
+				tables.apply(m.Message)
 			}
-			look(m.inForce)
+			update(m.confirmed)
 		}
-		flag(s.ended)
+		report(s.ended)
 	}
 	return out
 }
 
-// neverTwice checks rule 2 on what reached the nodes: the tries of one client try are the proxy's.
-func (e *evidence) neverTwice(h *history) (out []Violation) {
+// checkRetries checks rule 2 on the tries that reached the nodes: several arrivals of one client try through one proxy are
+// that proxy's retries.
+func (e *evidence) checkRetries(h *history) (out []Violation) {
 	type key struct {
 		op    uint64
 		try   int
@@ -424,24 +438,24 @@
 			continue
 		}
 		t := types[list[0].OpType]
-		var ran []node.Arrival
+		var mayHaveRun []node.Arrival
 		for _, a := range list {
-			if len(ran) > 0 {
-				what := ""
+			if len(mayHaveRun) > 0 {
+				reason := ""
 				switch {
 				case t.Repeat == control.OnceOnly:
-					what = "a once-only op was tried again after a try that may have run"
-				case t.Repeat == control.Deduplicated && a.At-ran[0].At > t.DedupWindow:
-					what = "a deduplicated op was tried again after its window"
-				case t.Repeat == control.Deduplicated && !h.places.same(t.Group, a.Endpoint, ran[0].Endpoint):
-					what = "a deduplicated op was tried again outside its group"
+					reason = "a once-only op was retried after a try that may have run"
+				case t.Repeat == control.Deduplicated && a.At-mayHaveRun[0].At > t.DedupWindow:
+					reason = "a deduplicated op was retried after its deduplication window"
+				case t.Repeat == control.Deduplicated && !h.placements.sameGroup(t.Group, a.Endpoint, mayHaveRun[0].Endpoint):
+					reason = "a deduplicated op was retried outside its group"
 				}
-				if what != "" {
-					out = append(out, Violation{2, a.At, fmt.Sprintf("proxy %d, op %d: %s", k.proxy, k.op, what)})
+				if reason != "" {
+					out = append(out, Violation{2, a.At, fmt.Sprintf("proxy %d, op %d: %s", k.proxy, k.op, reason)})
 				}
 			}
 			if a.Taken {
-				ran = append(ran, a)
+				mayHaveRun = append(mayHaveRun, a)
 			}
 		}
 	}
@@ -451,15 +465,17 @@
 	return out
 }
 
-// place is where an endpoint stands, by the list.
-type place struct {
+// placement is the zone and pack of an endpoint, from the list.
+type placement struct {
 	zone string
 	pack int
 }
 
-type places map[control.EndpointID]place
+// placements maps each endpoint to its zone and pack.
+type placements map[control.EndpointID]placement
 
-func (p places) same(g control.Group, a, b control.EndpointID) bool {
+// sameGroup reports whether two endpoints belong to the same dedup group.
+func (p placements) sameGroup(g control.Group, a, b control.EndpointID) bool {
 	switch x, y := p[a], p[b]; g {
 	case control.GroupZone:
 		return x.zone == y.zone
@@ -469,8 +485,9 @@
 	return true
 }
 
-// joinedTo returns the stream that a proxy, of these, has at a time; nil if none.
-func joinedTo(streams []*streamSeen, at time.Duration) (found *streamSeen) {
+// streamAt returns the stream on which a proxy was joined at the given time, out of that proxy's streams; nil if there was
+// none.
+func streamAt(streams []*observedStream, at time.Duration) (found *observedStream) {
 	for _, s := range streams {
 		if s.joined >= 0 && s.joined <= at && at <= s.ended {
 			found = s
@@ -479,16 +496,18 @@
 	return found
 }
 
-func (h *history) byProxy() map[int][]*streamSeen {
-	out := map[int][]*streamSeen{}
+// byProxy returns the streams of each proxy.
+func (h *history) byProxy() map[int][]*observedStream {
+	out := map[int][]*observedStream{}
 	for _, s := range h.streams {
 		out[s.proxy] = append(out[s.proxy], s)
 	}
 	return out
 }
 
-// modeAt returns how a pilot's list shows an endpoint at a time, and since when it has not been ready.
-func modeAt(list []listed, id control.EndpointID, at time.Duration) (mode control.Mode, since time.Duration, known bool) {
+// modeAt returns the mode that a pilot's list showed for an endpoint at the given time, the time since which it has not
+// been ready, and whether the endpoint was listed by then.
+func modeAt(list []listChange, id control.EndpointID, at time.Duration) (mode control.Mode, since time.Duration, known bool) {
 	for _, l := range list {
 		if l.endpoint != id || l.at > at {
 			continue
@@ -501,20 +520,20 @@
 	return mode, since, known
 }
 
-// drainsKept checks rule 3: joined proxies stop sending to an endpoint that drains or is gone within the grace from when
-// their pilot knew, or from when they joined.
-func (e *evidence) drainsKept(h *history) (out []Violation) {
+// checkDrains checks rule 3: a joined proxy stops sending to a draining or removed endpoint within the grace period. The
+// period starts when its pilot received the list change, or when the proxy joined if that was later.
+func (e *evidence) checkDrains(h *history) (out []Violation) {
 	byProxy := h.byProxy()
-	byEndpoint := make([]map[control.EndpointID][]listed, len(h.lists))
-	for i, l := range h.lists {
-		byEndpoint[i] = map[control.EndpointID][]listed{}
+	byEndpoint := make([]map[control.EndpointID][]listChange, len(h.listChanges))
+	for i, l := range h.listChanges {
+		byEndpoint[i] = map[control.EndpointID][]listChange{}
 		for _, x := range l {
 			byEndpoint[i][x.endpoint] = append(byEndpoint[i][x.endpoint], x)
 		}
 	}
 	flagged := map[[2]int]bool{}
 	for _, a := range e.arrivals {
-		s := joinedTo(byProxy[a.Proxy], a.At)
+		s := streamAt(byProxy[a.Proxy], a.At)
 		if s == nil || flagged[[2]int{a.Proxy, int(a.Endpoint)}] {
 			continue
 		}
@@ -522,98 +541,104 @@
 		if !known || mode == control.Ready {
 			continue
 		}
-		if late := a.At - max(since, s.joined); late > e.limits.DrainGrace.Span()+slack {
+		if elapsed := a.At - max(since, s.joined); elapsed > e.limits.DrainGrace.Span()+measurementSlack {
 			flagged[[2]int{a.Proxy, int(a.Endpoint)}] = true
-			out = append(out, Violation{3, a.At, fmt.Sprintf("proxy %d sent to e%d %v after its pilot knew that it was %s",
-				a.Proxy, a.Endpoint, late.Round(time.Millisecond), [...]string{"gone", "draining"}[mode])})
+			out = append(out, Violation{3, a.At, fmt.Sprintf("proxy %d sent to e%d %v after its pilot saw it listed as %s",
+				a.Proxy, a.Endpoint, elapsed.Round(time.Millisecond), [...]string{"gone", "draining"}[mode])})
 		}
 	}
 	return out
 }
 
-// coldKept checks rule 4: no cold endpoint is pushed over by proxies whose orders knew of its start.
-func (e *evidence) coldKept(h *history) (out []Violation) {
+// checkColdServers checks rule 4: proxies do not overload a cold endpoint until it fails, once they were informed of its
+// start. A failure counts when at least two thirds of the endpoint's recent work came from proxies whose last confirmed
+// message was decided after the start was listed, or whose pilot had listed it for longer than the drain grace.
+func (e *evidence) checkColdServers(h *history) (out []Violation) {
 	byProxy := h.byProxy()
-	for _, f := range e.falls {
-		knowing, all := time.Duration(0), time.Duration(0)
+	for _, fall := range e.coldCrashes {
+		informedWork, totalWork := time.Duration(0), time.Duration(0)
 		for _, a := range e.arrivals {
-			if a.Endpoint != f.Endpoint || a.At > f.At || a.At < f.At-e.limits.FallAfter.Span() {
+			if a.Endpoint != fall.Endpoint || a.At > fall.At || a.At < fall.At-e.limits.FallAfter.Span() {
 				continue
 			}
-			all += a.Work
-			s := joinedTo(byProxy[a.Proxy], a.At)
+			totalWork += a.Work
+			s := streamAt(byProxy[a.Proxy], a.At)
 			if s == nil {
 				continue
 			}
-			knew := time.Duration(-1)
-			for _, l := range h.lists[s.pilot] {
-				if l.endpoint == f.Endpoint && l.mode == control.Ready && l.at <= a.At && l.started > f.At-e.limits.ColdFor.Span() {
-					knew = l.at
+			listedAt := time.Duration(-1)
+			for _, l := range h.listChanges[s.pilot] {
+				if l.endpoint == fall.Endpoint && l.mode == control.Ready && l.at <= a.At && l.started > fall.At-e.limits.ColdFor.Span() {
+					listedAt = l.at
 				}
 			}
-			if knew < 0 {
+			if listedAt < 0 {
 				continue
 			}
-			last := time.Duration(-1)
+			lastDecided := time.Duration(-1)
 			for _, m := range s.messages {
-				if m.inForce >= 0 && m.inForce <= a.At {
-					last = m.ordered
+				if m.confirmed >= 0 && m.confirmed <= a.At {
+					lastDecided = m.decided
 				}
 			}
-			if last >= knew || a.At-knew > e.limits.DrainGrace.Span() {
-				knowing += a.Work
+			if lastDecided >= listedAt || a.At-listedAt > e.limits.DrainGrace.Span() {
+				informedWork += a.Work
 			}
 		}
-		if 3*knowing >= 2*all && all > 0 {
-			out = append(out, Violation{4, f.At, fmt.Sprintf("e%d fell over while cold; %.0f%% of its work came on orders that knew",
-				f.Endpoint, 100*float64(knowing)/float64(all))})
+		if 3*informedWork >= 2*totalWork && totalWork > 0 {
+			out = append(out, Violation{4, fall.At,
+				fmt.Sprintf("e%d failed from overload while cold; %.0f%% of its work came from proxies that were informed of its start",
+					fall.Endpoint, 100*float64(informedWork)/float64(totalWork))})
 		}
 	}
 	return out
 }
 
-// queueShort checks rule 5: the lines between their order and their leaving stay within the bound, the pace is kept, and
-// so is the cap on messages to one proxy.
-func (e *evidence) queueShort(h *history) (out []Violation) {
-	type step struct {
+// checkQueues checks rule 5: the lines that a pilot has decided and not yet sent stay within the bound, lines leave no
+// faster than the configured rate, and each proxy receives no more messages than the cap allows.
+func (e *evidence) checkQueues(h *history) (out []Violation) {
+	type queueChange struct {
 		at    time.Duration
 		lines int
 	}
-	for p := range h.lists {
-		var steps []step
-		written := map[int][]time.Duration{}
-		var sent []*messageSeen
+	for p := range h.listChanges {
+		var queueChanges []queueChange
+		decidedByProxy := map[int][]time.Duration{}
+		var sent []*observedMessage
 		for _, s := range h.streams {
 			if s.pilot != p {
 				continue
 			}
 			for _, m := range s.messages {
-				steps = append(steps, step{m.ordered, m.Lines}, step{m.left, -m.Lines})
-				written[s.proxy] = append(written[s.proxy], m.ordered)
+				queueChanges = append(queueChanges, queueChange{m.decided, m.Lines}, queueChange{m.sent, -m.Lines})
+				decidedByProxy[s.proxy] = append(decidedByProxy[s.proxy], m.decided)
 				sent = append(sent, m)
 			}
 		}
-		slices.SortStableFunc(steps, func(a, b step) int { return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.lines, b.lines)) })
+		slices.SortStableFunc(queueChanges, func(a, b queueChange) int {
+			return cmp.Or(cmp.Compare(a.at, b.at),
+				cmp.Compare(a.lines, b.lines))
+		})
 		waiting := 0
-		for _, x := range steps {
+		for _, x := range queueChanges {
 			if waiting += x.lines; waiting > e.channel.MostWaiting {
-				out = append(out, Violation{5, x.at, fmt.Sprintf("pilot %d had %d lines waiting, %d are allowed", p, waiting,
+				out = append(out, Violation{5, x.at, fmt.Sprintf("pilot %d had %d lines queued, the limit is %d", p, waiting,
 					e.channel.MostWaiting)})
 				break
 			}
 		}
-		slices.SortStableFunc(sent, func(a, b *messageSeen) int { return cmp.Compare(a.left, b.left) })
-		if at, lines := e.pace(sent); lines > 0 {
-			out = append(out, Violation{5, at, fmt.Sprintf("pilot %d sent %d lines within a second, %.0f are its pace", p, lines,
+		slices.SortStableFunc(sent, func(a, b *observedMessage) int { return cmp.Compare(a.sent, b.sent) })
+		if at, lines := e.paceExceeded(sent); lines > 0 {
+			out = append(out, Violation{5, at, fmt.Sprintf("pilot %d sent %d lines within a second, the limit is %.0f", p, lines,
 				e.channel.LinesPerSecond)})
 		}
-		for _, proxy := range sortedKeys(written) {
+		for _, proxy := range sortedKeys(decidedByProxy) {
 			if c := e.channel; c.MessageCap > 0 {
-				w := written[proxy]
-				slices.Sort(w)
-				for i := c.MessageCap; i < len(w); i++ {
-					if w[i]-w[i-c.MessageCap] < c.MessageCapOver.Span()-slack {
-						out = append(out, Violation{5, w[i], fmt.Sprintf("proxy %d was written more than %d messages within %v", proxy,
+				times := decidedByProxy[proxy]
+				slices.Sort(times)
+				for i := c.MessageCap; i < len(times); i++ {
+					if times[i]-times[i-c.MessageCap] < c.MessageCapOver.Span()-measurementSlack {
+						out = append(out, Violation{5, times[i], fmt.Sprintf("proxy %d was sent more than %d messages within %v", proxy,
 							c.MessageCap, c.MessageCapOver.Span())})
 						break
 					}
@@ -624,23 +649,26 @@
 	return out
 }
 
-// pace returns when more lines left within a second than the pace allows, one message and the slack beyond, and how many.
-func (e *evidence) pace(sent []*messageSeen) (time.Duration, int) {
-	lines, most, first := 0, 0, 0
+// paceExceeded returns the first time at which more lines had left a pilot within a second than the configured rate allows,
+// with the number of lines; 0, 0 if there was none. The allowance includes two messages of the largest size and
+// measurementSlack.
+func (e *evidence) paceExceeded(sent []*observedMessage) (time.Duration, int) {
+	lines, largest, first := 0, 0, 0
 	for _, m := range sent {
 		lines += m.Lines
-		most = max(most, m.Lines)
-		for m.left-sent[first].left > time.Second {
+		largest = max(largest, m.Lines)
+		for m.sent-sent[first].sent > time.Second {
 			lines -= sent[first].Lines
 			first++
 		}
-		if float64(lines-2*most) > e.channel.LinesPerSecond*(time.Second+2*slack).Seconds() {
-			return m.left, lines
+		if float64(lines-2*largest) > e.channel.LinesPerSecond*(time.Second+2*measurementSlack).Seconds() {
+			return m.sent, lines
 		}
 	}
 	return 0, 0
 }
 
+// sortedKeys returns the keys of m in ascending order.
 func sortedKeys[V any](m map[int]V) []int {
 	out := make([]int, 0, len(m))
 	for k := range m {
--- a/lab/fleet.go
+++ b/lab/fleet.go
@@ -27,69 +27,70 @@
 	"vetchdoor/runtime"
 )
 
-// fleet is all the parts of a day, running in this process over loopback sockets.
+// fleet is the set of parts of a simulated day: pilots and proxies in this process, with simulated nodes, list service and
+// links, all on loopback sockets.
 type fleet struct {
-	host       string // a loopback address of its own, so that who starts anew finds its port free
-	day        *files.Day
-	believed   files.Service // what pilots and proxies take the day's to be
-	log        *slog.Logger
-	rng        *rand.Rand // of the day's draws
-	tap        *link.Tap
-	ledger     *node.Ledger
-	list       *stand.Server
-	nodes      []*node.Node
-	spare      []*node.Node
-	pilots     []*pilotAt
-	proxies    []*proxyAt
-	dir        string
-	records    *slog.Logger
-	born       time.Time
-	mu         sync.Mutex // guards what troubles change
-	hot        []hotSpell
-	shifts     []hotSpell
-	grown      []hotSpell // traffic that follows the fleet's growth: size is its part
-	shares     []float64  // of the traffic, by proxy
-	timers     sync.WaitGroup
-	stop       chan struct{}
-	asked      atomic.Int64                     // moves of tenants
-	unasked    atomic.Int64                     // of those, not taken
-	handshakes int                              // of proxies that have ended
-	wrap       func(*files.Proxy, *proxy.Proxy) // tests make proxies faulty
+	host           string // loopback address of this fleet alone, so that a part that restarts finds its port free
+	day            *files.Day
+	configured     files.Service // service settings that pilots and proxies run with; tests make them differ from the day's
+	log            *slog.Logger
+	rng            *rand.Rand // for draws while the day is set up
+	tap            *link.Tap
+	ledger         *node.Ledger
+	list           *stand.Server
+	nodes          []*node.Node
+	spare          []*node.Node
+	pilots         []*pilotInstance
+	proxies        []*proxyInstance
+	dir            string
+	records        *slog.Logger
+	createdAt      time.Time
+	mu             sync.Mutex // guards the instances that troubles stop and start
+	hotCallers     []trafficShift
+	zoneShifts     []trafficShift
+	growth         []trafficShift // increases of traffic with the fleet's growth; fraction is the relative increase
+	trafficShares  []float64      // share of the traffic of each proxy
+	timers         sync.WaitGroup
+	stop           chan struct{}
+	movesRequested atomic.Int64                     // tenant moves requested of pilots
+	movesRefused   atomic.Int64                     // tenant moves that a pilot refused
+	handshakes     int                              // connections opened by proxies that have stopped
+	wrapProxy      func(*files.Proxy, *proxy.Proxy) // hook for tests that make proxies faulty; may be nil
 }
 
-// hotSpell is a share of the traffic that goes to some proxies for a while.
-type hotSpell struct {
-	from, to time.Duration
-	ramp     time.Duration
-	size     float64
-	proxies  []int
-	forGood  bool
+// trafficShift is a fraction of the traffic that moves to some proxies for a period.
+type trafficShift struct {
+	from, to  time.Duration
+	ramp      time.Duration
+	fraction  float64
+	proxies   []int
+	permanent bool
 }
 
-// pilotAt is one pilot and the ways to it.
-type pilotAt struct {
+// pilotInstance is one pilot with the links to it.
+type pilotInstance struct {
 	file  *files.Pilot
-	p     *pilot.Pilot // nil while dead
+	pilot *pilot.Pilot // nil while stopped
 	list  *link.Link
-	links []*link.Link // by proxy
+	links []*link.Link // indexed by proxy
 	zone  int
 }
 
-// proxyAt is one proxy.
-type proxyAt struct {
+// proxyInstance is one proxy.
+type proxyInstance struct {
 	file    *files.Proxy
-	p       *proxy.Proxy // nil while dead
+	proxy   *proxy.Proxy // nil while stopped
 	zone    int
 	address string
 	seeds   uint64
 }
 
-// newFleet builds and starts everything but the clients.
+// newFleet builds and starts all parts but the clients. On an error it stops the parts that already run.
 func newFleet(day *files.Day, o *Options) (f *fleet, err error) {
-	f = &fleet{day: day, log: o.Log, rng: rand.New(rand.NewPCG(day.Seed, 2)), ledger: node.NewLedger(), born: time.Now(), host: loopback.Host(),
-		stop: make(chan struct{}), wrap: o.faulty, believed: day.Service, records: o.Records}
-	if f.believed.OpTypes = slices.Clone(day.Service.OpTypes); o.believe != nil {
-		o.believe(&f.believed)
+	f = &fleet{day: day, log: o.Log, rng: rand.New(rand.NewPCG(day.Seed, 2)), ledger: node.NewLedger(), createdAt: time.Now(),
+		host: loopback.Host(), stop: make(chan struct{}), wrapProxy: o.wrapProxy, configured: day.Service, records: o.Records}
+	if f.configured.OpTypes = slices.Clone(day.Service.OpTypes); o.configure != nil {
+		o.configure(&f.configured)
 	}
 	f.tap = link.NewTap(f.ledger.From())
 	defer func() {
@@ -103,10 +104,10 @@
 	if err = f.startNodes(); err != nil {
 		return f, err
 	}
-	f.believed.WritePacks = packsOf(f.nodes) // those that join later are for whoever runs the fleet to name
+	f.configured.WritePacks = packsByZone(f.nodes) // packs of nodes that are added later have to be configured by the operator
 	var entries []roster.Entry
 	for _, n := range f.nodes {
-		e, err := f.entry(n, "ready")
+		e, err := f.listEntry(n, "ready")
 		if err != nil {
 			return f, err
 		}
@@ -121,7 +122,7 @@
 	return f, f.startProxies()
 }
 
-// startNodes draws the nodes and starts those that run from the beginning.
+// startNodes creates the nodes and starts those that run from the beginning; the others stay in spare.
 func (f *fleet) startNodes() error {
 	d := f.day
 	at := d.Fleet.Exactly
@@ -135,7 +136,7 @@
 	spare := len(at) - d.Fleet.Spare
 	for i, a := range at {
 		n := node.New(a, machines[a.Machine], &d.Service, d.Limits, d.Seed, f.ledger)
-		n.Killed = func() { f.poisoned(n) }
+		n.Killed = func() { f.restartPoisoned(n) }
 		if i >= spare {
 			f.spare = append(f.spare, n)
 			continue
@@ -148,7 +149,7 @@
 	return nil
 }
 
-// drawNodes spreads nodes over zones and machines.
+// drawNodes distributes count nodes over the zones and draws a machine type for each.
 func (f *fleet) drawNodes(count int) []files.NodeAt {
 	d := f.day
 	size := max(1, d.Fleet.PackSize)
@@ -164,27 +165,28 @@
 		for a.Endpoint = f.rng.Uint32(); used[a.Endpoint]; a.Endpoint = f.rng.Uint32() {
 		}
 		used[a.Endpoint] = true
-		x := f.rng.Float64() * total
+		draw := f.rng.Float64() * total
 		for _, m := range d.Fleet.Machines {
-			if a.Machine = m.Name; x < max(m.Share, 1e-9) {
+			if a.Machine = m.Name; draw < max(m.Share, 1e-9) {
 				a.Weight = float64(m.Cores)
 				break
 			}
-			x -= max(m.Share, 1e-9)
+			draw -= max(m.Share, 1e-9)
 		}
 		out = append(out, a)
 	}
 	return out
 }
 
-// entry is how the list shows a node.
-func (f *fleet) entry(n *node.Node, mode string) (roster.Entry, error) {
+// listEntry returns the entry with which the list service shows a node.
+func (f *fleet) listEntry(n *node.Node, mode string) (roster.Entry, error) {
 	a := n.At()
-	at, err := netip.ParseAddrPort(n.Address())
+	address, err := netip.ParseAddrPort(n.Address())
 	if err != nil {
 		return roster.Entry{}, err
 	}
-	e := roster.Entry{Endpoint: n.Endpoint(), Address: at, Zone: a.Zone, Pack: a.Pack, Weight: max(a.Weight, 1e-3), Mode: mode}
+	e := roster.Entry{Endpoint: n.Endpoint(), Address: address, Zone: a.Zone, Pack: a.Pack, Weight: max(a.Weight, 1e-3),
+		Mode: mode}
 	if a.Weight == 0 {
 		e.Weight = 1
 	}
@@ -194,8 +196,8 @@
 	return e, nil
 }
 
-// way is how long a piece takes between two zones.
-func (f *fleet) way(a, b int, extra files.Duration, seed uint64) link.Way {
+// delay returns the delay of a link's direction between zones a and b; extra is the mean of an additional random delay.
+func (f *fleet) delay(a, b int, extra files.Duration, seed uint64) link.Way {
 	base := f.day.Net.Same.Span()
 	if a != b {
 		base = f.day.Net.Cross.Span()
@@ -205,17 +207,17 @@
 	return func() time.Duration {
 		mu.Lock()
 		defer mu.Unlock()
-		// Lateness is drawn up to two and a half times its mean, which the start facts state as the longest way.
+		// The additional delay is capped at two and a half times its mean, the maximum delay that the day's settings state.
 		late := min(rng.ExpFloat64(), 2.5) * float64(extra)
 		return time.Duration(float64(base)*(0.8+0.4*rng.Float64()) + late)
 	}
 }
 
-// firstPilotPort is the port of a fleet's first pilot. Pilots must know each other before any of them runs, and the host is the
-// fleet's own.
+// firstPilotPort is the port of a fleet's first pilot. Ports are fixed because pilots are configured with each other's
+// addresses before any of them runs; they are free because the loopback address belongs to this fleet.
 const firstPilotPort = 7000
 
-// pilotAddresses are where the fleet's pilots listen.
+// pilotAddresses returns the addresses on which the fleet's pilots listen.
 func (f *fleet) pilotAddresses() (out []string) {
 	for i := range f.day.Fleet.Pilots {
 		out = append(out, net.JoinHostPort(f.host, strconv.Itoa(firstPilotPort+i)))
@@ -223,6 +225,7 @@
 	return out
 }
 
+// startPilots starts the pilots, each with a link of its own to the list service.
 func (f *fleet) startPilots() error {
 	d := f.day
 	listen := f.pilotAddresses()
@@ -231,79 +234,81 @@
 		if len(d.Fleet.PilotList) > 0 {
 			zone = d.Service.ZoneIndex(d.Fleet.PilotList[i])
 		}
-		at := &pilotAt{zone: zone}
+		instance := &pilotInstance{zone: zone}
 		var err error
-		at.list, err = link.Open(fmt.Sprintf("list %d", i), f.list.Address(), f.tap,
-			f.way(zone, zone, 0, uint64(100+i)), f.way(zone, zone, 0, uint64(200+i)))
+		instance.list, err = link.Open(fmt.Sprintf("list %d", i), f.list.Address(), f.tap,
+			f.delay(zone, zone, 0, uint64(100+i)), f.delay(zone, zone, 0, uint64(200+i)))
 		if err != nil {
 			return err
 		}
-		f.pilots = append(f.pilots, at)
-		at.file = &files.Pilot{Kind: "pilot", Name: fmt.Sprintf("pilot-%d", i), Zone: d.Service.Zones[zone], Instance: i,
-			Instances: d.Fleet.Pilots, Proxies: d.Fleet.Proxies, Listen: listen[i], Roster: at.list.Address(),
+		f.pilots = append(f.pilots, instance)
+		instance.file = &files.Pilot{Kind: "pilot", Name: fmt.Sprintf("pilot-%d", i), Zone: d.Service.Zones[zone], Instance: i,
+			Instances: d.Fleet.Pilots, Proxies: d.Fleet.Proxies, Listen: listen[i], Roster: instance.list.Address(),
 			Cache: filepath.Join(f.dir, fmt.Sprintf("list-%d.json", i)), Seed: d.Seed*100 + uint64(i) + 1,
-			LeaveWithin: files.Duration(time.Second), Service: f.believed, Limits: d.Limits, Channel: d.Channel, Silent: files.Duration(3 * time.Second),
-			Tenants: d.Load.Tenants.Limits}
+			LeaveWithin: files.Duration(time.Second), Service: f.configured, Limits: d.Limits, Channel: d.Channel,
+			Silent: files.Duration(3 * time.Second), Tenants: d.Load.Tenants.Limits}
 		for j, other := range listen {
 			if i != j {
-				at.file.Peers = append(at.file.Peers, files.Peer{Instance: j, Address: other})
+				instance.file.Peers = append(instance.file.Peers, files.Peer{Instance: j, Address: other})
 			}
 		}
 		if d.Load.Tenants.Moves {
-			at.file.Moves = &files.Moves{Store: filepath.Join(f.dir, fmt.Sprintf("tenants-%d.db", i)), Abreast: 512, Most: files.Duration(time.Minute)}
-			at.file.Admin = "127.0.0.1:0"
+			instance.file.Moves = &files.Moves{Store: filepath.Join(f.dir, fmt.Sprintf("tenants-%d.db", i)), Abreast: 512,
+				Most: files.Duration(time.Minute)}
+			instance.file.Admin = "127.0.0.1:0"
 		}
-		if at.p, err = pilot.New(at.file, f.log); err != nil {
+		if instance.pilot, err = pilot.New(instance.file, f.log); err != nil {
 			return err
 		}
-		at.p.Records = f.records
-		if err := at.p.Start(); err != nil {
+		instance.pilot.Records = f.records
+		if err := instance.pilot.Start(); err != nil {
 			return err
 		}
-		at.file.Listen = at.p.Address() // a pilot that comes back does so at its address
+		instance.file.Listen = instance.pilot.Address() // a restarted pilot listens on the same address
 	}
 	return nil
 }
 
+// startProxies draws the traffic shares and starts the proxies, each with a link of its own to every pilot.
 func (f *fleet) startProxies() error {
 	d := f.day
 	f.drawShares()
-	perSecond := f.perSecond()
+	perSecond := f.opRate()
 	for i := range d.Fleet.Proxies {
 		zone := f.proxyZone(i)
-		at := &proxyAt{zone: zone, seeds: d.Seed}
-		f.proxies = append(f.proxies, at)
-		at.file = &files.Proxy{Kind: "proxy", ID: uint16(i), Zone: d.Service.Zones[zone], Listen: net.JoinHostPort(f.host, "0"),
-			Rate: f.shares[i] * perSecond, Service: f.believed, Redial: files.Duration(400 * time.Millisecond),
+		instance := &proxyInstance{zone: zone, seeds: d.Seed}
+		f.proxies = append(f.proxies, instance)
+		instance.file = &files.Proxy{Kind: "proxy", ID: uint16(i), Zone: d.Service.Zones[zone], Listen: net.JoinHostPort(f.host, "0"),
+			Rate: f.trafficShares[i] * perSecond, Service: f.configured, Redial: files.Duration(400 * time.Millisecond),
 			Silent: files.Duration(4 * time.Second)}
 		if c := &d.Load.Tenants; c.Count > 0 {
-			at.file.Tenants = &files.Tenants{Header: tenantField, Subset: c.Subset}
+			instance.file.Tenants = &files.Tenants{Header: tenantHeader, Subset: c.Subset}
 			for n := 1; c.Known && n <= c.Count; n++ {
-				at.file.Tenants.Known = append(at.file.Tenants.Known, newsroom(n))
+				instance.file.Tenants.Known = append(instance.file.Tenants.Known, tenantName(n))
 			}
 			if c.Moves {
-				at.file.Tenants.Bindings = filepath.Join(f.dir, fmt.Sprintf("bindings-%d", i))
+				instance.file.Tenants.Bindings = filepath.Join(f.dir, fmt.Sprintf("bindings-%d", i))
 			}
 		}
 		for j, p := range f.pilots {
-			l, err := link.Open(fmt.Sprintf("stream %d %d", i, j), p.p.Address(), f.tap,
-				f.way(zone, p.zone, d.Net.Hears, uint64(1000+i*100+j)), f.way(zone, p.zone, d.Net.Push, uint64(500000+i*100+j)))
+			l, err := link.Open(fmt.Sprintf("stream %d %d", i, j), p.pilot.Address(), f.tap,
+				f.delay(zone, p.zone, d.Net.Hears, uint64(1000+i*100+j)), f.delay(zone, p.zone, d.Net.Push, uint64(500000+i*100+j)))
 			if err != nil {
 				return err
 			}
 			p.links = append(p.links, l)
-			at.file.Pilots = append(at.file.Pilots, files.PilotAddress{Address: l.Address(), Zone: p.file.Zone})
+			instance.file.Pilots = append(instance.file.Pilots, files.PilotAddress{Address: l.Address(), Zone: p.file.Zone})
 		}
-		if err := f.startProxy(at); err != nil {
+		if err := f.startProxy(instance); err != nil {
 			return err
 		}
-		at.file.Listen = at.p.Address()
-		at.address = at.p.Address()
+		instance.file.Listen = instance.proxy.Address()
+		instance.address = instance.proxy.Address()
 	}
 	return nil
 }
 
-// proxyZone is where a proxy stands.
+// proxyZone returns the index of the zone of proxy i.
 func (f *fleet) proxyZone(i int) int {
 	if l := f.day.Fleet.ProxyList; len(l) > 0 {
 		return f.day.Service.ZoneIndex(l[i].Zone)
@@ -311,35 +316,36 @@
 	return i % len(f.day.Service.Zones)
 }
 
-// startProxy starts a proxy with the list as it stands now.
-func (f *fleet) startProxy(at *proxyAt) error {
-	file := *at.file
+// startProxy starts a proxy whose standing table holds the endpoints that are ready in the list now.
+func (f *fleet) startProxy(instance *proxyInstance) error {
+	file := *instance.file
 	for _, e := range f.list.Entries() {
 		if e.Mode == "ready" {
 			file.Servers = append(file.Servers, files.StandingServer{Endpoint: uint32(e.Endpoint),
 				Address: e.Address.String(), Zone: e.Zone, Pack: e.Pack, Weight: e.Weight})
 		}
 	}
-	at.seeds++
-	file.Seed = at.seeds*1000 + uint64(file.ID) + 1
+	instance.seeds++
+	file.Seed = instance.seeds*1000 + uint64(file.ID) + 1
 	p, err := proxy.New(&file, f.log)
 	if err != nil {
 		return err
 	}
 	p.ApplyFor = func(m *runtime.Message) time.Duration { return time.Duration(m.Lines) * 40 * time.Microsecond }
-	if f.wrap != nil {
-		f.wrap(&file, p)
+	if f.wrapProxy != nil {
+		f.wrapProxy(&file, p)
 	}
 	if err := p.Start(); err != nil {
 		return err
 	}
 	f.mu.Lock()
-	at.p = p
+	instance.proxy = p
 	f.mu.Unlock()
 	return nil
 }
 
-// drawShares draws each proxy's share of the traffic: few carry much, by the day's spread.
+// drawShares sets the share of the traffic that each proxy carries: within the share of its zone by the day's proxy list,
+// or else by a log-normal distribution with the day's spread.
 func (f *fleet) drawShares() {
 	d := f.day
 	v := math.Log(1 + d.Load.Spread*d.Load.Spread)
@@ -349,26 +355,26 @@
 		if len(d.Fleet.ProxyList) > 0 {
 			x = max(d.Fleet.ProxyList[i].Share, 1e-9)
 		}
-		f.shares = append(f.shares, x)
+		f.trafficShares = append(f.trafficShares, x)
 		zones[f.proxyZone(i)] += x
 	}
 	total := 0.0
-	for i := range f.shares {
+	for i := range f.trafficShares {
 		z := f.proxyZone(i)
 		part := 1 / float64(len(zones))
 		if len(d.Load.ZoneShare) > 0 {
 			part = d.Load.ZoneShare[z]
 		}
-		f.shares[i] *= part / zones[z]
-		total += f.shares[i]
+		f.trafficShares[i] *= part / zones[z]
+		total += f.trafficShares[i]
 	}
-	for i := range f.shares {
-		f.shares[i] /= total
+	for i := range f.trafficShares {
+		f.trafficShares[i] /= total
 	}
 }
 
-// perSecond is the mean rate of ops.
-func (f *fleet) perSecond() float64 {
+// opRate returns the mean rate of ops per second.
+func (f *fleet) opRate() float64 {
 	if f.day.Load.PerSecond > 0 {
 		return f.day.Load.PerSecond
 	}
@@ -379,18 +385,18 @@
 	return f.day.Load.OfCapacity * power / meanWork(&f.day.Load).Seconds()
 }
 
-// shareAt is each proxy's share of the traffic at a time.
-func (f *fleet) shareAt(at time.Duration) []float64 {
-	out := append([]float64(nil), f.shares...)
-	for _, h := range append(append([]hotSpell(nil), f.hot...), f.shifts...) {
-		if at < h.from || at > h.to && !h.forGood || len(h.proxies) == 0 {
+// sharesAt returns the share of the traffic of each proxy at a time since the start of the day.
+func (f *fleet) sharesAt(at time.Duration) []float64 {
+	out := append([]float64(nil), f.trafficShares...)
+	for _, h := range append(append([]trafficShift(nil), f.hotCallers...), f.zoneShifts...) {
+		if at < h.from || at > h.to && !h.permanent || len(h.proxies) == 0 {
 			continue
 		}
-		size := h.size
+		size := h.fraction
 		if h.ramp > 0 {
 			size *= min(1, float64(at-h.from)/float64(h.ramp))
-			if !h.forGood {
-				size = min(size, h.size*float64(h.to-at)/float64(h.ramp))
+			if !h.permanent {
+				size = min(size, h.fraction*float64(h.to-at)/float64(h.ramp))
 			}
 		}
 		for i := range out {
@@ -398,31 +404,31 @@
 		}
 		total := 0.0
 		for _, i := range h.proxies {
-			total += f.shares[i]
+			total += f.trafficShares[i]
 		}
 		for _, i := range h.proxies {
-			out[i] += size * f.shares[i] / max(total, 1e-9)
+			out[i] += size * f.trafficShares[i] / max(total, 1e-9)
 		}
 	}
 	return out
 }
 
-// tell has the list show a node so, after a while, unless it is otherwise by then: a node that came back before its end
-// was noticed was never seen to go.
-func (f *fleet) tell(after time.Duration, n *node.Node, mode string) {
-	since := n.Started()
-	f.later(after, func() {
-		if mode != "draining" && since != n.Started() {
+// announce makes the list service show a node in the given mode after a delay. A change other than draining is dropped if
+// the node has restarted in the meantime: the list service never noticed that the node was down.
+func (f *fleet) announce(after time.Duration, n *node.Node, mode string) {
+	startedBefore := n.Started()
+	f.schedule(after, func() {
+		if mode != "draining" && startedBefore != n.Started() {
 			return
 		}
-		if e, err := f.entry(n, mode); err == nil {
+		if e, err := f.listEntry(n, mode); err == nil {
 			f.list.Set(e)
 		}
 	})
 }
 
-// later runs g after a while, unless the day has ended.
-func (f *fleet) later(after time.Duration, g func()) {
+// schedule runs g after a delay, unless the day has ended by then.
+func (f *fleet) schedule(after time.Duration, action func()) {
 	f.timers.Add(1)
 	go func() {
 		defer f.timers.Done()
@@ -430,35 +436,35 @@
 		defer t.Stop()
 		select {
 		case <-t.C:
-			g()
+			action()
 		case <-f.stop:
 		}
 	}()
 }
 
-// close ends everything. Proxies end in order, so that nothing that was acked is lost.
+// close stops all parts: first the proxies, then the pilots, the links and list service, and the nodes.
 func (f *fleet) close() {
 	close(f.stop)
 	f.timers.Wait()
 	var all sync.WaitGroup
-	for _, at := range f.proxies {
-		if at.p != nil {
-			f.handshakes += int(at.p.Opened())
-			all.Go(at.p.Kill)
+	for _, instance := range f.proxies {
+		if instance.proxy != nil {
+			f.handshakes += int(instance.proxy.Opened())
+			all.Go(instance.proxy.Kill)
 		}
 	}
 	all.Wait()
-	for _, at := range f.pilots {
-		if at.p != nil {
-			at.p.Stop()
+	for _, instance := range f.pilots {
+		if instance.pilot != nil {
+			instance.pilot.Stop()
 		}
 	}
-	for _, at := range f.pilots {
-		for _, l := range at.links {
+	for _, instance := range f.pilots {
+		for _, l := range instance.links {
 			all.Go(l.Close)
 		}
-		if at.list != nil {
-			all.Go(at.list.Close)
+		if instance.list != nil {
+			all.Go(instance.list.Close)
 		}
 	}
 	if f.list != nil {
@@ -473,8 +479,8 @@
 	}
 }
 
-// Tallies of the fleet for the account.
-func (f *fleet) nodeByID() map[control.EndpointID]*node.Node {
+// nodesByID returns all nodes, spare ones included, by endpoint.
+func (f *fleet) nodesByID() map[control.EndpointID]*node.Node {
 	out := map[control.EndpointID]*node.Node{}
 	for _, n := range slices.Concat(f.nodes, f.spare) {
 		out[n.Endpoint()] = n
--- a/lab/links_test.go
+++ b/lab/links_test.go
@@ -11,21 +11,23 @@
 	"vetchdoor/lab/link"
 )
 
-// A link between a proxy and its pilot that ends at the worst moment: whatever happens to it, all proxies are joined by a
-// deadline, the rules are kept, no effect comes twice, and when all has ended no goroutine is left (the bubble would say so).
+// TestLinks guards against stream failures at inconvenient moments. Whatever happens to the link between a proxy and its
+// pilot, all proxies are joined again by a deadline, no rule is broken and no goroutine remains at the end; synctest fails
+// if one does.
 func TestLinks(t *testing.T) {
-	const deadline = 12 * time.Second // silence noticed on both sides, and a round of dials
-	for name, play := range map[string]func(f *tiny){
-		"half open": func(f *tiny) {
-			f.road(0).Cut(true)
+	const deadline = 12 * time.Second // enough for both sides to time out and for one round of dials
+	for name, play := range map[string]func(f *simFleet){
+		"half open": func(f *simFleet) {
+			f.route(0).Cut(true)
 			time.Sleep(deadline)
 			if info := f.proxies[0].Info(); !strings.Contains(info, "\nPilot: pilot-1\n") {
-				f.t.Errorf("the proxy is not with the other pilot: %s", info)
+				f.t.Errorf("the proxy did not join the other pilot: %s", info)
 			}
-			f.road(0).Cut(false)
+			f.route(0).Cut(false)
 		},
-		"half open to both for good, amid changes": func(f *tiny) { // what it does not confirm must not hold up the others
-			for _, r := range f.roads[0] {
+		// messages that the proxy does not confirm must not block those to the others
+		"half open to both pilots during changes": func(f *simFleet) {
+			for _, r := range f.routes[0] {
 				r.Cut(true)
 			}
 			for i := range 60 {
@@ -35,99 +37,100 @@
 			f.list.Set(f.entry(0, "ready", 9))
 			time.Sleep(deadline)
 			if s := f.proxies[2].Stat(); !strings.Contains(s, "t0,e0,UP,9,") {
-				f.t.Errorf("changes do not come any more: %s", s)
+				f.t.Errorf("changes no longer reach another proxy: %s", s)
 			}
-			for _, r := range f.roads[0] {
+			for _, r := range f.routes[0] {
 				r.Cut(false)
 			}
 		},
-		"half open to both pilots, and a drain": func(f *tiny) {
-			for _, r := range f.roads[0] {
+		"half open to both pilots during a drain": func(f *simFleet) {
+			for _, r := range f.routes[0] {
 				r.Cut(true)
 			}
 			time.Sleep(time.Second)
-			happenings["drain"](f)
+			eventActions["drain"](f)
 			time.Sleep(20 * time.Second)
-			for _, r := range f.roads[0] {
+			for _, r := range f.routes[0] {
 				r.Cut(false)
 			}
 		},
-		"one direction lost": func(f *tiny) {
-			f.road(0).Lose(link.Up)
-			f.road(1).Lose(link.Up)
+		"one direction lost": func(f *simFleet) {
+			f.route(0).Lose(link.Up)
+			f.route(1).Lose(link.Up)
 		},
-		"idle for long": func(f *tiny) {
+		"long idle": func(f *simFleet) {
 			time.Sleep(20 * time.Minute)
-			if n := len(f.streams()); n != 5 { // one was sent on at the start, before its pilot had a list, and came home later
-				f.t.Errorf("%d streams in twenty quiet minutes: %v", n, f.streams())
+			// one of the three proxies was redirected at the start, when its pilot had no list yet, and returned later
+			if n := len(f.helloStreams()); n != 5 {
+				f.t.Errorf("%d streams in twenty minutes without changes: %v", n, f.helloStreams())
 			}
 		},
-		"between apply and confirm": func(f *tiny) {
+		"break between apply and confirmation": func(f *simFleet) {
 			for i := range 6 {
 				f.list.Set(f.entry(0, "ready", float64(2+i)))
-				f.road(0).BreakWithin(link.Up, 1+i)
+				f.route(0).BreakWithin(link.Up, 1+i)
 				time.Sleep(1500 * time.Millisecond)
 			}
 		},
-		"in the midst of a line down": func(f *tiny) {
+		"break in a line to the proxy": func(f *simFleet) {
 			for i := range 30 {
-				f.road(i%3).BreakWithin(link.Down, 1+7*i)
+				f.route(i%3).BreakWithin(link.Down, 1+7*i)
 				f.list.Set(f.entry(i%4, "ready", float64(1+i%5)))
 				time.Sleep(700 * time.Millisecond)
 			}
 		},
-		"in the midst of a block up": func(f *tiny) {
+		"break in a block to the pilot": func(f *simFleet) {
 			for i := range 30 {
-				f.road(i%3).BreakWithin(link.Up, 1+7*i)
+				f.route(i%3).BreakWithin(link.Up, 1+7*i)
 				f.list.Set(f.entry(i%4, "ready", float64(1+i%5)))
 				time.Sleep(700 * time.Millisecond)
 			}
 		},
-		"in a join": func(f *tiny) {
+		"break during a join": func(f *simFleet) {
 			for i := range 30 {
-				f.road(0).Break()
-				f.road(0).BreakWithin(link.Direction(i%2), 1+5*i)
+				f.route(0).Break()
+				f.route(0).BreakWithin(link.Direction(i%2), 1+5*i)
 				time.Sleep(600 * time.Millisecond)
 			}
 		},
-		"in a drain": func(f *tiny) {
-			f.road(0).BreakWithin(link.Down, 60)
-			happenings["drain"](f)
+		"break during a drain": func(f *simFleet) {
+			f.route(0).BreakWithin(link.Down, 60)
+			eventActions["drain"](f)
 		},
-		"in its pilot's end": func(f *tiny) {
-			f.road(0).Cut(true)
+		"half open while the pilot stops": func(f *simFleet) {
+			f.route(0).Cut(true)
 			begin := time.Now()
 			f.pilots[0].Stop()
 			if took := time.Since(begin); took > deadline {
-				f.t.Errorf("the pilot ended after %v", took)
+				f.t.Errorf("the pilot took %v to stop", took)
 			}
 			f.startPilot(0)
-			f.road(0).Cut(false)
+			f.route(0).Cut(false)
 		},
-		"in its own end": func(f *tiny) {
-			f.road(1).Cut(true)
+		"half open while the proxy stops": func(f *simFleet) {
+			f.route(1).Cut(true)
 			begin := time.Now()
 			f.proxies[1].Stop(context.Background())
 			if took := time.Since(begin); took > deadline {
-				f.t.Errorf("the proxy ended after %v", took)
+				f.t.Errorf("the proxy took %v to stop", took)
 			}
 			f.startProxy(1)
-			f.road(1).Cut(false)
+			f.route(1).Cut(false)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			inTiny(t, breach{}, func(f *tiny) {
+			withSimFleet(t, variant{}, func(f *simFleet) {
 				play(f)
 				time.Sleep(deadline)
 				if !f.joined() {
-					f.t.Error("not all are joined by the deadline")
+					f.t.Error("not all proxies are joined by the deadline")
 				}
 				for _, b := range f.check() {
 					f.t.Errorf("%+v", b)
 				}
 				for _, p := range f.proxies {
 					if s := p.Stat(); !strings.Contains(s, ",UP,") {
-						f.t.Errorf("a proxy is bare: %s", s)
+						f.t.Errorf("a proxy has no server to pick: %s", s)
 					}
 				}
 			})
@@ -135,8 +138,8 @@
 	}
 }
 
-// streams are those of the day so far, by proxy and pilot.
-func (f *tiny) streams() (out []string) {
+// helloStreams returns the link and connection of every stream on which a hello was sent so far.
+func (f *simFleet) helloStreams() (out []string) {
 	for _, p := range f.tap.All() {
 		if p.Direction == link.Up && strings.HasPrefix(string(p.Data), "hello ") {
 			out = append(out, fmt.Sprint(p.Link, " ", p.Conn))
@@ -145,10 +148,10 @@
 	return out
 }
 
-// An endpoint that moves its address again and again takes no more messages than the cap allows, and proxies come to where
-// it is.
+// TestMovesOfAddressesKeepTheCap guards against a message for every change of an address: an endpoint changes its address
+// 61 times within seconds, the cap on messages still holds, and the proxies end with the latest address.
 func TestMovesOfAddressesKeepTheCap(t *testing.T) {
-	inTiny(t, breach{}, func(f *tiny) {
+	withSimFleet(t, variant{}, func(f *simFleet) {
 		for i := range 61 {
 			e := f.entry(0, "ready", 1)
 			if i%2 == 0 {
@@ -162,15 +165,16 @@
 			f.t.Errorf("%+v", b)
 		}
 		if s := f.proxies[0].Stat(); !strings.Contains(s, ",10.0.0.9:80,") {
-			f.t.Errorf("the proxy does not know where it is: %s", s)
+			f.t.Errorf("the proxy does not have the latest address: %s", s)
 		}
 	})
 }
 
-// Proxies of a pilot that ends hear from it where to go before their streams close.
+// TestLeaveIsHeard guards against a pilot that closes its streams before it has sent its proxies the address of another
+// pilot.
 func TestLeaveIsHeard(t *testing.T) {
 	for range 20 {
-		inTiny(t, breach{}, func(f *tiny) {
+		withSimFleet(t, variant{}, func(f *simFleet) {
 			f.pilots[0].Stop()
 			heard := 0
 			for _, p := range f.tap.All() {
@@ -178,28 +182,29 @@
 					heard++
 				}
 			}
-			if heard != 3 { // one of them was sent on to it at the start
-				f.t.Errorf("%d of 3 were told", heard)
+			if heard != 3 { // one of the three was redirected to this pilot at the start
+				f.t.Errorf("%d of 3 proxies were redirected", heard)
 			}
 			f.startPilot(0)
 		})
 	}
 }
 
-// A proxy that ends sends its last sums before its stream closes.
+// TestLastSums guards against a proxy that stops without sending the sums of its unfinished report period.
 func TestLastSums(t *testing.T) {
 	for range 20 {
-		inTiny(t, breach{}, func(f *tiny) {
-			time.Sleep(250 * time.Millisecond) // amid a report period
+		withSimFleet(t, variant{}, func(f *simFleet) {
+			time.Sleep(250 * time.Millisecond) // in the middle of a report period
 			begin := time.Since(f.ledger.From())
 			f.proxies[2].Stop(context.Background())
 			time.Sleep(100 * time.Millisecond)
 			heard := false
 			for _, p := range f.tap.All() {
-				heard = heard || p.Direction == link.Up && p.Came >= begin && strings.HasPrefix(p.Link, "stream 2 ") && strings.HasPrefix(string(p.Data), "sums ")
+				heard = heard || p.Direction == link.Up && p.Came >= begin && strings.HasPrefix(p.Link,
+					"stream 2 ") && strings.HasPrefix(string(p.Data), "sums ")
 			}
 			if !heard {
-				f.t.Error("its last sums are lost")
+				f.t.Error("the proxy did not send its last sums")
 			}
 			f.startProxy(2)
 		})
--- a/lab/load.go
+++ b/lab/load.go
@@ -22,54 +22,57 @@
 
 // op is one op as its client sees it.
 type op struct {
-	at     time.Duration // since the day's start, when it is due
-	number uint64
-	opType int
-	proxy  int
-	work   time.Duration
-	tenant int    // from 1; 0: nobody's
-	bad    string // how, of a bad tenant in its spell
-	tries  int
-	held   bool // it was told that its tenant is being moved
+	due            time.Duration // scheduled start, since the start of the day
+	number         uint64
+	opType         int
+	proxy          int
+	work           time.Duration
+	tenant         int    // from 1; 0 for no tenant
+	misbehaviour   string // kind of misbehaviour; empty for a regular op
+	tries          int
+	refusedForMove bool // a try was refused because the tenant is being moved
 
-	unrefused bool // its client tried it again though the try before had not been refused
+	retriedUnrefused bool // the client retried it although the previous try had not been refused
 
 	ended   time.Duration
 	outcome outcome
 }
 
-// tenantField names the tenant of an op.
-const tenantField = "Newsroom"
+// tenantHeader is the header that names the tenant of an op.
+const tenantHeader = "Newsroom"
 
+// outcome is the result of an op for its client.
 type outcome byte
 
 const (
-	unended outcome = iota
+	pending outcome = iota
 	opAcked
-	opRejected // refused, and surely not run
+	opRejected // refused, and certainly not run
 	opAborted
 )
 
-// latency is how long its client waited.
-func (o *op) latency() time.Duration { return o.ended - o.at }
+// latency returns the time from the scheduled start of the op to its end.
+func (o *op) latency() time.Duration { return o.ended - o.due }
 
-// source of ops: open loop, drawn ahead from the day's seed.
-type source struct {
-	day     *files.Day
-	types   []control.OpType
-	ops     []*op
-	targets []string // proxies' addresses
-	pool    *upstream.Pool
-	ledger  *node.Ledger
-	large   bool                    // some requests are large
-	behind  *hdrhistogram.Histogram // of the generator, microseconds
-	mu      sync.Mutex
-	rng     *rand.Rand // of clients, under mu
-	busy    sync.WaitGroup
+// loadGenerator sends the ops of a day in an open loop: each op has a scheduled start, drawn in advance from the day's
+// seed, that does not depend on the responses.
+type loadGenerator struct {
+	day           *files.Day
+	types         []control.OpType
+	ops           []*op
+	targets       []string // addresses of the proxies
+	pool          *upstream.Pool
+	ledger        *node.Ledger
+	largeRequests bool                    // whether every largeInterval-th request is a large one
+	lag           *hdrhistogram.Histogram // delay of sends behind their schedule, in microseconds
+	mu            sync.Mutex
+	rng           *rand.Rand // for the clients' decisions; guarded by mu
+	inFlight      sync.WaitGroup
 }
 
-// rateAt is the load at a time, as a multiple of its mean: the day's shape or swing, and what follows its growth.
-func (f *fleet) rateAt(at time.Duration) float64 {
+// loadFactor returns the load at a time as a multiple of its mean, from the day's shape or sine swing and the growth of the
+// fleet.
+func (f *fleet) loadFactor(at time.Duration) float64 {
 	d, rate := f.day, 0.0
 	if shape := d.Load.Shape; len(shape) > 0 {
 		i := sort.Search(len(shape), func(i int) bool { return shape[i].At.Span() > at })
@@ -85,57 +88,57 @@
 	} else {
 		rate = 1 + d.Load.Swing*math.Sin(2*math.Pi*float64(at)/float64(d.Length))
 	}
-	for _, g := range f.grown {
+	for _, g := range f.growth {
 		if at > g.from {
-			rate *= 1 + g.size*min(1, float64(at-g.from)/float64(max(g.to-g.from, 1)))
+			rate *= 1 + g.fraction*min(1, float64(at-g.from)/float64(max(g.to-g.from, 1)))
 		}
 	}
 	return rate
 }
 
-// drawOps draws a day's ops.
+// drawOps draws the ops of a day.
 func (f *fleet) drawOps() []*op {
-	d, perSecond := f.day, f.perSecond()
+	d, perSecond := f.day, f.opRate()
 	rng := rand.New(rand.NewPCG(d.Seed, 1))
-	most := 0.0
+	maxRate := 0.0
 	for at := time.Duration(0); at <= d.Length.Span(); at += d.Length.Span()/1000 + 1 {
-		most = max(most, perSecond*f.rateAt(at)*1.01)
+		maxRate = max(maxRate, perSecond*f.loadFactor(at)*1.01)
 	}
 	total := 0.0
 	for _, w := range d.Load.Works {
 		total += w.Share
 	}
-	place := map[string]int{}
+	typeIndex := map[string]int{}
 	for i, t := range d.Service.OpTypes {
-		place[t.Name] = i
+		typeIndex[t.Name] = i
 	}
 	var ops []*op
-	var cumulated []float64
+	var cumulative []float64
 	tenants := tenantShares(&d.Load.Tenants)
-	until := time.Duration(-1)
+	sharesValidUntil := time.Duration(-1)
 	for at := time.Duration(0); ; {
-		at += time.Duration(rng.ExpFloat64() / most * float64(time.Second))
+		at += time.Duration(rng.ExpFloat64() / maxRate * float64(time.Second))
 		if at >= d.Length.Span() {
 			return ops
 		}
-		if rng.Float64()*most > perSecond*f.rateAt(at) {
+		if rng.Float64()*maxRate > perSecond*f.loadFactor(at) {
 			continue
 		}
-		if at > until { // shares are looked at anew every tenth of a second
-			until = at + 100*time.Millisecond
-			cumulated = cumulated[:0]
+		if at > sharesValidUntil { // the shares are recomputed every 100 ms
+			sharesValidUntil = at + 100*time.Millisecond
+			cumulative = cumulative[:0]
 			sum := 0.0
-			for _, s := range f.shareAt(at) {
+			for _, s := range f.sharesAt(at) {
 				sum += s
-				cumulated = append(cumulated, sum)
+				cumulative = append(cumulative, sum)
 			}
 		}
-		o := &op{at: at, number: uint64(len(ops) + 1)}
-		o.proxy = min(sort.SearchFloat64s(cumulated, rng.Float64()*cumulated[len(cumulated)-1]), len(cumulated)-1)
-		x := rng.Float64() * total
+		o := &op{due: at, number: uint64(len(ops) + 1)}
+		o.proxy = min(sort.SearchFloat64s(cumulative, rng.Float64()*cumulative[len(cumulative)-1]), len(cumulative)-1)
+		draw := rng.Float64() * total
 		for _, w := range d.Load.Works {
-			if x -= w.Share; x < 0 || w == d.Load.Works[len(d.Load.Works)-1] {
-				o.opType, o.work = place[w.OpType], drawWork(rng, w)
+			if draw -= w.Share; draw < 0 || w == d.Load.Works[len(d.Load.Works)-1] {
+				o.opType, o.work = typeIndex[w.OpType], drawWork(rng, w)
 				break
 			}
 		}
@@ -146,7 +149,7 @@
 	}
 }
 
-// tenantShares are the tenants' shares of the traffic, added up.
+// tenantShares returns the cumulative traffic shares of the tenants, which follow a Zipf distribution.
 func tenantShares(c *files.Callers) (out []float64) {
 	sum := 0.0
 	for i := range c.Count {
@@ -156,6 +159,7 @@
 	return out
 }
 
+// drawWork draws the work of an op, with the mean and the coefficient of variation of w, and at most 20 times the mean.
 func drawWork(rng *rand.Rand, w files.Work) time.Duration {
 	x := rng.ExpFloat64()
 	if w.CV > 0 {
@@ -165,7 +169,7 @@
 	return time.Duration(min(x, 20) * float64(w.Mean))
 }
 
-// meanWork is the mean work of an op.
+// meanWork returns the mean work of an op over all op types.
 func meanWork(l *files.Load) time.Duration {
 	sum, total := 0.0, 0.0
 	for _, w := range l.Works {
@@ -175,98 +179,102 @@
 	return time.Duration(sum / total)
 }
 
-// play sends each op when it is due and returns when all have ended. stop, once closed, ends it early.
-func (s *source) play(from time.Time, stop <-chan struct{}) {
-	s.behind = hdrhistogram.New(1, 60_000_000, 3)
+// play sends each op at its scheduled time and returns when all have ended. Closing stop ends it early, after the ops in
+// flight.
+func (s *loadGenerator) play(from time.Time, stop <-chan struct{}) {
+	s.lag = hdrhistogram.New(1, 60_000_000, 3)
 	for _, o := range s.ops {
-		if wait := time.Until(from.Add(o.at)); wait > 0 {
+		if wait := time.Until(from.Add(o.due)); wait > 0 {
 			select {
 			case <-stop:
-				s.busy.Wait()
+				s.inFlight.Wait()
 				return
 			case <-time.After(wait):
 			}
 		}
-		_ = s.behind.RecordValue(max(1, (time.Since(from) - o.at).Microseconds()))
-		s.busy.Add(1)
+		_ = s.lag.RecordValue(max(1, (time.Since(from) - o.due).Microseconds()))
+		s.inFlight.Add(1)
 		go func() {
-			defer s.busy.Done()
-			s.client(from, o)
+			defer s.inFlight.Done()
+			s.runClient(from, o)
 		}()
 	}
-	s.busy.Wait()
+	s.inFlight.Wait()
 }
 
-// windowUsed is how many tenths of a deduplication window a client repeats its op in. The rest is for the way: a repeat that
-// left in time and came too late takes effect again, which is then its client's doing.
-const windowUsed = 7
+// windowTenthsUsed is the part of a deduplication window, in tenths, in which a client retries. The rest allows for network
+// delay: a retry that leaves within the window and arrives after it takes effect again, which would be the client's fault.
+const windowTenthsUsed = 7
 
-// client is the one who asked for an op: it waits, gives up, tries again where that is safe.
-func (s *source) client(from time.Time, o *op) {
-	t := &s.types[o.opType]
-	c := &s.day.Clients
-	deadline := from.Add(o.at + t.OpTimeout)
-	share := c.TryShare
+// runClient plays the client of an op: it sends tries through a proxy, with a timeout for each, and retries after a backoff
+// where that is safe.
+func (s *loadGenerator) runClient(from time.Time, o *op) {
+	opType := &s.types[o.opType]
+	settings := &s.day.Clients
+	deadline := from.Add(o.due + opType.OpTimeout)
+	share := settings.TryShare
 	if share <= 0 || share > 1 {
 		share = 1
 	}
-	switch o.bad {
-	case badHasty:
-		s.hasty(from, o, deadline)
+	switch o.misbehaviour {
+	case badImpatient:
+		s.runImpatientClient(from, o, deadline)
 		return
-	case badReader:
-		s.slowly(from, o, deadline)
+	case badSlowReader:
+		s.runSlowReader(from, o, deadline)
 		return
 	}
-	first, at := time.Now(), o.proxy
+	firstTry, proxy := time.Now(), o.proxy
 	for {
-		until := time.Now().Add(time.Duration(share * float64(t.OpTimeout)))
-		if until.After(deadline) {
-			until = deadline
+		tryDeadline := time.Now().Add(time.Duration(share * float64(opType.OpTimeout)))
+		if tryDeadline.After(deadline) {
+			tryDeadline = deadline
 		}
 		req := s.request(o)
 		o.tries++
-		a, fail := s.pool.Send(&upstream.Call{}, s.targets[at], req, until, false)
+		answer, fail := s.pool.Send(&upstream.Call{}, s.targets[proxy], req, tryDeadline, false)
 		o.outcome = opAborted
-		refused, wait := false, c.Backoff.Span()
+		refused, wait := false, settings.Backoff.Span()
 		if fail == nil {
-			s.checkSign(o, a)
+			s.checkSignature(o, answer)
 			switch {
-			case a.Status < 300:
+			case answer.Status < 300:
 				o.outcome = opAcked
-			case a.Status == 503:
+			case answer.Status == 503:
 				o.outcome, refused = opRejected, true
-				o.held = o.held || bytes.HasPrefix(a.Body, []byte("the tenant is being moved"))
-				if after, err := strconv.Atoi(string(a.Get("Retry-After"))); err == nil && s.chance() < c.Honour {
+				o.refusedForMove = o.refusedForMove || bytes.HasPrefix(answer.Body, []byte("the tenant is being moved"))
+				if after, err := strconv.Atoi(string(answer.Get("Retry-After"))); err == nil && s.random() < settings.Honour {
 					wait = max(wait, time.Duration(after)*time.Second)
 				}
 			}
-			a.Release()
+			answer.Release()
 		} else if fail.Unrun {
 			refused = true
 		}
 		o.ended = time.Since(from)
-		safe := refused || t.Repeat == control.Retryable ||
-			t.Repeat == control.Deduplicated && time.Since(first)+wait < t.DedupWindow*windowUsed/10
-		if o.outcome == opAcked || !safe || o.tries > c.Retries || time.Now().Add(wait).After(deadline) {
+		safe := refused || opType.Repeat == control.Retryable ||
+			opType.Repeat == control.Deduplicated && time.Since(firstTry)+wait < opType.DedupWindow*windowTenthsUsed/10
+		if o.outcome == opAcked || !safe || o.tries > settings.Retries || time.Now().Add(wait).After(deadline) {
 			return
 		}
-		o.unrefused = o.unrefused || !refused
+		o.retriedUnrefused = o.retriedUnrefused || !refused
 		time.Sleep(wait)
-		if c.Elsewhere > 0 && s.chance() < c.Elsewhere {
-			at = int(s.chance() * float64(len(s.targets)))
+		if settings.Elsewhere > 0 && s.random() < settings.Elsewhere {
+			proxy = int(s.random() * float64(len(s.targets)))
 		}
 	}
 }
 
-func (s *source) chance() float64 {
+// random returns a random number from 0 to 1, for a decision of a client.
+func (s *loadGenerator) random() float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.rng.Float64()
 }
 
-// request writes a try of an op; the first rule of its type's match is met.
-func (s *source) request(o *op) []byte {
+// request returns the encoded request of an op's next try. It matches the op type by the method, path prefix and header of
+// its rule.
+func (s *loadGenerator) request(o *op) []byte {
 	m := s.day.Service.OpTypes[o.opType].Match
 	method, path := "GET", "/"
 	if m.Method != "" {
@@ -275,7 +283,7 @@
 	if m.PathPrefix != "" {
 		path = m.PathPrefix
 	}
-	large := s.large && o.number%largeEach == 0
+	large := s.largeRequests && o.number%largeInterval == 0
 	b := http1.AppendRequest(nil, []byte(method), []byte(sign.Path(path, o.number)))
 	b = http1.AppendField(b, "Host", "results.example")
 	if m.Header != "" {
@@ -286,12 +294,12 @@
 	b = http1.AppendField(b, node.TypeField, strconv.Itoa(o.opType))
 	b = http1.AppendField(b, node.WorkField, strconv.FormatInt(o.work.Microseconds(), 10))
 	if o.tenant > 0 {
-		b = http1.AppendField(b, tenantField, o.whose())
+		b = http1.AppendField(b, tenantHeader, o.tenantName())
 	}
-	switch o.bad {
+	switch o.misbehaviour {
 	case badPoison:
 		b = http1.AppendField(b, node.KillField, "1")
-	case badReader:
+	case badSlowReader:
 		b = http1.AppendField(b, node.SizeField, "262144")
 	}
 	if s.types[o.opType].Repeat == control.Deduplicated {
@@ -301,15 +309,16 @@
 	return http1.AppendBody(b, sign.Body(o.number, large))
 }
 
-// largeEach is how often a request is a large one, over sockets: one in so many.
-const largeEach = 16
+// largeInterval is the interval between large requests: one in so many is large.
+const largeInterval = 16
 
-// checkSign notes an answer that is another op's, and one that blames the request, for each is well formed.
-func (s *source) checkSign(o *op, a *upstream.Answer) {
+// checkSignature records a response that belongs to another op, and any 4xx status, which means that the request was
+// corrupted, because every request is well-formed.
+func (s *loadGenerator) checkSignature(o *op, a *upstream.Answer) {
 	if a.Status >= 400 && a.Status < 500 {
-		s.ledger.Mix(fmt.Sprintf("op %d was answered %d", o.number, a.Status))
+		s.ledger.Mix(fmt.Sprintf("op %d got the response status %d", o.number, a.Status))
 	}
 	if got := a.Get(sign.Field); got != nil && string(got) != strconv.FormatUint(o.number, 10) {
-		s.ledger.Mix(fmt.Sprintf("op %d got the answer of %s", o.number, got))
+		s.ledger.Mix(fmt.Sprintf("op %d got the response to op %s", o.number, got))
 	}
 }
--- a/lab/orders_test.go
+++ b/lab/orders_test.go
@@ -31,98 +31,108 @@
 	"vetchdoor/upstream"
 )
 
-// The events whose orders are played. Each is quick; what it sets going takes its time beside those that follow.
-var happenings = map[string]func(*tiny){
-	"news": func(f *tiny) { // the list gives two endpoints other weights
+// eventActions maps the name of an event to its action. Each returns quickly; its effects overlap with the events that
+// follow.
+var eventActions = map[string]func(*simFleet){
+	"news": func(f *simFleet) { // the list changes the weights of two endpoints
 		f.list.Set(f.entry(0, "ready", 2), f.entry(2, "ready", 1.5))
 	},
-	"drain": func(f *tiny) { // one is told to finish
+	"drain": func(f *simFleet) { // one server starts to drain
 		f.nodes[1].Set(func(t *node.Trouble) { t.Draining = true })
 		f.list.Set(f.entry(1, "draining", 1))
 	},
-	"cold": func(f *tiny) { // one dies and is back cold before anybody knew
+	"cold": func(f *simFleet) { // one server crashes and is back cold before the list has noticed
 		f.nodes[3].Stop()
 		if err := f.nodes[3].Start(true); err != nil {
 			f.t.Error(err)
 		}
 		f.list.Set(f.entry(3, "ready", 1))
 	},
-	"late":   func(f *tiny) { f.late.Store(int64(1500 * time.Millisecond)) }, // sums and confirmations, from now on
-	"broken": func(f *tiny) { f.road(0).BreakWithin(link.Down, 40) },         // in the midst of the next line
-	"rejoin": func(f *tiny) { f.proxies[1].Kill(); f.startProxy(1) },         // as one that knows nothing
-	"restart": func(f *tiny) { // of the pilot that most proxies are with
+	// proxies' reports and confirmations are delayed from now on
+	"late": func(f *simFleet) { f.reportDelay.Store(int64(1500 * time.Millisecond)) },
+	// the connection breaks in the middle of the next line
+	"broken": func(f *simFleet) { f.route(0).BreakWithin(link.Down, 40) },
+	"rejoin": func(f *simFleet) { f.proxies[1].Kill(); f.startProxy(1) }, // one proxy restarts without any state
+	"restart": func(f *simFleet) { // the pilot that most proxies are joined to restarts
 		f.pilots[0].Kill()
 		f.startPilot(0)
 	},
-	"tick": func(f *tiny) { time.Sleep(f.day.Service.ReportEvery.Span()) },
+	"tick": func(f *simFleet) { time.Sleep(f.day.Service.ReportEvery.Span()) },
 }
 
-var names = []string{"news", "drain", "cold", "late", "broken", "rejoin", "restart", "tick"}
+var eventNames = []string{"news", "drain", "cold", "late", "broken", "rejoin", "restart", "tick"}
 
-// tiny is a fleet of real parts on links in memory and a clock that may be a fake one: two pilots, two zones, three proxies,
-// four servers.
-type tiny struct {
-	t       *testing.T
-	day     *files.Day
-	tap     *link.Tap
-	net     *link.Memory
-	ledger  *node.Ledger
-	nodes   []*node.Node
-	list    *stand.Server
-	pilots  []*pilot.Pilot
-	proxies []*proxy.Proxy
-	roads   [3][2]*link.Road
-	lists   [2]*link.Road // from the list to the pilots
-	late    atomic.Int64
-	ops     *source
-	stop    chan struct{}
-	over    chan struct{}
-	plant   breach
+// simFleet is a fleet of real pilots and proxies on in-memory links, usually on the fake clock of a synctest bubble: two
+// pilots, two zones, three proxies and four servers.
+type simFleet struct {
+	t           *testing.T
+	day         *files.Day
+	tap         *link.Tap
+	net         *link.Memory
+	ledger      *node.Ledger
+	nodes       []*node.Node
+	list        *stand.Server
+	pilots      []*pilot.Pilot
+	proxies     []*proxy.Proxy
+	routes      [3][2]*link.Road
+	lists       [2]*link.Road // from the list service to the pilots
+	reportDelay atomic.Int64
+	generator   *loadGenerator
+	stop        chan struct{}
+	loadDone    chan struct{}
+	variant     variant
 }
 
-// breach makes a fleet that breaks a rule, to see that its check notices, or one of other servers. The zero value makes a
-// faithful one of the usual servers.
-type breach struct {
-	servers  []files.NodeAt // of which zones and packs count; nil: four over the zones by turns
-	unlisted int            // so many of the last are not on the list at first
-	tenants  *files.Tenants // of all proxies
+// variant changes a simFleet: it makes the fleet break a rule, to test that rule's check, or gives it other servers. The
+// zero value changes nothing.
+type variant struct {
+	servers  []files.NodeAt // only zone and pack are used; nil for four servers in alternating zones
+	unlisted int            // number of servers at the end of the sequence that are not in the list at first
+	tenants  *files.Tenants // tenant settings of all proxies
 
-	rule    int
-	order   string               // in which it is seen
-	alter   func(*wire.Message)  // what the pilots' messages become on their way
-	day     func(*files.Day)     // what holds
-	believe func(*files.Pilot)   // what pilots take for true
-	trust   func(*files.Service) // what proxies take for true
-	lose    bool                 // nothing comes to the proxies from the second event on
-	trouble func(*node.Trouble)  // of all nodes
-	work    time.Duration        // of each op; 0: the usual
-	every   time.Duration        // comes an op; 0: the usual
+	rule         int
+	events       string               // events, separated by commas, during which the violation is detected
+	alter        func(*wire.Message)  // modifies each pilot message on its way to the proxy
+	day          func(*files.Day)     // changes the settings that the checks use
+	pilotConfig  func(*files.Pilot)   // changes the settings of the pilots
+	proxyService func(*files.Service) // changes the service settings of the proxies
+	losePushes   bool                 // drop all traffic to the proxies from the second event on
+	trouble      func(*node.Trouble)  // sets a fault on all servers
+	work         time.Duration        // work of each op; 0 for the default
+	opInterval   time.Duration        // time between ops; 0 for the default
 }
 
-func tinyDay() *files.Day {
+// simDay returns the settings of a simFleet.
+func simDay() *files.Day {
 	ms := func(n int) files.Duration { return files.Duration(time.Duration(n) * time.Millisecond) }
-	return &files.Day{Service: files.Service{Zones: []string{"a", "b"}, Measures: []string{"cpu_utilization"}, ReportEvery: ms(500),
-		TryShare: 0.8, OutlierAfter: 3, OutlierFor: ms(3000), Bootstrap: 2, CrossZone: 0.08, OpTypes: []files.OpType{
-			{Name: "read", Match: files.Match{PathPrefix: "/read"}, TargetLatency: ms(300), OpTimeout: ms(900), Revenue: 1, Repeat: "retryable"},
+	return &files.Day{Service: files.Service{Zones: []string{"a", "b"}, Measures: []string{"cpu_utilization"},
+		ReportEvery: ms(500),
+		TryShare:    0.8, OutlierAfter: 3, OutlierFor: ms(3000), Bootstrap: 2, CrossZone: 0.08, OpTypes: []files.OpType{
+			{Name: "read", Match: files.Match{PathPrefix: "/read"}, TargetLatency: ms(300), OpTimeout: ms(900), Revenue: 1,
+				Repeat: "retryable"},
 			{Name: "tally", Match: files.Match{PathPrefix: "/tally"}, TargetLatency: ms(300), OpTimeout: ms(900), Revenue: 3,
 				Repeat: "deduplicated", Group: "zone", DedupWindow: ms(1500), Writes: true},
-			{Name: "pay", Match: files.Match{PathPrefix: "/pay"}, TargetLatency: ms(300), OpTimeout: ms(900), Revenue: 5, Repeat: "once-only", Writes: true},
+			{Name: "pay", Match: files.Match{PathPrefix: "/pay"}, TargetLatency: ms(300), OpTimeout: ms(900), Revenue: 5,
+				Repeat: "once-only", Writes: true},
 		}},
-		Limits: files.Limits{EmptyFor: ms(1500), DrainGrace: ms(2000), ColdFor: ms(6000), ColdShare: 0.2, OverloadFactor: 4, FallAfter: ms(2000)},
+		Limits: files.Limits{EmptyFor: ms(1500), DrainGrace: ms(2000), ColdFor: ms(6000), ColdShare: 0.2, OverloadFactor: 4,
+			FallAfter: ms(2000)},
 		Channel: files.Channel{LinesPerSecond: 2000, MessageLines: 3, MostWaiting: 120, MessageCap: 30, MessageCapOver: ms(10000),
 			PushDelayMost: ms(100), ReportLinesPerSecond: 300}}
 }
 
-func newTiny(t *testing.T, plant breach) *tiny {
-	f := &tiny{t: t, day: tinyDay(), ledger: node.NewLedger(), stop: make(chan struct{}), over: make(chan struct{}), plant: plant}
-	if plant.day != nil {
-		plant.day(f.day)
+// newSimFleet builds and starts a simFleet, without load.
+func newSimFleet(t *testing.T, v variant) *simFleet {
+	f := &simFleet{t: t, day: simDay(), ledger: node.NewLedger(), stop: make(chan struct{}), loadDone: make(chan struct{}),
+		variant: v}
+	if v.day != nil {
+		v.day(f.day)
 	}
 	f.tap = link.NewTap(f.ledger.From())
 	f.net = link.NewMemory(f.tap)
 	m := files.Machine{Name: "m", Cores: 1, Speed: [2]float64{1, 1}, Slots: 4, Queue: 20, Connections: 60, ColdShare: 0.2,
 		ColdFor: files.Duration(5 * time.Second), Report: files.Duration(200 * time.Millisecond), Cancels: true}
-	places := plant.servers
+	places := v.servers
 	if places == nil {
 		places = []files.NodeAt{{Zone: "a"}, {Zone: "b"}, {Zone: "a"}, {Zone: "b"}}
 	}
@@ -134,11 +144,11 @@
 		if err := n.Start(false); err != nil {
 			t.Fatal(err)
 		}
-		if f.nodes = append(f.nodes, n); plant.trouble != nil {
-			n.Set(plant.trouble)
+		if f.nodes = append(f.nodes, n); v.trouble != nil {
+			n.Set(v.trouble)
 		}
-		if i < len(places)-plant.unlisted {
-			f.day.Service.WritePacks = withPack(f.day.Service.WritePacks, places[i])
+		if i < len(places)-v.unlisted {
+			f.day.Service.WritePacks = addPack(f.day.Service.WritePacks, places[i])
 			entries = append(entries, f.entry(i, "ready", 1))
 		}
 	}
@@ -157,11 +167,12 @@
 		for j := range f.pilots {
 			hears := time.Duration(7+i) * time.Millisecond
 			r := &link.Road{Name: fmt.Sprintf("stream %d %d", i, j), Target: f.pilots[j].Address(), Ways: [2]link.Way{
-				func() time.Duration { return hears + time.Duration(f.late.Load()) }, steady(time.Duration(40+i) * time.Millisecond)}}
-			if plant.alter != nil {
-				r.Alter = f.altered
+				func() time.Duration { return hears + time.Duration(f.reportDelay.Load()) },
+				steady(time.Duration(40+i) * time.Millisecond)}}
+			if v.alter != nil {
+				r.Alter = f.alterMessages
 			}
-			f.roads[i][j] = r
+			f.routes[i][j] = r
 			f.net.Road(fmt.Sprintf("stream-%d-%d", i, j), r)
 		}
 		f.startProxy(i)
@@ -169,10 +180,12 @@
 	return f
 }
 
+// steady returns a constant delay.
 func steady(d time.Duration) link.Way { return func() time.Duration { return d } }
 
-// altered rewrites the messages of a pilot.
-func (f *tiny) altered(d link.Direction, b []byte) []byte {
+// alterMessages applies the variant's alter function to the pilot messages in b; it returns b unchanged for the other
+// direction.
+func (f *simFleet) alterMessages(d link.Direction, b []byte) []byte {
 	if d == link.Up {
 		return b
 	}
@@ -181,7 +194,7 @@
 	scan.Feed(b)
 	for line, ok, err := scan.Next(); ok && err == nil; line, ok, err = scan.Next() {
 		if m, err := wire.ParseMessage(line[0]); err == nil && line[0].Is("apply") {
-			f.plant.alter(m)
+			f.variant.alter(m)
 			out = m.Append(out)
 			continue
 		}
@@ -191,7 +204,8 @@
 	return out
 }
 
-func (f *tiny) entry(i int, mode string, weight float64) roster.Entry {
+// entry returns the entry with which the list service shows server i.
+func (f *simFleet) entry(i int, mode string, weight float64) roster.Entry {
 	n := f.nodes[i]
 	e := roster.Entry{Endpoint: n.Endpoint(), Address: netip.MustParseAddrPort(n.Address()), Zone: n.At().Zone, Pack: n.At().Pack,
 		Weight: weight, Mode: mode}
@@ -201,14 +215,16 @@
 	return e
 }
 
-func (f *tiny) startPilot(j int) {
+// startPilot starts pilot j, without any state of a previous run.
+func (f *simFleet) startPilot(j int) {
 	d := f.day
-	file := &files.Pilot{Kind: "pilot", Name: fmt.Sprintf("pilot-%d", j), Zone: d.Service.Zones[j], Instance: j, Instances: 2, Proxies: 3,
-		Listen: fmt.Sprintf("10.0.2.%d:80", j+1), Roster: fmt.Sprintf("list-%d", j), Seed: uint64(j + 1), Service: d.Service, Limits: d.Limits,
-		Channel: d.Channel, Silent: files.Duration(3 * time.Second), Resume: files.Duration(time.Second),
+	file := &files.Pilot{Kind: "pilot", Name: fmt.Sprintf("pilot-%d", j), Zone: d.Service.Zones[j], Instance: j, Instances: 2,
+		Proxies: 3,
+		Listen:  fmt.Sprintf("10.0.2.%d:80", j+1), Roster: fmt.Sprintf("list-%d", j), Seed: uint64(j + 1), Service: d.Service,
+		Limits: d.Limits, Channel: d.Channel, Silent: files.Duration(3 * time.Second), Resume: files.Duration(time.Second),
 		LeaveWithin: files.Duration(time.Second), Peers: []files.Peer{{Instance: 1 - j, Address: fmt.Sprintf("10.0.2.%d:80", 2-j)}}}
-	if f.plant.believe != nil {
-		f.plant.believe(file)
+	if f.variant.pilotConfig != nil {
+		f.variant.pilotConfig(file)
 	}
 	p, err := pilot.New(file, slog.New(slog.DiscardHandler))
 	if err != nil {
@@ -221,27 +237,30 @@
 	f.pilots[j] = p
 }
 
-// proxyService is what every proxy takes for the service.
-func (f *tiny) proxyService() files.Service {
+// proxyService returns the service settings of the proxies.
+func (f *simFleet) proxyService() files.Service {
 	s := f.day.Service
-	if f.plant.trust != nil {
+	if f.variant.proxyService != nil {
 		s.OpTypes = slices.Clone(s.OpTypes)
-		f.plant.trust(&s)
+		f.variant.proxyService(&s)
 	}
 	return s
 }
 
-func (f *tiny) startProxy(i int) {
+// startProxy starts proxy i, whose standing table holds the endpoints that are ready in the list now.
+func (f *simFleet) startProxy(i int) {
 	d := f.day
-	file := &files.Proxy{Kind: "proxy", ID: uint16(i), Zone: d.Service.Zones[i%2], Listen: fmt.Sprintf("10.0.1.%d:80", i+1), Rate: 12,
-		Service: f.proxyService(), Redial: files.Duration(100 * time.Millisecond), Silent: files.Duration(4 * time.Second), Seed: uint64(i + 1),
-		Tenants: f.plant.tenants}
+	file := &files.Proxy{Kind: "proxy", ID: uint16(i), Zone: d.Service.Zones[i%2], Listen: fmt.Sprintf("10.0.1.%d:80", i+1),
+		Rate:    12,
+		Service: f.proxyService(), Redial: files.Duration(100 * time.Millisecond), Silent: files.Duration(4 * time.Second),
+		Seed: uint64(i + 1), Tenants: f.variant.tenants}
 	for j := range 2 {
 		file.Pilots = append(file.Pilots, files.PilotAddress{Address: fmt.Sprintf("stream-%d-%d", i, j), Zone: d.Service.Zones[j]})
 	}
 	for _, e := range f.list.Entries() {
 		if e.Mode == "ready" {
-			file.Servers = append(file.Servers, files.StandingServer{Endpoint: uint32(e.Endpoint), Address: e.Address.String(), Zone: e.Zone, Pack: e.Pack, Weight: e.Weight})
+			file.Servers = append(file.Servers, files.StandingServer{Endpoint: uint32(e.Endpoint), Address: e.Address.String(),
+				Zone: e.Zone, Pack: e.Pack, Weight: e.Weight})
 		}
 	}
 	p, err := proxy.New(file, slog.New(slog.DiscardHandler))
@@ -255,31 +274,33 @@
 	f.proxies[i] = p
 }
 
-// road is the one that a proxy's stream is on.
-func (f *tiny) road(i int) *link.Road { return f.roads[i][i%2] }
+// route returns the route to the pilot of proxy i's own zone.
+func (f *simFleet) route(i int) *link.Road { return f.routes[i][i%2] }
 
-// load has ops come to each proxy from now on.
-func (f *tiny) load(span time.Duration) {
-	f.ops = &source{day: f.day, ledger: f.ledger, types: f.day.Service.Types(), rng: rand.New(rand.NewPCG(1, 3)),
+// load starts a steady load of ops on all proxies for the given time.
+func (f *simFleet) load(span time.Duration) {
+	f.generator = &loadGenerator{day: f.day, ledger: f.ledger, types: f.day.Service.Types(), rng: rand.New(rand.NewPCG(1, 3)),
 		pool: &upstream.Pool{PerServer: 64, IdleClose: 5 * time.Second, Bounds: http1.Usual, Net: f.net}}
 	for i := range f.proxies {
-		f.ops.targets = append(f.ops.targets, fmt.Sprintf("10.0.1.%d:80", i+1))
+		f.generator.targets = append(f.generator.targets, fmt.Sprintf("10.0.1.%d:80", i+1))
 	}
-	for at := time.Duration(0); at < span; at += cmp.Or(f.plant.every, 97*time.Millisecond) {
-		n := len(f.ops.ops)
-		f.ops.ops = append(f.ops.ops, &op{at: at, number: uint64(n + 1), proxy: n % 3, opType: n / 3 % 3, work: cmp.Or(f.plant.work, 8*time.Millisecond)})
+	for at := time.Duration(0); at < span; at += cmp.Or(f.variant.opInterval, 97*time.Millisecond) {
+		n := len(f.generator.ops)
+		f.generator.ops = append(f.generator.ops, &op{due: at, number: uint64(n + 1), proxy: n % 3, opType: n / 3 % 3,
+			work: cmp.Or(f.variant.work, 8*time.Millisecond)})
 	}
 	go func() {
-		defer close(f.over)
-		f.ops.play(time.Now(), f.stop)
+		defer close(f.loadDone)
+		f.generator.play(time.Now(), f.stop)
 	}()
 }
 
-// check returns the rules that are broken by now.
-func (f *tiny) check() []Violation {
-	e := &evidence{service: &f.day.Service, limits: &f.day.Limits, channel: &f.day.Channel, from: f.ledger.From(), passed: f.tap.All(),
-		arrivals: f.ledger.Arrivals(), falls: f.ledger.Falls(), mixed: f.ledger.Mixed(), until: time.Since(f.ledger.From())}
-	h, err := e.read(2)
+// check returns the violations so far. It does not check the effects of ops.
+func (f *simFleet) check() []Violation {
+	e := &evidence{service: &f.day.Service, limits: &f.day.Limits, channel: &f.day.Channel, start: f.ledger.From(),
+		traffic:  f.tap.All(),
+		arrivals: f.ledger.Arrivals(), coldCrashes: f.ledger.Falls(), mixups: f.ledger.Mixed(), end: time.Since(f.ledger.From())}
+	h, err := e.reconstruct(2)
 	if err != nil {
 		f.t.Error(err)
 		return nil
@@ -287,15 +308,16 @@
 	return e.check(h)
 }
 
-// joined tells whether all proxies have a pilot.
-func (f *tiny) joined() bool {
+// joined reports whether all proxies are joined to a pilot.
+func (f *simFleet) joined() bool {
 	return !slices.ContainsFunc(f.proxies, func(p *proxy.Proxy) bool { return !strings.Contains(p.Info(), "\nJoined: true\n") })
 }
 
-func (f *tiny) close() {
+// close ends the load and stops all parts.
+func (f *simFleet) close() {
 	close(f.stop)
-	<-f.over
-	f.ops.pool.Close()
+	<-f.loadDone
+	f.generator.pool.Close()
 	for _, p := range f.proxies {
 		p.Kill()
 	}
@@ -308,11 +330,11 @@
 	}
 }
 
-// inTiny runs a function in a bubble of its own, on a fleet that has been under load for two seconds.
-func inTiny(t *testing.T, plant breach, run func(f *tiny)) {
+// withSimFleet runs a function in a synctest bubble of its own, on a fleet that has been under load for two seconds.
+func withSimFleet(t *testing.T, v variant, run func(f *simFleet)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		f := newTiny(t, plant)
+		f := newSimFleet(t, v)
 		defer f.close()
 		f.load(time.Minute)
 		time.Sleep(2 * time.Second)
@@ -320,51 +342,52 @@
 	})
 }
 
-// playOrder plays an order in a bubble of its own and returns what broke, and after which event; each rule is checked after
-// each event and at the end, by when all proxies must be joined.
-func playOrder(t *testing.T, events []string, plant breach) (broken []Violation, after string) {
-	inTiny(t, plant, func(f *tiny) {
+// playOrder plays a sequence of events in a synctest bubble of its own. It returns the violations and the event after which
+// they were found; the rules are checked after each event and at the end, by which time all proxies must be joined.
+func playOrder(t *testing.T, events []string, v variant) (violations []Violation, lastEvent string) {
+	withSimFleet(t, v, func(f *simFleet) {
 		t := f.t
 		for i, name := range events {
-			if plant.lose && i == 1 {
-				for _, r := range f.roads {
+			if v.losePushes && i == 1 {
+				for _, r := range f.routes {
 					r[0].Lose(link.Down)
 					r[1].Lose(link.Down)
 				}
 			}
-			happenings[name](f)
+			eventActions[name](f)
 			time.Sleep(130 * time.Millisecond)
-			if broken, after = f.check(), name; len(broken) > 0 {
+			if violations, lastEvent = f.check(), name; len(violations) > 0 {
 				return
 			}
 		}
 		time.Sleep(3 * time.Second)
-		for end := time.Now().Add(8 * time.Second); plant.rule == 0 && !f.joined(); time.Sleep(200 * time.Millisecond) {
+		for end := time.Now().Add(8 * time.Second); v.rule == 0 && !f.joined(); time.Sleep(200 * time.Millisecond) {
 			if time.Now().After(end) {
-				t.Errorf("-order %s: not all are joined at the end", strings.Join(events, ","))
+				t.Errorf("-order %s: not all proxies are joined at the end", strings.Join(events, ","))
 				break
 			}
 		}
-		broken, after = f.check(), "the end"
-		if *one != "" || plant.rule > 0 {
-			t.Logf("%d arrivals, %d effects, %d falls, %d pieces", len(f.ledger.Arrivals()), len(f.ledger.Effects()), len(f.ledger.Falls()), len(f.tap.All()))
+		violations, lastEvent = f.check(), "the end"
+		if *orderFlag != "" || v.rule > 0 {
+			t.Logf("%d arrivals, %d effects, %d cold nodes failed, %d pieces of traffic", len(f.ledger.Arrivals()),
+				len(f.ledger.Effects()), len(f.ledger.Falls()), len(f.tap.All()))
 			for _, p := range f.proxies {
 				t.Log(p.Info(), p.Stat())
 			}
 		}
-		// Clients try once here, so that no effect beyond the first of an op is theirs.
-		e := &evidence{service: &f.day.Service, arrivals: f.ledger.Arrivals(), effects: f.ledger.Effects(), ops: f.ops.ops}
-		if all := len(e.doublings()); all > 0 {
-			broken = append(broken, Violation{2, time.Since(f.ledger.From()), fmt.Sprintf("%d effects were repeated", all)})
+		// Clients do not retry here, so the proxies cause every effect beyond an op's first.
+		e := &evidence{service: &f.day.Service, arrivals: f.ledger.Arrivals(), effects: f.ledger.Effects(), ops: f.generator.ops}
+		if all := len(e.duplicates()); all > 0 {
+			violations = append(violations, Violation{2, time.Since(f.ledger.From()), fmt.Sprintf("%d duplicate effects", all)})
 		}
 	})
-	return broken, after
+	return violations, lastEvent
 }
 
-var one = flag.String("order", "", "the one order of events that TestEveryOrder plays, by commas")
+var orderFlag = flag.String("order", "", "the only order of events that TestEveryOrder plays, separated by commas")
 
-// arrange calls f with every order of n of the names.
-func arrange(of []string, n int, f func([]string)) {
+// permutations calls f with every ordered selection of n names.
+func permutations(of []string, n int, f func([]string)) {
 	var in []string
 	var next func()
 	next = func() {
@@ -383,18 +406,19 @@
 	next()
 }
 
-// Every order of four, five and six of the events keeps each rule after each of them.
+// TestEveryOrder guards against violations that depend on the order of events: it plays every sequence of four, five and
+// six different events and checks the rules after each event.
 func TestEveryOrder(t *testing.T) {
 	var orders [][]string
-	keep := func(o []string) { orders = append(orders, o) }
-	if *one != "" {
-		keep(strings.Split(*one, ","))
+	add := func(o []string) { orders = append(orders, o) }
+	if *orderFlag != "" {
+		add(strings.Split(*orderFlag, ","))
 	} else {
 		for n := 4; n <= 6; n++ {
-			arrange(names, n, keep)
+			permutations(eventNames, n, add)
 		}
 	}
-	defer debug.SetGCPercent(debug.SetGCPercent(400)) // much is made and little kept
+	defer debug.SetGCPercent(debug.SetGCPercent(400)) // fleets leave much garbage and little live memory
 	begin := time.Now()
 	var mu sync.Mutex
 	next, failed := 0, 0
@@ -409,7 +433,7 @@
 				if i >= len(orders) {
 					return
 				}
-				if broken, after := playOrder(t, orders[i], breach{}); len(broken) > 0 {
+				if broken, after := playOrder(t, orders[i], variant{}); len(broken) > 0 {
 					mu.Lock()
 					failed++
 					mu.Unlock()
@@ -419,48 +443,57 @@
 		})
 	}
 	busy.Wait()
-	said := fmt.Sprintf("%d orders played in %v, %d broke a rule\n", len(orders), time.Since(begin).Round(time.Second), failed)
-	fmt.Print(said)
-	if path := os.Getenv("ORDERS_PLAYED"); path != "" { // go test keeps to itself what a package that passes prints
-		if err := os.WriteFile(path, []byte(said), 0o600); err != nil {
+	summary := fmt.Sprintf("%d orders played in %v, %d broke a rule\n", len(orders), time.Since(begin).Round(time.Second), failed)
+	fmt.Print(summary)
+	if path := os.Getenv("ORDERS_PLAYED"); path != "" { // go test does not show the output of a package that passes
+		if err := os.WriteFile(path, []byte(summary), 0o600); err != nil {
 			t.Error(err)
 		}
 	}
 }
 
-// Each rule's check notices a fleet that breaks that rule, and no other rule is said to be broken by it first.
+// TestOrdersSeeBreaches guards against checks that detect nothing: each variant of the fleet breaks one rule, and the check
+// of that rule must be the first to report a violation.
 func TestOrdersSeeBreaches(t *testing.T) {
-	service := func(change func(*files.Channel)) func(*files.Day) {
+	channel := func(change func(*files.Channel)) func(*files.Day) {
 		return func(d *files.Day) { change(&d.Channel) }
 	}
-	loose := func(f *files.Pilot) {
+	fastChannel := func(f *files.Pilot) {
 		f.Channel = files.Channel{LinesPerSecond: 50000, MessageLines: 3, MostWaiting: 5000, ReportLinesPerSecond: 300}
 	}
-	for name, b := range map[string]breach{
-		"tables without a line": {rule: 1, order: "tick,cold,tick,tick", alter: func(m *wire.Message) {
-			m.Changes = slices.DeleteFunc(m.Changes, func(c wire.Change) bool { return c.Verb == wire.AddServer || c.Verb == wire.AdoptTable })
+	for name, b := range map[string]variant{
+		"tables without a server": {rule: 1, events: "tick,cold,tick,tick", alter: func(m *wire.Message) {
+			m.Changes = slices.DeleteFunc(m.Changes, func(c wire.Change) bool {
+				return c.Verb == wire.AddServer ||
+					c.Verb == wire.AdoptTable
+			})
 		}},
-		"tried again after it may have run": {rule: 2, order: "tick,tick,tick,tick", alter: func(m *wire.Message) {
+		"retried after it may have run": {rule: 2, events: "tick,tick,tick,tick", alter: func(m *wire.Message) {
 			for i := range m.Changes {
 				if m.Changes[i].Verb == wire.SetLevel {
 					m.Changes[i].Again = control.OnceMore
 				}
 			}
-		}, trust: func(s *files.Service) { s.OpTypes[2].Repeat = "retryable" }, trouble: func(t *node.Trouble) { t.Lost = 0.3 }},
-		"withdrawals that never come": {rule: 3, order: "tick,drain,tick,tick,tick", lose: true, every: 40 * time.Millisecond},
-		"a cold one at its whole weight": {rule: 4, order: "tick,cold,tick,tick", work: 60 * time.Millisecond, every: 20 * time.Millisecond, day: func(d *files.Day) {
-			d.Limits.OverloadFactor, d.Limits.DrainGrace = 1, files.Duration(100*time.Millisecond)
-			d.Service.OpTypes[1].Group = "all" // so that its cell alone loads the cold one
-		}, believe: func(f *files.Pilot) { f.Limits = tinyDay().Limits; f.Limits.ColdFor = 0 }},
-		"more lines than may wait": {rule: 5, order: "tick,tick,tick,tick", believe: func(f *files.Pilot) {
+		}, proxyService: func(s *files.Service) { s.OpTypes[2].Repeat = "retryable" },
+			trouble: func(t *node.Trouble) { t.Lost = 0.3 }},
+		"withdrawals that are never delivered": {rule: 3, events: "tick,drain,tick,tick,tick", losePushes: true,
+			opInterval: 40 * time.Millisecond},
+		"cold server at its full weight": {rule: 4, events: "tick,cold,tick,tick", work: 60 * time.Millisecond,
+			opInterval: 20 * time.Millisecond, day: func(d *files.Day) {
+				d.Limits.OverloadFactor, d.Limits.DrainGrace = 1, files.Duration(100*time.Millisecond)
+				d.Service.OpTypes[1].Group = "all" // so that only the cell of the cold server sends load to it
+			}, pilotConfig: func(f *files.Pilot) { f.Limits = simDay().Limits; f.Limits.ColdFor = 0 }},
+		"more lines queued than allowed": {rule: 5, events: "tick,tick,tick,tick", pilotConfig: func(f *files.Pilot) {
 			f.Channel.LinesPerSecond, f.Channel.MostWaiting = 100, 500
-		}, day: service(func(c *files.Channel) { c.MostWaiting = 5 })},
-		"more messages than the cap": {rule: 5, order: "news,drain,cold,tick", believe: loose, day: service(func(c *files.Channel) { c.MessageCap = 2 })},
-		"lines faster than the pace": {rule: 5, order: "rejoin,restart,cold,tick", believe: loose, day: service(func(c *files.Channel) { c.LinesPerSecond = 5 })},
+		}, day: channel(func(c *files.Channel) { c.MostWaiting = 5 })},
+		"more messages than the cap": {rule: 5, events: "news,drain,cold,tick", pilotConfig: fastChannel,
+			day: channel(func(c *files.Channel) { c.MessageCap = 2 })},
+		"lines faster than the limit": {rule: 5, events: "rejoin,restart,cold,tick", pilotConfig: fastChannel,
+			day: channel(func(c *files.Channel) { c.LinesPerSecond = 5 })},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if broken, after := playOrder(t, strings.Split(b.order, ","), b); len(broken) == 0 || broken[0].Rule != b.rule {
-				t.Errorf("rule %d was to be broken, after %s: %+v", b.rule, after, broken)
+			if broken, after := playOrder(t, strings.Split(b.events, ","), b); len(broken) == 0 || broken[0].Rule != b.rule {
+				t.Errorf("no violation of rule %d first, after %s: %+v", b.rule, after, broken)
 			}
 		})
 	}
--- a/lab/packs.go
+++ b/lab/packs.go
@@ -9,16 +9,16 @@
 	"vetchdoor/tenancy"
 )
 
-// packsOf are the packs of nodes, by zone, as settings name them.
-func packsOf(nodes []*node.Node) (packs map[string][]int) {
+// packsByZone returns the packs of the nodes by zone, in the form of the write_packs setting.
+func packsByZone(nodes []*node.Node) (packs map[string][]int) {
 	for _, n := range nodes {
-		packs = withPack(packs, n.At())
+		packs = addPack(packs, n.At())
 	}
 	return packs
 }
 
-// withPack adds a node's pack to those of the settings.
-func withPack(packs map[string][]int, at files.NodeAt) map[string][]int {
+// addPack adds a node's pack to packs and returns it; packs may be nil.
+func addPack(packs map[string][]int, at files.NodeAt) map[string][]int {
 	if packs == nil {
 		packs = map[string][]int{}
 	}
@@ -28,26 +28,26 @@
 	return packs
 }
 
-// changePacks has writes go to the packs of spare nodes too, from then on, in the two steps that operators take: all proxies are
-// killed one after the other and come back with both the old packs and the new ones, and after the longest write and window again,
-// with the new ones alone. Both rolls and the wait between them take the trouble's length.
+// changePacks extends the packs that take writes by those of the spare nodes, in the two steps that operators follow: a
+// rolling restart of the proxies with both the old and the new packs configured, then, after the longest write and
+// deduplication window, another one with the new packs alone. Both restarts and the wait between them take t.Length.
 func (f *fleet) changePacks(t *files.Trouble) {
 	down := time.Duration(max(t.Extra, 0.2) * float64(time.Second))
 	write, window := tenancy.Needs(f.day.Service.Types(), f.day.Service.WriteLife.Span())
 	roll := max(0, (t.Length.Span()-write-window)/2-down)
-	all := packsOf(slices.Concat(f.nodes, f.spare))
+	all := packsByZone(slices.Concat(f.nodes, f.spare))
 	second := t.At.Span() + roll + down + write + window
-	for i, at := range f.proxies {
-		turn := roll * time.Duration(i) / time.Duration(len(f.proxies))
-		f.later(t.At.Span()+turn, func() { f.killProxy(i) })
-		f.later(t.At.Span()+turn+down, func() {
-			at.file.Service.WritePacksNext = all
-			f.reviveProxy(i)
+	for i, instance := range f.proxies {
+		offset := roll * time.Duration(i) / time.Duration(len(f.proxies))
+		f.schedule(t.At.Span()+offset, func() { f.killProxy(i) })
+		f.schedule(t.At.Span()+offset+down, func() {
+			instance.file.Service.WritePacksNext = all
+			f.restartProxy(i)
 		})
-		f.later(second+turn, func() { f.killProxy(i) })
-		f.later(second+turn+down, func() {
-			at.file.Service.WritePacks, at.file.Service.WritePacksNext = all, nil
-			f.reviveProxy(i)
+		f.schedule(second+offset, func() { f.killProxy(i) })
+		f.schedule(second+offset+down, func() {
+			instance.file.Service.WritePacks, instance.file.Service.WritePacksNext = all, nil
+			f.restartProxy(i)
 		})
 	}
 }
--- a/lab/realtime_test.go
+++ b/lab/realtime_test.go
@@ -7,17 +7,17 @@
 	"vetchdoor/files"
 )
 
-// coresPerDay is what a day in real time may take of the machine, the race detector's part included.
+// coresPerDay is the number of cores that one day in real time may need, under the race detector too.
 const coresPerDay = 8
 
-// realTime admits days that are played in real time: side by side, on a machine that has other work too, they make each other
-// late, and what is late breaks the spans that a day states.
-var realTime = make(chan struct{}, max(1, runtime.GOMAXPROCS(0)/coresPerDay))
+// realTimeSlots limits how many days are played in real time at once: too many at once delay each other, and the delays
+// break the time limits of the days.
+var realTimeSlots = make(chan struct{}, max(1, runtime.GOMAXPROCS(0)/coresPerDay))
 
-// playDay plays a day in real time once there is room for it.
+// playDay plays a day in real time once a slot is free.
 func playDay(t *testing.T, day *files.Day, o Options) (*Report, error) {
 	t.Helper()
-	realTime <- struct{}{}
-	defer func() { <-realTime }()
+	realTimeSlots <- struct{}{}
+	defer func() { <-realTimeSlots }()
 	return Run(t.Context(), day, o)
 }
--- a/lab/records_test.go
+++ b/lab/records_test.go
@@ -14,27 +14,27 @@
 	"vetchdoor/syslog"
 )
 
-// A bad evening is read back: every withdrawal that went over a stream has its record, with a reason and what the proxies
-// said, and no record is missing.
-func TestEveningReadBack(t *testing.T) {
+// TestRecordsOfWithdrawals plays a shortened bad evening and reads its log back. It guards against decisions that are
+// missing from the log: every withdrawal that crossed a stream must have a record with a reason, and no record may be lost.
+func TestRecordsOfWithdrawals(t *testing.T) {
 	t.Parallel()
 	d, err := days.Read(days.Default)
 	if err != nil {
 		t.Fatal(err)
 	}
-	part := float64(12*s) / float64(d.Length)
+	scale := float64(12*sec) / float64(d.Length)
 	for i := range d.Troubles {
 		x := &d.Troubles[i]
-		x.At, x.Length = files.Duration(float64(x.At)*part), files.Duration(float64(x.Length)*part)
+		x.At, x.Length = files.Duration(float64(x.At)*scale), files.Duration(float64(x.Length)*scale)
 	}
-	d.Length = files.Duration(12 * s)
+	d.Length = files.Duration(12 * sec)
 	path := filepath.Join(t.TempDir(), "log")
 	out, err := syslog.Start(syslog.Route{Network: "file", Address: path, Buffer: 1 << 16}, slog.New(slog.DiscardHandler), 1, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var fl *fleet
-	o := Options{Log: slog.New(slog.DiscardHandler), begin: func(f *fleet) { fl = f },
+	var played *fleet
+	o := Options{Log: slog.New(slog.DiscardHandler), beforeLoad: func(f *fleet) { played = f },
 		Records: slog.New(syslog.NewHandler(out, syslog.Identity{App: "vetchdoor-pilot", Rate: 1e6}))}
 	if _, err := playDay(t, d, o); err != nil {
 		t.Fatal(err)
@@ -61,37 +61,40 @@
 		node string
 		out  string
 	}
-	why := map[key]int{}
+	reasons := map[key]int{}
 	for _, e := range b.Entries {
-		if e.Params[record.Why] == "" && (e.Kind == record.Withdrawal || e.Kind == record.Line || e.Kind == record.Bind || e.Kind == record.Level) {
-			t.Errorf("no reason: %s", e.Raw)
+		if e.Params[record.Why] == "" && (e.Kind == record.Withdrawal || e.Kind == record.Line || e.Kind == record.Bind ||
+			e.Kind == record.Level) {
+			t.Errorf("record without a reason: %s", e.Raw)
 		}
 		if e.Kind == record.Withdrawal {
-			why[key{e.Run, e.Params[record.Node], e.Params[record.Out]}]++
+			reasons[key{e.Run, e.Params[record.Node], e.Params[record.Out]}]++
 		}
 	}
-	e := &evidence{service: &d.Service, limits: &d.Limits, channel: &d.Channel, from: fl.ledger.From(), passed: fl.tap.All(), until: 1 << 50}
-	h, err := e.read(len(fl.pilots))
+	e := &evidence{service: &d.Service, limits: &d.Limits, channel: &d.Channel, start: played.ledger.From(),
+		traffic: played.tap.All(), end: 1 << 50}
+	h, err := e.reconstruct(len(played.pilots))
 	if err != nil {
 		t.Fatal(err)
 	}
-	seen := 0
+	withdrawals := 0
 	for _, x := range h.streams {
 		for _, m := range x.messages {
 			for _, c := range m.Changes {
 				if c.Verb != runtime.SetState || !c.Out {
 					continue
 				}
-				seen++
-				if why[key{m.Run, "e" + uintText(uint64(c.Endpoint)), "true"}] == 0 {
-					t.Errorf("run %d, e%d was withdrawn, and no record says why", m.Run, c.Endpoint)
+				withdrawals++
+				if reasons[key{m.Run, "e" + formatUint(uint64(c.Endpoint)), "true"}] == 0 {
+					t.Errorf("run %d: no record of the withdrawal of e%d", m.Run, c.Endpoint)
 				}
 			}
 		}
 	}
-	if seen == 0 {
-		t.Error("nothing was withdrawn on a bad evening")
+	if withdrawals == 0 {
+		t.Error("no withdrawal in the traffic of a bad evening")
 	}
 }
 
-func uintText(n uint64) string { return slog.Uint64Value(n).String() }
+// formatUint formats n in decimal.
+func formatUint(n uint64) string { return slog.Uint64Value(n).String() }
--- a/lab/repeats_days_test.go
+++ b/lab/repeats_days_test.go
@@ -8,14 +8,14 @@
 	"vetchdoor/lab/days"
 )
 
-// repeatingDay is a short day on which half of the nodes lose half of their answers, and half of the repeats that clients then
-// send go through another proxy.
+// repeatingDay returns a short day on which half of the nodes lose half of their responses, and half of the clients'
+// retries go through another proxy.
 func repeatingDay(t *testing.T) *files.Day {
 	d, err := days.Read("moving-evening")
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.Length = files.Duration(7 * s)
+	d.Length = files.Duration(7 * sec)
 	d.Load.Tenants.Moves = false
 	d.Load.Tenants.Count = 30
 	d.Load.Works[1].Share = 2
@@ -24,7 +24,7 @@
 	return d
 }
 
-// repeatingDays are forms of that day.
+// repeatingDays are variants of that day.
 var repeatingDays = []struct {
 	name   string
 	change func(d *files.Day)
@@ -37,20 +37,22 @@
 		d.Service.OpTypes[1].Group = "zone"
 		d.Load.Tenants.Subset = 3
 	}},
-	{"one zone, subset 3, a pilot dead for a second", func(d *files.Day) {
+	{"one zone, subset 3, pilot down for a second", func(d *files.Day) {
 		d.Load.Tenants.Subset = 3
-		d.Troubles = append(d.Troubles, files.Trouble{Kind: "balancer_crash", At: files.Duration(2 * s), Length: files.Duration(s), Part: 1, Extra: 1})
+		d.Troubles = append(d.Troubles, files.Trouble{Kind: "balancer_crash", At: files.Duration(2 * sec),
+			Length: files.Duration(sec), Part: 1, Extra: 1})
 	}},
-	{"one zone, subset 3, growth and a change of the packs", func(d *files.Day) {
-		d.Length = files.Duration(10 * s)
+	{"one zone, subset 3, growth and a change of write packs", func(d *files.Day) {
+		d.Length = files.Duration(10 * sec)
 		d.Fleet.Spare = 6
 		d.Load.Tenants.Subset = 3
-		d.Troubles = append(d.Troubles, files.Trouble{Kind: "grow", At: files.Duration(s / 2), Length: files.Duration(s)},
-			files.Trouble{Kind: "change_packs", At: files.Duration(2 * s), Length: files.Duration(6 * s)})
+		d.Troubles = append(d.Troubles, files.Trouble{Kind: "grow", At: files.Duration(sec / 2), Length: files.Duration(sec)},
+			files.Trouble{Kind: "change_packs", At: files.Duration(2 * sec), Length: files.Duration(6 * sec)})
 	}},
 }
 
-// A write that its client repeats in its window takes effect once, whichever proxies the tries go through.
+// TestRepeatsAnywhere guards against duplicate effects: a deduplicated write that its client retries within the window
+// takes effect once, whichever proxies the tries go through.
 func TestRepeatsAnywhere(t *testing.T) {
 	t.Parallel()
 	for _, c := range repeatingDays {
@@ -63,14 +65,15 @@
 			}
 			const fewest = 300
 			if r.Effects < fewest {
-				t.Errorf("%d effects, at least %d show something", r.Effects, fewest)
+				t.Errorf("%d effects, need at least %d for a meaningful result", r.Effects, fewest)
 			}
 			for _, b := range r.Violations {
 				if b.Rule == 2 {
 					t.Errorf("%+v", b)
 				}
 			}
-			t.Logf("%d of %d effects doubled against rule 2, %d otherwise; generator behind by %v at p99", r.RuleTwoDuplicates, r.Effects, r.DuplicateEffects-r.RuleTwoDuplicates,
+			t.Logf("%d of %d effects duplicate against rule 2, %d otherwise; load generator late by %v at p99", r.RuleTwoDuplicates,
+				r.Effects, r.DuplicateEffects-r.RuleTwoDuplicates,
 				r.GeneratorLagP99)
 		})
 	}
--- a/lab/repeats_test.go
+++ b/lab/repeats_test.go
@@ -14,117 +14,118 @@
 	"vetchdoor/upstream"
 )
 
-// A client sends a write that servers deduplicate and loses its answer, for the connection to the proxy breaks; it repeats the
-// write with the same key, inside the window, through another proxy or the same one. Whatever the proxies' tables hold, the write
-// takes effect once.
+// The tests below guard against duplicate effects of deduplicated writes. The connection between client and proxy breaks
+// before the response arrives, and the client repeats the write with the same key, within the window, through another proxy
+// or the same one. The write must take effect once, whatever the tables of the proxies hold.
 
 const (
 	repeatedWrites = 40
-	refusedMost    = 0                // so many repeats may be refused whose group their proxy reaches
-	repeatWindow   = 20 * time.Second // far longer than a case takes from its first try to its last repeat
-	firstRepeated  = 1_000_000        // the number of a case's first write, beyond those of the load
-	tallyType      = 1                // the place of the op type whose repeats are dropped
+	maxRefused     = 0                // number of repeats that a proxy may refuse although it reaches the group of the first try
+	repeatWindow   = 20 * time.Second // far longer than the time from the first try of a case to its last repeat
+	firstRepeated  = 1_000_000        // number of a case's first write, above the numbers of the load's ops
+	tallyType      = 1                // index of the op type whose repeats the servers drop
 )
 
-// repeatCase is a fleet and the proxies through which a write goes first and again.
+// repeatCase describes a fleet and the proxies through which a write is tried first and repeated.
 type repeatCase struct {
 	name          string
-	group         string // of servers that drop each other's repeats
+	group         string // dedup group: servers that drop each other's repeats
 	crossZone     float64
 	servers       []files.NodeAt
 	unlisted      int
 	tenants       *files.Tenants
 	first, second int
-	before        func(f *tiny) // the first tries; may be nil
-	between       func(f *tiny) // them and the repeats; may be nil
-	tablesDiffer  bool          // what the first proxy's holds at the first tries, and the second one's at the repeats
+	before        func(f *simFleet) // runs before the first tries; may be nil
+	between       func(f *simFleet) // runs between the first tries and the repeats; may be nil
+	tablesDiffer  bool              // whether the two proxies must use different tables, at the first tries and at the repeats
 }
 
-// repeatsSeen is what came of a case's writes.
-type repeatsSeen struct {
+// repeatOutcome counts what happened to a case's repeats.
+type repeatOutcome struct {
 	doubled   int
-	refused   int // repeats, by a proxy that reaches the group of the first try
-	unreached int // repeats refused by one that does not
+	refused   int // repeats refused by a proxy that reaches the group of the first try
+	unreached int // repeats refused by a proxy that does not reach it
 }
 
-// Prices of crossing zones: at the one a cell spans both zones, so that all proxies go by equal tables; at the other each zone has
-// a cell of its own.
+// Prices of crossing zones. With oneTable a cell spans both zones and all proxies use equal tables; with tablesByZone each
+// zone has a cell of its own.
 const (
 	oneTable     = 0
 	tablesByZone = 0.08
 )
 
-// packs places so many servers in packs of their own, each zone's numbered from 0.
-func packs(n int) (out []files.NodeAt) {
+// serversInPacks returns n servers in alternating zones, each in a pack of its own, numbered from 0 in each zone.
+func serversInPacks(n int) (out []files.NodeAt) {
 	for i := range n {
 		out = append(out, files.NodeAt{Zone: string(rune('a' + i%2)), Pack: i / 2})
 	}
 	return out
 }
 
-// subsets give each tenant so many pods.
-func subsets(of int) *files.Tenants { return &files.Tenants{Header: tenantField, Subset: of} }
+// withSubset returns tenant settings under which each tenant may use the given number of pods.
+func withSubset(of int) *files.Tenants { return &files.Tenants{Header: tenantHeader, Subset: of} }
 
-// play plays the case: all first tries, whose answers are lost, and then all repeats.
-func (c repeatCase) play(t *testing.T, seen *repeatsSeen) {
-	inTiny(t, breach{servers: c.servers, unlisted: c.unlisted, tenants: c.tenants, day: func(d *files.Day) {
+// play sends all first tries, whose responses are lost, and then all repeats, and counts the outcome in seen.
+func (c repeatCase) play(t *testing.T, seen *repeatOutcome) {
+	withSimFleet(t, variant{servers: c.servers, unlisted: c.unlisted, tenants: c.tenants, day: func(d *files.Day) {
 		d.Service.CrossZone = c.crossZone
 		d.Service.OpTypes[tallyType].Group, d.Service.OpTypes[tallyType].DedupWindow = c.group, files.Duration(repeatWindow)
-	}}, func(f *tiny) {
-		roads := [2]*link.Road{}
+	}}, func(f *simFleet) {
+		routes := [2]*link.Road{}
 		for try, proxy := range []int{c.first, c.second} {
-			roads[try] = &link.Road{Name: fmt.Sprint("client ", try), Target: f.ops.targets[proxy]}
-			f.net.Road(fmt.Sprint("client-", try), roads[try])
+			routes[try] = &link.Road{Name: fmt.Sprint("client ", try), Target: f.generator.targets[proxy]}
+			f.net.Road(fmt.Sprint("client-", try), routes[try])
 		}
 		if c.before != nil {
 			c.before(f)
 		}
-		held := f.holds(c.first)
+		tableAtFirstTries := f.tableInUse(c.first)
 		begin := time.Now()
 		var writes []*op
 		for i := range repeatedWrites {
 			writes = append(writes, &op{number: uint64(firstRepeated + i), opType: tallyType, tenant: 1 + i, work: 2 * time.Millisecond})
-			roads[0].BreakWithin(link.Down, 1)
-			if status := f.ask(writes[i], "client-0"); status != 0 {
-				f.t.Errorf("write %d: the first try's answer was not lost: %d", i, status)
+			routes[0].BreakWithin(link.Down, 1)
+			if status := f.send(writes[i], "client-0"); status != 0 {
+				f.t.Errorf("write %d: the response to the first try was not lost: %d", i, status)
 			}
 		}
 		if c.between != nil {
 			c.between(f)
 		}
-		again, reached := f.holds(c.second), f.reaches(c.second)
-		if same := held == again; same == c.tablesDiffer {
-			f.t.Errorf("the tables agree: %t; at the first tries %s, at the repeats %s", same, held, again)
+		tableAtRepeats, reached := f.tableInUse(c.second), f.reachableGroups(c.second)
+		if same := tableAtFirstTries == tableAtRepeats; same == c.tablesDiffer {
+			f.t.Errorf("equal tables: %t; at the first tries %s, at the repeats %s", same, tableAtFirstTries, tableAtRepeats)
 		}
 		for i, o := range writes {
-			switch status := f.ask(o, "client-1"); status {
+			switch status := f.send(o, "client-1"); status {
 			case 200:
 			case 503:
-				if reached[f.first(o)] {
+				if reached[f.firstGroup(o)] {
 					seen.refused++
 				} else {
 					seen.unreached++
 				}
 			default:
-				f.t.Errorf("write %d: its repeat was answered %d", i, status)
+				f.t.Errorf("write %d: the repeat got status %d", i, status)
 			}
 		}
 		if took := time.Since(begin); took > repeatWindow/2 {
-			f.t.Errorf("the repeats came after %v, when the window may be over", took)
+			f.t.Errorf("the repeats took %v, so the window may be over", took)
 		}
 		time.Sleep(time.Second)
-		seen.doubled = f.twice(writes)
-		f.t.Logf("first tries by proxy %d, its table %s; repeats by proxy %d, its table %s", c.first, held, c.second, again)
-		f.t.Logf("of %d writes %d took effect twice, the repeats of %d were refused and of %d more whose group was not reached; tries went to: %s",
-			len(writes), seen.doubled, seen.refused, seen.unreached, f.ways())
+		seen.doubled = f.countDuplicated(writes)
+		f.t.Logf("first tries by proxy %d, its table %s; repeats by proxy %d, its table %s", c.first, tableAtFirstTries,
+			c.second, tableAtRepeats)
+		f.t.Logf("of %d writes %d took effect twice; %d repeats refused with the group reachable, %d without; tries: %s",
+			len(writes), seen.doubled, seen.refused, seen.unreached, f.routeCounts())
 	})
 }
 
-// ask sends a try of an op along a road and returns the answer's status; 0: none came.
-func (f *tiny) ask(o *op, road string) int {
-	req := f.ops.request(o)
+// send sends a try of an op over a route and returns the status of the response, or 0 if none came.
+func (f *simFleet) send(o *op, route string) int {
+	req := f.generator.request(o)
 	o.tries++
-	a, fail := f.ops.pool.Send(&upstream.Call{}, road, req, time.Now().Add(2*time.Second), false)
+	a, fail := f.generator.pool.Send(&upstream.Call{}, route, req, time.Now().Add(2*time.Second), false)
 	if fail != nil {
 		return 0
 	}
@@ -132,8 +133,9 @@
 	return a.Status
 }
 
-// twice counts the writes with more than one effect; one without any is an error, for the case then shows nothing.
-func (f *tiny) twice(writes []*op) (n int) {
+// countDuplicated returns the number of writes with more than one effect. A write without any effect is an error, because
+// the case would then prove nothing.
+func (f *simFleet) countDuplicated(writes []*op) (count int) {
 	effects := map[uint64]int{}
 	for _, e := range f.ledger.Effects() {
 		effects[e.Op]++
@@ -143,15 +145,15 @@
 			f.t.Errorf("write %d took no effect", o.number)
 		}
 		if effects[o.number] > 1 {
-			n++
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-// holds says what the table holds that a proxy goes by, as endpoint, zone and pack: the pilot's that is first in force, or the
-// standing one where there is none.
-func (f *tiny) holds(proxy int) string {
+// tableInUse describes the table that a proxy uses, as endpoint, zone and pack of each server: the first one in force from
+// a pilot, or the standing one if there is none.
+func (f *simFleet) tableInUse(proxy int) string {
 	var out []string
 	table := "standing"
 	for _, line := range strings.Split(f.proxies[proxy].Stat(), "\n")[1:] {
@@ -171,8 +173,9 @@
 	return table + "{" + strings.Join(out, ", ") + "}"
 }
 
-// reaches are the groups of which a proxy has a server to pick, in any table that a pilot gave it, or else in its standing one.
-func (f *tiny) reaches(proxy int) map[string]bool {
+// reachableGroups returns the groups of which a proxy has a server to pick, in any table from a pilot, or in its standing
+// table if it has no other.
+func (f *simFleet) reachableGroups(proxy int) map[string]bool {
 	standing, given := map[string]bool{}, map[string]bool{}
 	for _, line := range strings.Split(f.proxies[proxy].Stat(), "\n")[1:] {
 		fields := strings.Split(line, ",")
@@ -195,8 +198,8 @@
 	return given
 }
 
-// first is the group to which an op's first try went.
-func (f *tiny) first(o *op) string {
+// firstGroup returns the group that received an op's first try.
+func (f *simFleet) firstGroup(o *op) string {
 	for _, a := range f.ledger.Arrivals() {
 		if a.Op == o.number {
 			return f.group(int(a.Endpoint))
@@ -205,14 +208,15 @@
 	return ""
 }
 
-// group is where a server stands, as zone and pack.
-func (f *tiny) group(id int) string {
+// group returns the zone and pack of a server.
+func (f *simFleet) group(id int) string {
 	at := f.nodes[id].At()
 	return fmt.Sprintf("%s.%d", at.Zone, at.Pack)
 }
 
-// ways counts the ways of repeated writes: the groups to which their tries went, in order.
-func (f *tiny) ways() string {
+// routeCounts describes which proxies and groups the tries of the repeated writes went through, with the number of writes
+// for each sequence.
+func (f *simFleet) routeCounts() string {
 	way, count := map[uint64]string{}, map[string]int{}
 	for _, a := range f.ledger.Arrivals() {
 		if a.Op >= firstRepeated && a.OpType == tallyType {
@@ -229,13 +233,13 @@
 	return strings.Join(out, "; ")
 }
 
-// home waits until each proxy is with the pilot of its road.
-func (f *tiny) home() {
+// waitForHomePilots waits until each proxy is joined to the pilot of its own zone.
+func (f *simFleet) waitForHomePilots() {
 	for i, p := range f.proxies {
 		own := fmt.Sprintf("\nPilot: pilot-%d\n", i%2)
 		for end := time.Now().Add(30 * time.Second); !strings.Contains(p.Info(), own); time.Sleep(100 * time.Millisecond) {
 			if time.Now().After(end) {
-				f.t.Fatalf("proxy %d is not with its pilot: %s", i, p.Info())
+				f.t.Fatalf("proxy %d is not joined to the pilot of its zone: %s", i, p.Info())
 			}
 		}
 	}
@@ -243,81 +247,84 @@
 
 // Events before the first tries, or between them and the repeats.
 
-// comeHome waits until proxies that the first load reports had moved to another cell are back.
-func comeHome(*tiny) { time.Sleep(3 * time.Second) }
+// waitForOwnCell waits until the proxies that the first load reports had moved to another cell are back.
+func waitForOwnCell(*simFleet) { time.Sleep(3 * time.Second) }
 
-// listLast puts the last server on the list; the pilots that hear of it have told their proxies when it returns.
-func listLast(f *tiny) {
+// announceLast adds the last server to the list and waits until the pilots have passed it on to their proxies.
+func announceLast(f *simFleet) {
 	f.list.Set(f.entry(len(f.nodes)-1, "ready", 1))
 	time.Sleep(2 * time.Second)
 }
 
-// listLastForOne does so while the second pilot hears nothing of the list.
-func listLastForOne(f *tiny) {
-	f.home()
+// announceLastToOnePilot adds the last server to the list while the second pilot receives no list changes.
+func announceLastToOnePilot(f *simFleet) {
+	f.waitForHomePilots()
 	f.lists[1].Lose(link.Down)
-	listLast(f)
+	announceLast(f)
 }
 
-// restartAlone starts the first proxy anew; it hears from no pilot.
-func restartAlone(f *tiny) {
-	for _, r := range f.roads[0] {
+// restartProxyIsolated restarts the first proxy, which receives nothing from any pilot then.
+func restartProxyIsolated(f *simFleet) {
+	for _, r := range f.routes[0] {
 		r.Lose(link.Down)
 	}
 	f.proxies[0].Kill()
 	f.startProxy(0)
 }
 
-// readWell has the second proxy serve some reads of each tenant, so that it lets them borrow.
-func readWell(f *tiny) {
+// serveReads sends reads of each tenant through the second proxy, so that the proxy lets the tenants borrow pods.
+func serveReads(f *simFleet) {
 	const reads = 6
 	for i := range repeatedWrites {
 		for range reads {
-			if status := f.ask(&op{number: firstRepeated + repeatedWrites, tenant: 1 + i, work: time.Millisecond}, "client-1"); status != 200 {
-				f.t.Errorf("a read was answered %d", status)
+			if status := f.send(&op{number: firstRepeated + repeatedWrites, tenant: 1 + i, work: time.Millisecond},
+				"client-1"); status != 200 {
+				f.t.Errorf("a read got status %d", status)
 			}
 		}
 	}
 }
 
-// drainTwo has two servers drain.
-func drainTwo(f *tiny) {
+// drainTwo makes two servers drain.
+func drainTwo(f *simFleet) {
 	f.list.Set(f.entry(0, "draining", 1), f.entry(1, "draining", 1))
 	time.Sleep(time.Second)
 }
 
-// loseAnswers has all servers lose so much of their answers, on the way to the proxies.
-func loseAnswers(share float64) func(f *tiny) {
-	return func(f *tiny) {
+// loseAnswers returns an event that makes all servers lose a share of their responses on the way to the proxies.
+func loseAnswers(share float64) func(f *simFleet) {
+	return func(f *simFleet) {
 		for _, n := range f.nodes {
 			n.Set(func(t *node.Trouble) { t.Lost = share })
 		}
 	}
 }
 
-// faults plays cases and says in which of them writes take effect twice, or more than a few are refused; empty for none.
-func faults(t *testing.T, cases ...repeatCase) string {
+// runRepeatCases plays the cases and describes those in which writes took effect twice or more than maxRefused repeats were
+// refused; empty for none.
+func runRepeatCases(t *testing.T, cases ...repeatCase) string {
 	var out []string
 	for _, c := range cases {
-		var seen repeatsSeen
+		var seen repeatOutcome
 		t.Run(c.name, func(t *testing.T) { c.play(t, &seen) })
-		if seen.doubled > 0 || seen.refused > refusedMost {
-			out = append(out, fmt.Sprintf("%s: of %d writes %d took effect twice, the repeats of %d were refused", c.name, repeatedWrites,
+		if seen.doubled > 0 || seen.refused > maxRefused {
+			out = append(out, fmt.Sprintf("%s: of %d writes %d took effect twice, and %d repeats were refused", c.name, repeatedWrites,
 				seen.doubled, seen.refused))
 		}
 	}
 	return strings.Join(out, "; ")
 }
 
-// Where the proxies go by equal tables in which a write has one group, no repeat takes effect again, whether the answer was lost
-// behind the proxy or before it.
+// TestRepeatsInOneGroup covers proxies that use equal tables in which a write has one group: no repeat takes effect again,
+// whether the response was lost between server and proxy or between proxy and client.
 func TestRepeatsInOneGroup(t *testing.T) {
-	onePack := repeatCase{name: "one pack", group: "pack", crossZone: oneTable, servers: packs(6), tenants: subsets(1), second: 1}
-	oneZone := repeatCase{name: "one zone", group: "zone", crossZone: tablesByZone, second: 2, before: comeHome}
+	onePack := repeatCase{name: "one pack", group: "pack", crossZone: oneTable, servers: serversInPacks(6),
+		tenants: withSubset(1), second: 1}
+	oneZone := repeatCase{name: "one zone", group: "zone", crossZone: tablesByZone, second: 2, before: waitForOwnCell}
 	lost := func(c repeatCase) repeatCase {
 		before := c.before
-		c.name, c.between = c.name+", lost by the server", loseAnswers(0)
-		c.before = func(f *tiny) {
+		c.name, c.between = c.name+", response lost by the server", loseAnswers(0)
+		c.before = func(f *simFleet) {
 			if before != nil {
 				before(f)
 			}
@@ -325,52 +332,58 @@
 		}
 		return c
 	}
-	if said := faults(t, onePack, oneZone, lost(onePack), lost(oneZone)); said != "" {
-		t.Error(said)
+	if failures := runRepeatCases(t, onePack, oneZone, lost(onePack), lost(oneZone)); failures != "" {
+		t.Error(failures)
 	}
 }
 
-// Proxies of two zones send the tries to the zones of their tables, and one table of both zones lets either have them.
+// TestRepeatsAcrossZones covers tries through proxies of two zones, with a table for each zone and with one table of both
+// zones.
 func TestRepeatsAcrossZones(t *testing.T) {
-	said := faults(t,
-		repeatCase{name: "a table for each zone", group: "zone", crossZone: tablesByZone, second: 1, before: comeHome, tablesDiffer: true},
+	failures := runRepeatCases(t,
+		repeatCase{name: "a table for each zone", group: "zone", crossZone: tablesByZone, second: 1, before: waitForOwnCell,
+			tablesDiffer: true},
 		repeatCase{name: "one table", group: "zone", crossZone: oneTable, second: 1},
 		repeatCase{name: "one table, one proxy", group: "zone", crossZone: oneTable})
-	if said != "" {
-		t.Error(said)
+	if failures != "" {
+		t.Error(failures)
 	}
 }
 
-// One proxy deals the tries of a write to any pack that the tenant may use.
+// TestRepeatsAcrossPacks covers tables in which the tenant may use several packs, so that one proxy could send the tries of
+// a write to different packs.
 func TestRepeatsAcrossPacks(t *testing.T) {
-	said := faults(t,
-		repeatCase{name: "no tenants", group: "pack", crossZone: oneTable, servers: packs(6)},
-		repeatCase{name: "no subsets", group: "pack", crossZone: oneTable, servers: packs(6), tenants: subsets(0)},
-		repeatCase{name: "subsets of two", group: "pack", crossZone: oneTable, servers: packs(6), tenants: subsets(2)})
-	if said != "" {
-		t.Error(said)
+	failures := runRepeatCases(t,
+		repeatCase{name: "no tenants", group: "pack", crossZone: oneTable, servers: serversInPacks(6)},
+		repeatCase{name: "no subsets", group: "pack", crossZone: oneTable, servers: serversInPacks(6), tenants: withSubset(0)},
+		repeatCase{name: "subsets of two", group: "pack", crossZone: oneTable, servers: serversInPacks(6), tenants: withSubset(2)})
+	if failures != "" {
+		t.Error(failures)
 	}
 }
 
-// Each tenant has one pack, which differs with the table: where one pilot alone has heard of a new server, where a proxy hears of
-// it between the tries, and where a proxy starts anew and goes by its standing table.
+// TestRepeatsAcrossTables covers tenants with one pack that differs between tables: because only one pilot has received a
+// new server, because a proxy receives it between the tries, or because a proxy restarts and uses its standing table.
 func TestRepeatsAcrossTables(t *testing.T) {
-	c := repeatCase{group: "pack", crossZone: oneTable, servers: packs(7), unlisted: 1, tenants: subsets(1), tablesDiffer: true}
+	c := repeatCase{group: "pack", crossZone: oneTable, servers: serversInPacks(7), unlisted: 1, tenants: withSubset(1),
+		tablesDiffer: true}
 	heard, hears, anew := c, c, c
-	heard.name, heard.second, heard.before = "one pilot has heard", 1, listLastForOne
-	hears.name, hears.between = "one proxy, which hears", listLast
-	anew.name, anew.between = "one proxy, which starts anew", restartAlone
-	said := faults(t, heard, hears, anew)
-	if said != "" {
-		t.Error(said)
+	heard.name, heard.second, heard.before = "only one pilot received the new server", 1, announceLastToOnePilot
+	hears.name, hears.between = "one proxy, new server between the tries", announceLast
+	anew.name, anew.between = "one proxy, restarted between the tries", restartProxyIsolated
+	failures := runRepeatCases(t, heard, hears, anew)
+	if failures != "" {
+		t.Error(failures)
 	}
 }
 
-// A tenant's pack drains between the tries, and the second proxy, which has sent no write of the tenant, lends it another.
+// TestRepeatsThatBorrow covers a tenant whose pack drains between the tries, while the second proxy, which has sent no
+// write of the tenant, lends it another pack.
 func TestRepeatsThatBorrow(t *testing.T) {
-	said := faults(t, repeatCase{name: "borrowed", group: "pack", crossZone: oneTable, servers: packs(6), tenants: subsets(1), second: 1,
-		before: readWell, between: drainTwo, tablesDiffer: true})
-	if said != "" {
-		t.Error(said)
+	failures := runRepeatCases(t, repeatCase{name: "borrowed", group: "pack", crossZone: oneTable, servers: serversInPacks(6),
+		tenants: withSubset(1), second: 1,
+		before: serveReads, between: drainTwo, tablesDiffer: true})
+	if failures != "" {
+		t.Error(failures)
 	}
 }
--- a/lab/run.go
+++ b/lab/run.go
@@ -1,6 +1,5 @@
-// Package lab is the laboratory: it plays a day through real pilots and proxies over loopback sockets, with stand-ins
-// for the servers, the list service and the ways between, and checks the five rules on what went over the sockets. Run
-// is the way in.
+// Package lab simulates a day of service: it runs real pilots and proxies over loopback sockets, with simulated servers,
+// list service, links and clients, and checks the five rules on the observed traffic. Its entry point is Run.
 package lab
 
 import (
@@ -18,20 +17,21 @@
 	"vetchdoor/upstream"
 )
 
-// Options are how a day is played.
+// Options configure a run.
 type Options struct {
-	Log      *slog.Logger
-	Progress io.Writer    // nil: silent
-	Records  *slog.Logger // gets the pilots' records of decisions; may be nil
-	faulty   func(*files.Proxy, *proxy.Proxy)
-	begin    func(*fleet)         // before the first op
-	believe  func(*files.Service) // changes what pilots and proxies take the service to be
+	Log        *slog.Logger
+	Progress   io.Writer    // receives progress lines; nil for none
+	Records    *slog.Logger // receives the pilots' decision records; may be nil
+	wrapProxy  func(*files.Proxy, *proxy.Proxy)
+	beforeLoad func(*fleet)         // called before the first op
+	configure  func(*files.Service) // changes the service settings that pilots and proxies run with
 }
 
-// settle is how long the fleet has before the first op.
-const settle = 1500 * time.Millisecond
+// settleTime is the time that the fleet has to connect before the first op.
+const settleTime = 1500 * time.Millisecond
 
-// Run plays a day and reports.
+// Run plays a day and returns its report. It returns an error if the fleet cannot start, the observed traffic cannot be
+// parsed, or ctx ends.
 func Run(ctx context.Context, day *files.Day, o Options) (*Report, error) {
 	begin := time.Now()
 	if o.Progress == nil {
@@ -47,33 +47,35 @@
 			f.close()
 		}
 	}()
-	fmt.Fprintf(o.Progress, "%s: %d pilots, %d proxies and %d nodes run\n", day.Name, len(f.pilots), len(f.proxies), len(f.nodes))
+	fmt.Fprintf(o.Progress, "%s: started %d pilots, %d proxies and %d nodes\n", day.Name, len(f.pilots), len(f.proxies),
+		len(f.nodes))
 	select {
-	case <-time.After(settle):
+	case <-time.After(settleTime):
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
-	if o.begin != nil {
-		o.begin(f)
+	if o.beforeLoad != nil {
+		o.beforeLoad(f)
 	}
-	f.plan()
-	s := &source{day: day, ledger: f.ledger, large: true, types: day.Service.Types(), rng: rand.New(rand.NewPCG(day.Seed, 3)),
+	f.scheduleTroubles()
+	s := &loadGenerator{day: day, ledger: f.ledger, largeRequests: true, types: day.Service.Types(),
+		rng:  rand.New(rand.NewPCG(day.Seed, 3)),
 		pool: &upstream.Pool{PerServer: 4096, IdleClose: 5 * time.Second, Bounds: http1.Usual}}
 	defer s.pool.Close()
-	for _, at := range f.proxies {
-		s.targets = append(s.targets, at.address)
+	for _, instance := range f.proxies {
+		s.targets = append(s.targets, instance.address)
 	}
-	s.ops = f.misbehave(f.drawOps())
+	s.ops = f.addMisbehaviour(f.drawOps())
 	from := time.Now()
 	start := from.Sub(f.ledger.From())
-	over := make(chan struct{})
+	done := make(chan struct{})
 	go func() {
 		s.play(from, ctx.Done())
-		close(over)
+		close(done)
 	}()
-	connections := f.progress(ctx, o.Progress, from, over)
+	connections := f.progress(ctx, o.Progress, from, done)
 	if err := ctx.Err(); err != nil {
-		<-over
+		<-done
 		return nil, err
 	}
 	until := time.Since(f.ledger.From())
@@ -82,22 +84,23 @@
 	return f.report(s, begin, start, until, connections)
 }
 
-// progress prints a line each few seconds until the day is over and returns the mean of the open connections.
-func (f *fleet) progress(ctx context.Context, w io.Writer, from time.Time, over <-chan struct{}) float64 {
+// progress prints a line every five seconds until the day is over and returns the mean number of open connections, sampled
+// every second.
+func (f *fleet) progress(ctx context.Context, w io.Writer, from time.Time, done <-chan struct{}) float64 {
 	t := time.NewTicker(time.Second)
 	defer t.Stop()
 	sum, n := 0.0, 0.0
 	for i := 1; ; i++ {
 		select {
-		case <-over:
+		case <-done:
 			return sum / max(n, 1)
 		case <-t.C:
 		}
 		open := int64(0)
 		f.mu.Lock()
-		for _, at := range f.proxies {
-			if at.p != nil {
-				open += at.p.Connections()
+		for _, instance := range f.proxies {
+			if instance.proxy != nil {
+				open += instance.proxy.Connections()
 			}
 		}
 		f.mu.Unlock()
@@ -110,17 +113,18 @@
 	}
 }
 
-// report checks the rules and adds up the service.
-func (f *fleet) report(s *source, begin time.Time, start, until time.Duration, connections float64) (*Report, error) {
+// report checks the rules and computes the scores.
+func (f *fleet) report(s *loadGenerator, begin time.Time, start, until time.Duration, connections float64) (*Report, error) {
 	d := f.day
-	e := &evidence{service: &d.Service, limits: &d.Limits, channel: &d.Channel, from: f.ledger.From(), passed: f.tap.All(),
-		arrivals: f.ledger.Arrivals(), effects: f.ledger.Effects(), ops: s.ops, falls: f.ledger.Falls(), mixed: f.ledger.Mixed(), until: until}
-	h, err := e.read(len(f.pilots))
+	e := &evidence{service: &d.Service, limits: &d.Limits, channel: &d.Channel, start: f.ledger.From(), traffic: f.tap.All(),
+		arrivals: f.ledger.Arrivals(), effects: f.ledger.Effects(), ops: s.ops, coldCrashes: f.ledger.Falls(),
+		mixups: f.ledger.Mixed(), end: until}
+	h, err := e.reconstruct(len(f.pilots))
 	if err != nil {
 		return nil, err
 	}
 	r := &Report{Day: d.Name, Seed: d.Seed, Took: time.Since(begin), Nodes: len(f.nodes), Proxies: len(f.proxies),
-		Pilots: len(f.pilots), PerSecond: f.perSecond(), Ops: len(s.ops), Violations: e.check(h), ColdCrashes: len(f.ledger.Falls())}
+		Pilots: len(f.pilots), PerSecond: f.opRate(), Ops: len(s.ops), Violations: e.check(h), ColdCrashes: len(f.ledger.Falls())}
 	for _, x := range h.streams {
 		if x.joined >= 0 && x.resumed {
 			r.Resumes++
@@ -132,40 +136,40 @@
 			r.Lines += m.Lines
 		}
 	}
-	spent := f.spending(s, r, until-start, connections)
-	r.Service = account(d, s.ops, spent)
-	r.Tenants = tenantAccount(d, s.ops, e.apart(h, d, start))
-	r.Moves = f.moveAccount(h, s, trails(e.arrivals, e.effects), start)
+	spent := f.costs(s, r, until-start, connections)
+	r.Service = scoreService(d, s.ops, spent)
+	r.Tenants = scoreTenants(d, s.ops, e.outsideBadPods(h, d, start))
+	r.Moves = f.scoreMoves(h, s, tracesByOp(e.arrivals, e.effects), start)
 	if r.Moves != nil && r.Moves.AckedLost > 0 {
-		r.Violations = append(r.Violations, Violation{2, until, fmt.Sprintf("%d writes were acked and took no effect", r.Moves.AckedLost)})
+		r.Violations = append(r.Violations, Violation{2, until, fmt.Sprintf("%d acked writes took no effect", r.Moves.AckedLost)})
 	}
 	r.Effects = len(e.effects)
-	for _, x := range e.doublings() {
-		if r.DuplicateEffects++; x.ours {
+	for _, x := range e.duplicates() {
+		if r.DuplicateEffects++; x.violation {
 			r.RuleTwoDuplicates++
 		}
 	}
-	r.GeneratorLagP99 = time.Duration(s.behind.ValueAtQuantile(99)) * time.Microsecond
-	r.GeneratorLagMax = time.Duration(s.behind.Max()) * time.Microsecond
+	r.GeneratorLagP99 = time.Duration(s.lag.ValueAtQuantile(99)) * time.Microsecond
+	r.GeneratorLagMax = time.Duration(s.lag.Max()) * time.Microsecond
 	return r, nil
 }
 
-// spending adds up what the prices are on.
-func (f *fleet) spending(s *source, r *Report, span time.Duration, connections float64) spending {
-	out := spending{nodes: len(f.nodes), connections: connections, lines: r.Lines,
-		channel: f.day.Channel.LinesPerSecond * span.Seconds() * float64(len(f.pilots))}
+// costs counts what the prices are charged on. It also sets r.Tries.
+func (f *fleet) costs(s *loadGenerator, r *Report, span time.Duration, connections float64) costs {
+	out := costs{nodes: len(f.nodes), connections: connections, lines: r.Lines,
+		channelLines: f.day.Channel.LinesPerSecond * span.Seconds() * float64(len(f.pilots))}
 	zones := map[control.EndpointID]string{}
-	for id, n := range f.nodeByID() {
+	for id, n := range f.nodesByID() {
 		zones[id] = n.At().Zone
 	}
 	for _, a := range f.ledger.Arrivals() {
 		r.Tries++
 		if a.Proxy >= 0 && a.Proxy < len(f.proxies) && f.proxies[a.Proxy].file.Zone != zones[a.Endpoint] {
-			out.crossed++
+			out.crossZone++
 		}
 	}
 	out.tries = r.Tries
-	out.worked, out.wasted = f.ledger.Work()
+	out.work, out.wasted = f.ledger.Work()
 	for _, o := range s.ops {
 		out.offered += o.work
 	}
