--- a/lab/account.go
+++ b/lab/account.go
@@ -11,11 +11,11 @@
 // ServiceScore rates the service of a day: revenue answered within the target latency over revenue asked for, combined with
 // the worst period and the worst op type, less the prices. All shares are between 0 and 1.
 type ServiceScore struct {
-	Score       float64        `json:"figure"` // weighted mean of the shares below, less Price
-	Whole       float64        `json:"whole"`
+	Score       float64        `json:"figure"`       // weighted mean of the shares below, less Price
+	Whole       float64        `json:"whole"`        // over the whole day
 	WorstWindow float64        `json:"worst_window"` // worst period of 10 seconds
-	WorstType   float64        `json:"worst_type"`
-	Tail        float64        `json:"tail"`
+	WorstType   float64        `json:"worst_type"`   // worst op type
+	Tail        float64        `json:"tail"`         // see tailShare
 	Price       float64        `json:"price"`
 	Types       []OpTypeResult `json:"types"`
 }
@@ -24,22 +24,23 @@
 type OpTypeResult struct {
 	Name     string  `json:"name"`
 	Ops      int     `json:"ops"`
-	InTime   int     `json:"in_time"`
-	Late     int     `json:"late"`
-	Rejected int     `json:"rejected"`
-	Aborted  int     `json:"aborted"`
+	InTime   int     `json:"in_time"`  // acked within the target latency
+	Late     int     `json:"late"`     // acked after the target latency
+	Rejected int     `json:"rejected"` // refused and certainly not run
+	Aborted  int     `json:"aborted"`  // neither acked nor rejected
 	Service  float64 `json:"service"`
 }
 
-// costs counts what the prices are charged on: traffic across zones, wasted work, connections, handshakes and messages.
+// costs counts what the prices are charged on: traffic across zones, wasted work, connections, handshakes and message
+// lines.
 type costs struct {
 	crossZone, tries  int
 	work, wasted      time.Duration
-	offered           time.Duration
+	offered           time.Duration // total work of the ops
 	handshakes, nodes int
-	connections       float64
+	connections       float64 // mean number of open connections to nodes
 	lines             int
-	channelLines      float64 // lines that the pilots could have sent in that time
+	channelLines      float64 // lines that the pilots could have sent during the run
 }
 
 // revenueShare accumulates revenue earned and revenue asked for.
@@ -133,11 +134,11 @@
 // tailWindow counts the ops of one op type within a window of five seconds.
 type tailWindow struct {
 	earned, offered float64
-	ops, missed     int
+	ops, missed     int // missed: not acked within the target latency, nor rejected within it
 }
 
-// tailShare returns the share of revenue that counts when each window is weighted by its misses: in full up to the share
-// most of missed ops, then linearly less, down to nothing at five times that share.
+// tailShare returns the share of the revenue that counts when each window is weighted by its share of missed ops: in
+// full up to maxMiss, then linearly less, down to nothing at five times maxMiss.
 func tailShare(tails []map[int]*tailWindow, maxMiss float64) float64 {
 	var all revenueShare
 	for _, windows := range tails {
@@ -155,8 +156,8 @@
 	return all.share()
 }
 
-// price returns the total of the prices, each weighted as the day sets it, relative to the ops or to the revenue asked
-// for.
+// price returns the sum of the prices, each weighted as the day sets it. Most are relative to the number of ops or to
+// the revenue asked for.
 func price(p *files.Prices, s costs, lateFailRevenue, revenueAsked float64, ops int) float64 {
 	if ops == 0 {
 		return 0
@@ -194,15 +195,15 @@
 	Tenants           *TenantResult `json:"tenants,omitempty"`
 	Moves             *MoveResult   `json:"moves,omitempty"`
 	Tries             int           `json:"tries_at_nodes"`
-	ColdCrashes       int           `json:"cold_nodes_fallen"`
-	Effects           int           `json:"effects"`
+	ColdCrashes       int           `json:"cold_nodes_fallen"`            // nodes that failed from overload while cold
+	Effects           int           `json:"effects"`                      // effects recorded by the nodes
 	DuplicateEffects  int           `json:"effects_doubled"`              // all effects beyond the first of an op
 	RuleTwoDuplicates int           `json:"effects_doubled_against_rule"` // those of DuplicateEffects that break rule 2
 	Messages          int           `json:"messages"`
 	Lines             int           `json:"lines"`
 	Joins             int           `json:"joins"`
 	Resumes           int           `json:"resumes"`
-	GeneratorLagP99   time.Duration `json:"generator_behind_p99_ns"`
+	GeneratorLagP99   time.Duration `json:"generator_behind_p99_ns"` // delay of the sends behind their schedule
 	GeneratorLagMax   time.Duration `json:"generator_behind_most_ns"`
 }
 
--- a/lab/bench.go
+++ b/lab/bench.go
@@ -135,11 +135,10 @@
 	benchGroups      = map[string]string{"all": "all", "zone": "zone", "cell": "pack"}
 	benchRetryModes  = []string{"never", "if-unrun", "once", "twice"}
 	benchMeasures    = map[string]string{"util": "cpu_utilization", "inflight": "inflight", "queue": "queue",
-		"latency_ms": "latency_ms",
-		"qps":        "rps_fractional", "eps": "eps"}
+		"latency_ms": "latency_ms", "qps": "rps_fractional", "eps": "eps"}
 )
 
-// fromMicroseconds converts a time of the benchmark.
+// fromMicroseconds converts a benchmark time in microseconds.
 func fromMicroseconds(us float64) files.Duration {
 	return files.Duration(us * float64(time.Microsecond))
 }
--- a/lab/check.go
+++ b/lab/check.go
@@ -18,8 +18,8 @@
 	"vetchdoor/runtime"
 )
 
-// Violation is a breach of one of the five rules: the rule's number, the time since the start of the run, and a description
-// of what was observed.
+// Violation is a breach of one of the five rules, or of none of them (noRule): the rule's number, the time since the
+// fleet was created, and a description of what was observed.
 type Violation struct {
 	Rule        int           `json:"rule"`
 	At          time.Duration `json:"at"`
@@ -32,7 +32,7 @@
 	service     *files.Service
 	limits      *files.Limits
 	channel     *files.Channel
-	start       time.Time // zero point of all other times
+	start       time.Time // creation of the fleet, from which all other times count
 	traffic     []link.Passed
 	arrivals    []node.Arrival
 	effects     []node.Effect
@@ -58,7 +58,7 @@
 
 // listChange is a change of an endpoint that a pilot received from the list service.
 type listChange struct {
-	at       time.Duration
+	at       time.Duration // when it reached the pilot
 	endpoint control.EndpointID
 	mode     control.Mode
 	started  time.Duration // start time of the endpoint; far below 0 if the list gives none
@@ -69,7 +69,7 @@
 	proxy, pilot int
 	hello        *runtime.Hello
 	joined       time.Duration // when the welcome reached the proxy; negative if it never did
-	ended        time.Duration
+	ended        time.Duration // when it closed, or the end of the run
 	resumed      bool
 	run          uint64
 	messages     []*observedMessage
@@ -81,8 +81,8 @@
 	sent      time.Duration // when it left the pilot
 	received  time.Duration // when it reached the proxy
 	confirmed time.Duration // when its confirmation left the proxy; negative if none was seen
-	reapplied bool
-	decided   time.Duration
+	reapplied bool          // the confirmation says that the proxy had applied it before
+	decided   time.Duration // when the pilot decided it, by the clock of its run
 }
 
 // reconstruct builds the history from the traffic on the taps. It returns an error if a connection cannot be parsed.
@@ -327,8 +327,8 @@
 	return true
 }
 
-// hasWarmEndpoint reports whether a pilot's list shows at least one endpoint at the given time that is ready and has been
-// up for longer than the cold period.
+// hasWarmEndpoint reports whether a pilot's list shows, at the given time, an endpoint that is ready and has been up for
+// at least the cold period.
 func (e *evidence) hasWarmEndpoint(list []listChange, at time.Duration) bool {
 	last := map[control.EndpointID]listChange{}
 	for _, l := range list {
@@ -485,8 +485,8 @@
 	return true
 }
 
-// streamAt returns the stream on which a proxy was joined at the given time, out of that proxy's streams; nil if there was
-// none.
+// streamAt returns the stream on which a proxy was joined at the given time, or nil if there was none. streams are those
+// of that proxy.
 func streamAt(streams []*observedStream, at time.Duration) (found *observedStream) {
 	for _, s := range streams {
 		if s.joined >= 0 && s.joined <= at && at <= s.ended {
@@ -594,8 +594,8 @@
 	return out
 }
 
-// checkQueues checks rule 5: the lines that a pilot has decided and not yet sent stay within the bound, lines leave no
-// faster than the configured rate, and each proxy receives no more messages than the cap allows.
+// checkQueues checks rule 5 for each pilot: the message lines that it has decided and not yet sent stay within the
+// bound, lines leave no faster than the configured rate, and each proxy receives no more messages than the cap allows.
 func (e *evidence) checkQueues(h *history) (out []Violation) {
 	type queueChange struct {
 		at    time.Duration
--- a/lab/check_test.go
+++ b/lab/check_test.go
@@ -73,7 +73,7 @@
 }
 
 // message adds a message that was decided, sent and confirmed at the given times.
-func (c *scenario) order(ordered, sent, confirmed time.Duration, lines int, changes ...string) {
+func (c *scenario) message(ordered, sent, confirmed time.Duration, lines int, changes ...string) {
 	c.number++
 	m := runtime.Message{Pilot: "p", Run: uint64(c.start.UnixMicro()), Number: c.number, At: ordered, Lines: lines, Checkpoint: -1}
 	for _, line := range changes {
@@ -119,27 +119,27 @@
 	}{
 		{"correct", "", func(c *scenario) {
 			c.join(sec)
-			c.order(2*sec, 2*sec, 3*sec, 8, one, two, bind)
+			c.message(2*sec, 2*sec, 3*sec, 8, one, two, bind)
 			c.try(4*sec, 1, 1, 0, true)
 		}},
 		{"empty table within the limit", "", func(c *scenario) {
 			c.join(sec)
-			c.order(2*sec, 2*sec, 2*sec, 5, bind)
-			c.order(4*sec, 4*sec, 4500*time.Millisecond, 5, one)
+			c.message(2*sec, 2*sec, 2*sec, 5, bind)
+			c.message(4*sec, 4*sec, 4500*time.Millisecond, 5, one)
 		}},
 		{"empty table past the limit", "11", func(c *scenario) {
 			c.join(sec)
-			c.order(2*sec, 2*sec, 2*sec, 5, bind)
-			c.order(4*sec, 4*sec, 5500*time.Millisecond, 5, one)
+			c.message(2*sec, 2*sec, 2*sec, 5, bind)
+			c.message(4*sec, 4*sec, 5500*time.Millisecond, 5, one)
 		}},
 		{"all endpoints withdrawn", "11", func(c *scenario) {
 			c.join(sec)
-			c.order(2*sec, 2*sec, 2*sec, 5, "set server */e1 state drain", "set server */e2 state drain")
+			c.message(2*sec, 2*sec, 2*sec, 5, "set server */e1 state drain", "set server */e2 state drain")
 		}},
 		{"empty table while no warm endpoint is listed", "", func(c *scenario) {
 			c.list(sec, "full", "started", 1)
 			c.join(sec)
-			c.order(2*sec, 2*sec, 2*sec, 5, bind)
+			c.message(2*sec, 2*sec, 2*sec, 5, bind)
 			c.end = 10 * sec
 		}},
 		{"retry after a refusal", "", func(c *scenario) { c.try(sec, 1, 1, 1, false); c.try(sec, 2, 1, 1, true) }},
@@ -179,7 +179,7 @@
 		{"cold, overloaded by an informed proxy", "4", func(c *scenario) {
 			c.list(2*sec, "changes", "started", 2)
 			c.join(sec)
-			c.order(3*sec, 3*sec, 3*sec, 5, one, two, bind)
+			c.message(3*sec, 3*sec, 3*sec, 5, one, two, bind)
 			c.try(4*sec, 2, 1, 0, true)
 			c.coldCrashes = []node.Fall{{At: 4 * sec, Endpoint: 2}}
 		}},
@@ -189,19 +189,19 @@
 			c.try(3*sec, 2, 1, 0, true)
 			c.coldCrashes = []node.Fall{{At: 3 * sec, Endpoint: 2}}
 		}},
-		{"full queue", "", func(c *scenario) { c.join(sec); c.order(2*sec, 4*sec, 5*sec, 9600, one, two, bind) }},
+		{"full queue", "", func(c *scenario) { c.join(sec); c.message(2*sec, 4*sec, 5*sec, 9600, one, two, bind) }},
 		{"queue past its bound", "5", func(c *scenario) {
 			c.join(sec)
-			c.order(2*sec, 4*sec, 5*sec, 9000, one, two, bind)
-			c.order(3*sec, 5*sec, 5*sec, 900, one)
+			c.message(2*sec, 4*sec, 5*sec, 9000, one, two, bind)
+			c.message(3*sec, 5*sec, 5*sec, 900, one)
 		}},
 		{"lines faster than the limit", "5", func(c *scenario) {
 			c.join(sec)
 			for i := range time.Duration(20) {
-				c.order(sec+i, sec+i, sec+i, 480, one, two, bind)
+				c.message(sec+i, sec+i, sec+i, 480, one, two, bind)
 			}
 			for i := range time.Duration(20) {
-				c.order(sec*3/2+i, sec*3/2+i, sec*3/2+i, 480, one, two, bind)
+				c.message(sec*3/2+i, sec*3/2+i, sec*3/2+i, 480, one, two, bind)
 			}
 			c.channel.MostWaiting = 1 << 20
 		}},
@@ -209,7 +209,7 @@
 			c.channel.MessageCap, c.channel.MessageCapOver = 3, files.Duration(10*sec)
 			c.join(sec)
 			for i := range time.Duration(4) {
-				c.order(2*sec*(i+1), 2*sec*(i+1), 2*sec*(i+1), 5, one, two, bind)
+				c.message(2*sec*(i+1), 2*sec*(i+1), 2*sec*(i+1), 5, one, two, bind)
 			}
 		}},
 	} {
--- a/lab/duplicates_test.go
+++ b/lab/duplicates_test.go
@@ -9,17 +9,17 @@
 	"vetchdoor/lab/node"
 )
 
-// sent adds a client's try of op 1 that reached a node through a proxy.
-func (c *scenario) sent(at time.Duration, proxy int, e control.EndpointID, taken bool) {
+// clientTry adds a client's try of op 1 that reached a node through a proxy.
+func (c *scenario) clientTry(at time.Duration, proxy int, e control.EndpointID, taken bool) {
 	o := c.ops[0]
 	c.arrivals = append(c.arrivals, node.Arrival{At: at, Endpoint: e, Proxy: proxy, Op: o.number, Try: o.tries,
 		OpType: o.opType, Taken: taken})
 	o.tries++
 }
 
-// ran adds a try that took effect 100 ms after it arrived.
-func (c *scenario) ran(at time.Duration, proxy int, e control.EndpointID) {
-	c.sent(at, proxy, e, true)
+// effect adds a try that took effect 100 ms after it arrived.
+func (c *scenario) effect(at time.Duration, proxy int, e control.EndpointID) {
+	c.clientTry(at, proxy, e, true)
 	c.effects = append(c.effects, node.Effect{At: at + sec/10, Arrived: at, Endpoint: e, Op: c.ops[0].number,
 		OpType: c.ops[0].opType})
 }
@@ -36,61 +36,68 @@
 		all    int
 		play   func(c *scenario)
 	}{
-		{"once", tally, "", false, 0, func(c *scenario) { c.ran(sec, 3, 1) }},
-		{"dropped retry", tally, "", false, 0, func(c *scenario) { c.ran(sec, 3, 1); c.sent(3*sec/2, 4, 1, true) }},
-		{"other proxy, within the window", tally, "", true, 1, func(c *scenario) { c.ran(sec, 3, 1); c.ran(5*sec/2-1, 4, 2) }},
-		{"other proxy, at the end of the window", tally, "", false, 1, func(c *scenario) { c.ran(sec, 3, 1); c.ran(5*sec/2, 4, 2) }},
-		{"same proxy, within the window", tally, "", true, 1, func(c *scenario) { c.ran(sec, 3, 1); c.ran(5*sec/2-1, 3, 2) }},
-		{"same proxy, at the end of the window", tally, "", false, 1, func(c *scenario) { c.ran(sec, 3, 1); c.ran(5*sec/2, 3, 2) }},
-		{"same pod, within the window", tally, "", true, 1, func(c *scenario) { c.ran(sec, 3, 1); c.ran(2*sec, 4, 1) }},
+		{"once", tally, "", false, 0, func(c *scenario) { c.effect(sec, 3, 1) }},
+		{"dropped retry", tally, "", false, 0, func(c *scenario) { c.effect(sec, 3, 1); c.clientTry(3*sec/2, 4, 1, true) }},
+		{"other proxy, within the window", tally, "", true, 1, func(c *scenario) { c.effect(sec, 3, 1); c.effect(5*sec/2-1, 4, 2) }},
+		{"other proxy, at the end of the window", tally, "", false, 1,
+			func(c *scenario) { c.effect(sec, 3, 1); c.effect(5*sec/2, 4, 2) }},
+		{"same proxy, within the window", tally, "", true, 1, func(c *scenario) { c.effect(sec, 3, 1); c.effect(5*sec/2-1, 3, 2) }},
+		{"same proxy, at the end of the window", tally, "", false, 1,
+			func(c *scenario) { c.effect(sec, 3, 1); c.effect(5*sec/2, 3, 2) }},
+		{"same pod, within the window", tally, "", true, 1, func(c *scenario) { c.effect(sec, 3, 1); c.effect(2*sec, 4, 1) }},
 		{"window counted from a try without an effect", tally, "", false, 1, func(c *scenario) {
-			c.sent(sec, 3, 1, true)
-			c.ran(2*sec, 3, 1)
-			c.ran(5*sec/2, 4, 2)
+			c.clientTry(sec, 3, 1, true)
+			c.effect(2*sec, 3, 1)
+			c.effect(5*sec/2, 4, 2)
 		}},
 		{"window not counted from a refused try", tally, "", true, 1, func(c *scenario) {
-			c.sent(sec, 3, 1, false)
-			c.ran(2*sec, 3, 1)
-			c.ran(5*sec/2, 4, 2)
+			c.clientTry(sec, 3, 1, false)
+			c.effect(2*sec, 3, 1)
+			c.effect(5*sec/2, 4, 2)
 		}},
 		{"effect of the first try last", tally, "", true, 1, func(c *scenario) {
-			c.ran(sec, 3, 1)
-			c.ran(2*sec, 4, 2)
+			c.effect(sec, 3, 1)
+			c.effect(2*sec, 4, 2)
 			c.effects[0].At = 9 * sec
 		}},
 		{"effect of the first try last, second try after the window", tally, "", false, 1, func(c *scenario) {
-			c.ran(sec, 3, 1)
-			c.ran(5*sec/2, 4, 2)
+			c.effect(sec, 3, 1)
+			c.effect(5*sec/2, 4, 2)
 			c.effects[0].At = 9 * sec
 		}},
 		{"within the window and after it", tally, "", true, 2,
-			func(c *scenario) { c.ran(sec, 3, 1); c.ran(2*sec, 4, 2); c.ran(3*sec, 5, 2) }},
+			func(c *scenario) { c.effect(sec, 3, 1); c.effect(2*sec, 4, 2); c.effect(3*sec, 5, 2) }},
 		{"after the window, all tries but the last refused", tally, "", true, 1, func(c *scenario) {
-			c.ran(sec, 3, 1)
-			c.ran(9*sec, 4, 2)
+			c.effect(sec, 3, 1)
+			c.effect(9*sec, 4, 2)
 			c.ops[0].retriedUnrefused = false
 		}},
 		{"misbehaving client", tally, "", false, 1, func(c *scenario) {
 			c.ops[0].misbehaviour = badImpatient
-			c.ran(sec, 3,
+			c.effect(sec, 3,
 				1)
-			c.ran(2*sec, 4, 2)
+			c.effect(2*sec, 4, 2)
 		}},
 		{"misbehaving client with one try", tally, "", true, 1, func(c *scenario) {
 			c.ops[0].misbehaviour = badPoison
-			c.ran(sec, 3, 1)
-			c.ran(2*sec, 3, 2)
+			c.effect(sec, 3, 1)
+			c.effect(2*sec, 3, 2)
 			c.ops[0].tries = 1
 		}},
 		{"sent once, after the window", tally, "", true, 1,
-			func(c *scenario) { c.ran(sec, 3, 1); c.ran(9*sec, 3, 2); c.ops[0].tries = 1 }},
-		{"retryable", read, "", false, 1, func(c *scenario) { c.ran(sec, 3, 1); c.ran(2*sec, 4, 2) }},
-		{"retryable, sent once", read, "", false, 1, func(c *scenario) { c.ran(sec, 3, 1); c.ran(2*sec, 3, 2); c.ops[0].tries = 1 }},
+			func(c *scenario) { c.effect(sec, 3, 1); c.effect(9*sec, 3, 2); c.ops[0].tries = 1 }},
+		{"retryable", read, "", false, 1, func(c *scenario) { c.effect(sec, 3, 1); c.effect(2*sec, 4, 2) }},
+		{"retryable, sent once", read, "", false, 1, func(c *scenario) {
+			c.effect(sec, 3, 1)
+			c.effect(2*sec, 3,
+				2)
+			c.ops[0].tries = 1
+		}},
 		{"once-only, retried without a refusal", tally, "once-only", false, 1,
-			func(c *scenario) { c.ran(sec, 3, 1); c.ran(2*sec, 4, 2) }},
+			func(c *scenario) { c.effect(sec, 3, 1); c.effect(2*sec, 4, 2) }},
 		{"once-only, retried after a refusal", tally, "once-only", true, 1, func(c *scenario) {
-			c.ran(sec, 3, 1)
-			c.ran(2*sec, 4, 2)
+			c.effect(sec, 3, 1)
+			c.effect(2*sec, 4, 2)
 			c.ops[0].retriedUnrefused = false
 		}},
 	} {
@@ -117,9 +124,9 @@
 	x := newScenario()
 	for i := range 8 {
 		x.ops = append([]*op{{number: uint64(i + 1), opType: 1, retriedUnrefused: true, tenant: 7}}, x.ops...)
-		x.ran(sec, 3, 1)
-		x.sent(3*sec/2, 5, 1, false)
-		x.ran(2*sec, 4, 2)
+		x.effect(sec, 3, 1)
+		x.clientTry(3*sec/2, 5, 1, false)
+		x.effect(2*sec, 4, 2)
 	}
 	if got := x.brokenRules(t); got != "222222" {
 		t.Errorf("violated rules %q", got)
--- a/lab/fleet.go
+++ b/lab/fleet.go
@@ -39,11 +39,11 @@
 	ledger         *node.Ledger
 	list           *stand.Server
 	nodes          []*node.Node
-	spare          []*node.Node
+	spare          []*node.Node // nodes that are started by the trouble "grow"
 	pilots         []*pilotInstance
 	proxies        []*proxyInstance
-	dir            string
-	records        *slog.Logger
+	dir            string       // temporary folder for caches and stores
+	records        *slog.Logger // receives the pilots' decision records; may be nil
 	createdAt      time.Time
 	mu             sync.Mutex // guards the instances that troubles stop and start
 	hotCallers     []trafficShift
@@ -58,7 +58,8 @@
 	wrapProxy      func(*files.Proxy, *proxy.Proxy) // hook for tests that make proxies faulty; may be nil
 }
 
-// trafficShift is a fraction of the traffic that moves to some proxies for a period.
+// trafficShift is a fraction of the traffic that moves to some proxies for a period, or permanently. It grows, and for a
+// period also shrinks, linearly over ramp.
 type trafficShift struct {
 	from, to  time.Duration
 	ramp      time.Duration
@@ -82,7 +83,7 @@
 	proxy   *proxy.Proxy // nil while stopped
 	zone    int
 	address string
-	seeds   uint64
+	seeds   uint64 // seed of the current run, increased at each start
 }
 
 // newFleet builds and starts all parts but the clients. On an error it stops the parts that already run.
@@ -196,7 +197,8 @@
 	return e, nil
 }
 
-// delay returns the delay of a link's direction between zones a and b; extra is the mean of an additional random delay.
+// delay returns the delay function of one direction of a link between zones a and b. extra is the mean of an additional
+// random delay.
 func (f *fleet) delay(a, b int, extra files.Duration, seed uint64) link.Way {
 	base := f.day.Net.Same.Span()
 	if a != b {
@@ -442,7 +444,8 @@
 	}()
 }
 
-// close stops all parts: first the proxies, then the pilots, the links and list service, and the nodes.
+// close stops all parts: the proxies first, then the pilots, the links and the list service, and the nodes last. It
+// waits for the functions that schedule has started.
 func (f *fleet) close() {
 	close(f.stop)
 	f.timers.Wait()
--- a/lab/load.go
+++ b/lab/load.go
@@ -26,13 +26,13 @@
 	number         uint64
 	opType         int
 	proxy          int
-	work           time.Duration
-	tenant         int    // from 1; 0 for no tenant
-	misbehaviour   string // kind of misbehaviour; empty for a regular op
+	work           time.Duration // processing time on one core of speed 1
+	tenant         int           // from 1; 0 for no tenant
+	misbehaviour   string        // kind of misbehaviour; empty for a regular op
 	tries          int
 	refusedForMove bool // a try was refused because the tenant is being moved
 
-	retriedUnrefused bool // the client retried it although the previous try had not been refused
+	retriedUnrefused bool // the client retried although the previous try had not been refused
 
 	ended   time.Duration
 	outcome outcome
@@ -48,7 +48,7 @@
 	pending outcome = iota
 	opAcked
 	opRejected // refused, and certainly not run
-	opAborted
+	opAborted  // neither acked nor rejected
 )
 
 // latency returns the time from the scheduled start of the op to its end.
--- a/lab/orders_test.go
+++ b/lab/orders_test.go
@@ -41,7 +41,7 @@
 		f.nodes[1].Set(func(t *node.Trouble) { t.Draining = true })
 		f.list.Set(f.entry(1, "draining", 1))
 	},
-	"cold": func(f *simFleet) { // one server crashes and is back cold before the list has noticed
+	"cold": func(f *simFleet) { // one server crashes and is back cold before the list service has noticed
 		f.nodes[3].Stop()
 		if err := f.nodes[3].Start(true); err != nil {
 			f.t.Error(err)
--- a/lab/repeats_test.go
+++ b/lab/repeats_test.go
@@ -37,7 +37,7 @@
 	first, second int
 	before        func(f *simFleet) // runs before the first tries; may be nil
 	between       func(f *simFleet) // runs between the first tries and the repeats; may be nil
-	tablesDiffer  bool              // whether the two proxies must use different tables, at the first tries and at the repeats
+	tablesDiffer  bool              // whether the first proxy's first tries must use another table than the repeats
 }
 
 // repeatOutcome counts what happened to a case's repeats.
@@ -263,7 +263,7 @@
 	announceLast(f)
 }
 
-// restartProxyIsolated restarts the first proxy, which receives nothing from any pilot then.
+// restartProxyIsolated cuts the first proxy off from all pilots and restarts it.
 func restartProxyIsolated(f *simFleet) {
 	for _, r := range f.routes[0] {
 		r.Lose(link.Down)
--- a/lab/run.go
+++ b/lab/run.go
@@ -1,5 +1,11 @@
 // Package lab simulates a day of service: it runs real pilots and proxies over loopback sockets, with simulated servers,
-// list service, links and clients, and checks the five rules on the observed traffic. Its entry point is Run.
+// list service, links and clients, and checks five rules on the observed traffic. A day is a scenario: a service, a
+// fleet, a load and a schedule of troubles. Its entry point is Run.
+//
+// The rules are: (1) a joined proxy always has an endpoint to pick while a warm ready one is listed; (2) no op is
+// retried, and no write takes effect again, against the settings of its op type; (3) joined proxies stop sending to
+// draining and removed endpoints in time; (4) informed proxies do not overload a cold endpoint until it fails; (5) the
+// message queues of the pilots and the rate of their messages stay within bounds.
 package lab
 
 import (
--- a/lab/tenants.go
+++ b/lab/tenants.go
@@ -68,7 +68,8 @@
 	badNewNames   = "new-names"   // each op bears a new, unknown tenant name
 )
 
-// impatientTimeout is the time for which an impatient client waits for a response, impatientTries the number of its tries.
+// impatientTimeout is the time for which an impatient client waits for a response; impatientTries is the maximum number
+// of its tries.
 const (
 	impatientTimeout = 30 * time.Millisecond
 	impatientTries   = 60
@@ -168,9 +169,10 @@
 	}
 }
 
-// TenantResult rates the service of the tenants while one of them misbehaved, each figure as the share of revenue from 0 to
-// 1. Others and UnderHalf cover the other tenants; Outside covers those of their ops that could reach none of its pods,
-// Inside the rest.
+// TenantResult rates the service of the tenants while one of them misbehaved. Each figure is a share of revenue from 0
+// to 1, but UnderHalf, which is the share of the other tenants that got less than half of theirs. Others covers the
+// other tenants; Outside covers those of their ops that could reach none of the misbehaving tenant's pods, Inside the
+// rest.
 type TenantResult struct {
 	Others       float64 `json:"others"`
 	UnderHalf    float64 `json:"others_under_half"`
@@ -301,7 +303,7 @@
 	}
 }
 
-// MoveResult counts tenant moves and checks the writes beside them.
+// MoveResult counts the moves of tenants and the writes with lost or inconsistent effects.
 type MoveResult struct {
 	Asked        int           `json:"asked"` // requests to pilots; each move is requested of every pilot
 	Refused      int           `json:"untaken"`
@@ -312,14 +314,15 @@
 	AckedLost    int           `json:"acked_lost"` // writes that were acked and took no effect
 	Inconsistent int           `json:"wrong"`      // writes whose history is not that of one write with at most one effect
 
-	P50                time.Duration `json:"acked_p50_ns"` // latencies of acked ops that were not held by a move
+	P50                time.Duration `json:"acked_p50_ns"` // latencies of acked ops of which no try was refused for a move
 	P99                time.Duration `json:"acked_p99_ns"`
 	InconsistentMoving int           `json:"wrong_moving"` // those with a binding change of their tenant within nearMove
 
-	Examples []InconsistentWrite `json:"which,omitempty"` // the first ones
+	Examples []InconsistentWrite `json:"which,omitempty"` // the first 20 inconsistent writes
 }
 
-// InconsistentWrite is a write with an inconsistent history, with where its tries and effects went.
+// InconsistentWrite describes a write whose history is not that of one write with at most one effect: where its tries
+// and effects went and which binding changes its tenant had.
 type InconsistentWrite struct {
 	Tenant  string   `json:"tenant"`
 	At      string   `json:"at"`
@@ -419,7 +422,7 @@
 	return result
 }
 
-// States of a write in writeModel: a register that goes from unsent to sent to done, once.
+// States of a write in writeModel, which change once from unsent to sent to done.
 const (
 	unsent = iota
 	sent
@@ -438,7 +441,7 @@
 		case "ack":
 			return state == done, done
 		}
-		return true, state // the client has no answer
+		return true, state // no other input changes the state
 	},
 }
 
--- a/lab/tenants_test.go
+++ b/lab/tenants_test.go
@@ -68,8 +68,8 @@
 	}
 }
 
-// TestOnceInOrder checks which write histories count as those of one effect.
-func TestOnceInOrder(t *testing.T) {
+// TestIsLinearizable checks which write histories count as those of one write with at most one effect.
+func TestIsLinearizable(t *testing.T) {
 	for _, c := range []struct {
 		what    string
 		outcome outcome
--- a/lab/trouble.go
+++ b/lab/trouble.go
@@ -11,8 +11,8 @@
 	"vetchdoor/pilot"
 )
 
-// scheduleTroubles schedules the troubles of a day. Their targets are drawn at once from the day's seed, so that two runs
-// of a day have the same ones.
+// scheduleTroubles schedules the troubles of a day. Their targets are drawn at once from the day's seed, so that two
+// runs of a day have the same ones.
 func (f *fleet) scheduleTroubles() {
 	for i := range f.day.Troubles {
 		t := &f.day.Troubles[i]
@@ -45,7 +45,7 @@
 			x.Heavy, x.HeavyBy, x.HeavyType = valueIf(on, t.Extra), t.Size, opType
 		})(f, t)
 	},
-	"ageing": func(f *fleet, t *files.Trouble) { // nodes get slower in steps, crash, and restart cold
+	"ageing": func(f *fleet, t *files.Trouble) { // nodes get slower in steps, stop, and restart cold
 		const steps = 10
 		for _, n := range f.pickNodes(t) {
 			for i := range steps {
@@ -146,7 +146,7 @@
 		f.hotCallers = append(f.hotCallers, trafficShift{from: t.At.Span(), to: t.At.Span() + t.Length.Span(),
 			ramp: time.Duration(t.Extra * float64(time.Second)), fraction: t.Size, proxies: pick(f, len(f.proxies), part, t.On)})
 	},
-	"shift": func(f *fleet, t *files.Trouble) { // permanent; t.Length is the time that the shift takes
+	"shift": func(f *fleet, t *files.Trouble) { // traffic moves to a zone for good, within t.Length
 		zone := f.troubleZone(t)
 		var zoneProxies []int
 		for i, at := range f.proxies {
@@ -157,7 +157,7 @@
 		f.zoneShifts = append(f.zoneShifts, trafficShift{from: t.At.Span(), to: t.At.Span() + t.Length.Span(), ramp: t.Length.Span(),
 			fraction: t.Size, proxies: zoneProxies, permanent: true})
 	},
-	"slow_link": func(f *fleet, t *files.Trouble) { // between a zone and all others, or one other zone
+	"slow_link": func(f *fleet, t *files.Trouble) { // slow links between a zone and all others, or one other zone
 		zone, other := f.troubleZone(t), -1
 		if t.How == "pair" {
 			other = (zone + 1) % len(f.day.Service.Zones)
@@ -203,7 +203,7 @@
 	}
 }
 
-// during runs begin at the start of a trouble and end when its length is over.
+// during schedules begin at the start of a trouble and end at its end.
 func (f *fleet) during(t *files.Trouble, begin, end func()) {
 	f.schedule(t.At.Span(), begin)
 	f.schedule(t.At.Span()+t.Length.Span(), end)
@@ -270,7 +270,7 @@
 	return f.rng.IntN(len(f.day.Service.Zones))
 }
 
-// restartNode restarts a node cold; the list service shows it as ready after its usual delay.
+// restartNode restarts a node cold; the list service shows it as ready after the delay of an addition.
 func (f *fleet) restartNode(n *node.Node) {
 	n.Stop()
 	if n.Start(true) == nil && n.Up() {
@@ -314,7 +314,7 @@
 					f.announce(f.day.List.SilentNotice.Span(), n, "gone")
 				})
 				f.schedule(end, func() { f.restartNode(n) })
-			default: // a crash
+			default: // crash
 				f.schedule(begin, func() {
 					n.Stop()
 					f.announce(f.day.List.Notice.Span(), n, "gone")
