--- a/lab/bench.go
+++ b/lab/bench.go
@@ -176,8 +176,8 @@
 	d := &files.Day{Kind: "day", Name: fmt.Sprintf("%s-%s", b.Site, b.Kind), Length: fromMicroseconds(b.Length),
 		Seed: b.Noise % (1 << 50)}
 	d.Service = files.Service{Zones: b.Zones, ReportEvery: fromMicroseconds(fam.Period), TryShare: fam.TryAims,
-		OutlierAfter: fam.Ejects,
-		OutlierFor:   fromMicroseconds(fam.Eject), Bootstrap: max(1, fam.Standing), CrossZone: b.Prices.CrossZone}
+		OutlierAfter: fam.Ejects, OutlierFor: fromMicroseconds(fam.Eject), Bootstrap: max(1, fam.Standing),
+		CrossZone: b.Prices.CrossZone}
 	if fam.UsualHow >= 0 && fam.UsualHow < len(benchRetryModes) {
 		d.Service.UsualAgain = benchRetryModes[fam.UsualHow]
 	}
@@ -192,9 +192,8 @@
 	}
 	for i, c := range b.Classes {
 		t := files.OpType{Name: c.Name, Match: files.Match{Method: "POST", PathPrefix: "/" + c.Name},
-			TargetLatency: fromMicroseconds(c.Aim),
-			OpTimeout:     fromMicroseconds(c.Deadline), Revenue: c.Worth, LateShare: c.LateWorth, Repeat: benchRepeatModes[c.Effect],
-			Writes: c.Write}
+			TargetLatency: fromMicroseconds(c.Aim), OpTimeout: fromMicroseconds(c.Deadline), Revenue: c.Worth,
+			LateShare: c.LateWorth, Repeat: benchRepeatModes[c.Effect], Writes: c.Write}
 		if t.Repeat == "" {
 			return nil, nil, &files.Fault{File: path, Pointer: fmt.Sprintf("/classes/%d/effect", i),
 				Found: fmt.Sprintf("%q", c.Effect), Allowed: "safe, keyed or unsafe"}
@@ -211,12 +210,11 @@
 		}
 	}
 	d.Limits = files.Limits{EmptyFor: fromMicroseconds(fam.Bare), DrainGrace: fromMicroseconds(b.DrainGrace),
-		ColdFor:   fromMicroseconds(tier.StatedCold),
-		ColdShare: tier.StatedFrom, OverloadFactor: b.FallMultiple, FallAfter: fromMicroseconds(b.FallFor)}
+		ColdFor: fromMicroseconds(tier.StatedCold), ColdShare: tier.StatedFrom, OverloadFactor: b.FallMultiple,
+		FallAfter: fromMicroseconds(b.FallFor)}
 	d.Channel = files.Channel{LinesPerSecond: fam.Rate, MessageLines: int(fam.Head), MostWaiting: int(fam.Backlog),
-		MessageCap:     fam.MessagesMost,
-		MessageCapOver: fromMicroseconds(fam.MessagesOver), PushDelayMost: fromMicroseconds(2.5 * fam.Late),
-		ReportLinesPerSecond: fam.Intake}
+		MessageCap: fam.MessagesMost, MessageCapOver: fromMicroseconds(fam.MessagesOver),
+		PushDelayMost: fromMicroseconds(2.5 * fam.Late), ReportLinesPerSecond: fam.Intake}
 	if d.Channel.MessageCap > 0 && d.Channel.MessageCapOver == 0 {
 		d.Channel.MessageCapOver = files.Duration(10 * time.Second)
 	}
@@ -245,8 +243,8 @@
 	for _, k := range tier.Kinds {
 		d.Fleet.Machines = append(d.Fleet.Machines, files.Machine{Name: k.Name, Cores: k.Cores, Speed: [2]float64{1, 1},
 			Slots: max(1, k.Slots), Queue: k.Queue, Connections: max(1, int(tier.ConnCap*float64(k.Cores))),
-			Handshake: fromMicroseconds(tier.HandshakeWork), ColdShare: k.ColdFrom,
-			ColdFor: fromMicroseconds(k.Cold), ErrorRate: k.ErrorRate, Report: fromMicroseconds(tier.ReportPeriod),
+			Handshake: fromMicroseconds(tier.HandshakeWork), ColdShare: k.ColdFrom, ColdFor: fromMicroseconds(k.Cold),
+			ErrorRate: k.ErrorRate, Report: fromMicroseconds(tier.ReportPeriod),
 			Cancels: k.Cancel == "all", SlowsAt: k.Knee, SlowsBy: k.Thrash, ConnectionTax: tier.FullTax})
 	}
 	importFleet(&b, d, proxies, pilots, shrink)
--- a/lab/check.go
+++ b/lab/check.go
@@ -616,8 +616,7 @@
 			}
 		}
 		slices.SortStableFunc(queueChanges, func(a, b queueChange) int {
-			return cmp.Or(cmp.Compare(a.at, b.at),
-				cmp.Compare(a.lines, b.lines))
+			return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.lines, b.lines))
 		})
 		waiting := 0
 		for _, x := range queueChanges {
--- a/lab/check_test.go
+++ b/lab/check_test.go
@@ -159,19 +159,16 @@
 		}},
 		{"draining, past the grace period", "3", func(c *scenario) {
 			c.join(sec)
-			c.list(2*sec, "changes", "draining",
-				2)
+			c.list(2*sec, "changes", "draining", 2)
 			c.try(5*sec, 2, 1, 0, true)
 		}},
 		{"missing from a full list", "3", func(c *scenario) {
 			c.join(sec)
 			c.list(2*sec, "full", "ready", 1)
-			c.try(5*sec, 2, 1,
-				0, true)
+			c.try(5*sec, 2, 1, 0, true)
 		}},
 		{"grace period counted from the join", "", func(c *scenario) {
-			c.list(2*sec, "changes", "gone",
-				2)
+			c.list(2*sec, "changes", "gone", 2)
 			c.join(20 * sec)
 			c.try(22*sec, 2, 1, 0, true)
 		}},
--- a/lab/duplicates.go
+++ b/lab/duplicates.go
@@ -141,8 +141,7 @@
 			kind += " of " + d.op.tenantName()
 		}
 		out = append(out, Violation{2, d.effect.Arrived, fmt.Sprintf("op %d, %s, took effect again: tries %q, effects %q",
-			d.op.number, kind,
-			d.trail.describeTries(h.placements), d.trail.describeEffects(h.placements))})
+			d.op.number, kind, d.trail.describeTries(h.placements), d.trail.describeEffects(h.placements))})
 	}
 	if unlisted > 0 {
 		out = append(out, Violation{2, e.end, fmt.Sprintf("%d more effects beyond an op's first", unlisted)})
--- a/lab/duplicates_test.go
+++ b/lab/duplicates_test.go
@@ -74,8 +74,7 @@
 		}},
 		{"misbehaving client", tally, "", false, 1, func(c *scenario) {
 			c.ops[0].misbehaviour = badImpatient
-			c.effect(sec, 3,
-				1)
+			c.effect(sec, 3, 1)
 			c.effect(2*sec, 4, 2)
 		}},
 		{"misbehaving client with one try", tally, "", true, 1, func(c *scenario) {
@@ -89,8 +88,7 @@
 		{"retryable", read, "", false, 1, func(c *scenario) { c.effect(sec, 3, 1); c.effect(2*sec, 4, 2) }},
 		{"retryable, sent once", read, "", false, 1, func(c *scenario) {
 			c.effect(sec, 3, 1)
-			c.effect(2*sec, 3,
-				2)
+			c.effect(2*sec, 3, 2)
 			c.ops[0].tries = 1
 		}},
 		{"once-only, retried without a refusal", tally, "once-only", false, 1,
--- a/lab/fleet.go
+++ b/lab/fleet.go
@@ -45,9 +45,9 @@
 	dir            string       // temporary folder for caches and stores
 	records        *slog.Logger // receives the pilots' decision records; may be nil
 	createdAt      time.Time
-	mu             sync.Mutex // guards the instances that troubles stop and start
-	hotCallers     []trafficShift
-	zoneShifts     []trafficShift
+	mu             sync.Mutex     // guards the instances that troubles stop and start
+	hotCallers     []trafficShift // periods in which a few proxies carry more of the traffic
+	zoneShifts     []trafficShift // permanent shifts of traffic to the proxies of a zone
 	growth         []trafficShift // increases of traffic with the fleet's growth; fraction is the relative increase
 	trafficShares  []float64      // share of the traffic of each proxy
 	timers         sync.WaitGroup
--- a/lab/orders_test.go
+++ b/lab/orders_test.go
@@ -74,12 +74,12 @@
 	list        *stand.Server
 	pilots      []*pilot.Pilot
 	proxies     []*proxy.Proxy
-	routes      [3][2]*link.Road
-	lists       [2]*link.Road // from the list service to the pilots
-	reportDelay atomic.Int64
+	routes      [3][2]*link.Road // by proxy and pilot
+	lists       [2]*link.Road    // from the list service to the pilots
+	reportDelay atomic.Int64     // additional delay of proxies' reports and confirmations, in nanoseconds
 	generator   *loadGenerator
 	stop        chan struct{}
-	loadDone    chan struct{}
+	loadDone    chan struct{} // closed once all ops have ended
 	variant     variant
 }
 
@@ -90,7 +90,7 @@
 	unlisted int            // number of servers at the end of the sequence that are not in the list at first
 	tenants  *files.Tenants // tenant settings of all proxies
 
-	rule         int
+	rule         int                  // rule that the fleet breaks; 0 for none
 	events       string               // events, separated by commas, during which the violation is detected
 	alter        func(*wire.Message)  // modifies each pilot message on its way to the proxy
 	day          func(*files.Day)     // changes the settings that the checks use
@@ -106,8 +106,8 @@
 func simDay() *files.Day {
 	ms := func(n int) files.Duration { return files.Duration(time.Duration(n) * time.Millisecond) }
 	return &files.Day{Service: files.Service{Zones: []string{"a", "b"}, Measures: []string{"cpu_utilization"},
-		ReportEvery: ms(500),
-		TryShare:    0.8, OutlierAfter: 3, OutlierFor: ms(3000), Bootstrap: 2, CrossZone: 0.08, OpTypes: []files.OpType{
+		ReportEvery: ms(500), TryShare: 0.8, OutlierAfter: 3, OutlierFor: ms(3000), Bootstrap: 2, CrossZone: 0.08,
+		OpTypes: []files.OpType{
 			{Name: "read", Match: files.Match{PathPrefix: "/read"}, TargetLatency: ms(300), OpTimeout: ms(900), Revenue: 1,
 				Repeat: "retryable"},
 			{Name: "tally", Match: files.Match{PathPrefix: "/tally"}, TargetLatency: ms(300), OpTimeout: ms(900), Revenue: 3,
@@ -219,10 +219,10 @@
 func (f *simFleet) startPilot(j int) {
 	d := f.day
 	file := &files.Pilot{Kind: "pilot", Name: fmt.Sprintf("pilot-%d", j), Zone: d.Service.Zones[j], Instance: j, Instances: 2,
-		Proxies: 3,
-		Listen:  fmt.Sprintf("10.0.2.%d:80", j+1), Roster: fmt.Sprintf("list-%d", j), Seed: uint64(j + 1), Service: d.Service,
-		Limits: d.Limits, Channel: d.Channel, Silent: files.Duration(3 * time.Second), Resume: files.Duration(time.Second),
-		LeaveWithin: files.Duration(time.Second), Peers: []files.Peer{{Instance: 1 - j, Address: fmt.Sprintf("10.0.2.%d:80", 2-j)}}}
+		Proxies: 3, Listen: fmt.Sprintf("10.0.2.%d:80", j+1), Roster: fmt.Sprintf("list-%d", j), Seed: uint64(j + 1),
+		Service: d.Service, Limits: d.Limits, Channel: d.Channel, Silent: files.Duration(3 * time.Second), Resume: files.Duration(time.Second),
+		LeaveWithin: files.Duration(time.Second),
+		Peers:       []files.Peer{{Instance: 1 - j, Address: fmt.Sprintf("10.0.2.%d:80", 2-j)}}}
 	if f.variant.pilotConfig != nil {
 		f.variant.pilotConfig(file)
 	}
@@ -251,9 +251,8 @@
 func (f *simFleet) startProxy(i int) {
 	d := f.day
 	file := &files.Proxy{Kind: "proxy", ID: uint16(i), Zone: d.Service.Zones[i%2], Listen: fmt.Sprintf("10.0.1.%d:80", i+1),
-		Rate:    12,
-		Service: f.proxyService(), Redial: files.Duration(100 * time.Millisecond), Silent: files.Duration(4 * time.Second),
-		Seed: uint64(i + 1), Tenants: f.variant.tenants}
+		Rate: 12, Service: f.proxyService(), Redial: files.Duration(100 * time.Millisecond),
+		Silent: files.Duration(4 * time.Second), Seed: uint64(i + 1), Tenants: f.variant.tenants}
 	for j := range 2 {
 		file.Pilots = append(file.Pilots, files.PilotAddress{Address: fmt.Sprintf("stream-%d-%d", i, j), Zone: d.Service.Zones[j]})
 	}
@@ -464,8 +463,7 @@
 	for name, b := range map[string]variant{
 		"tables without a server": {rule: 1, events: "tick,cold,tick,tick", alter: func(m *wire.Message) {
 			m.Changes = slices.DeleteFunc(m.Changes, func(c wire.Change) bool {
-				return c.Verb == wire.AddServer ||
-					c.Verb == wire.AdoptTable
+				return c.Verb == wire.AddServer || c.Verb == wire.AdoptTable
 			})
 		}},
 		"retried after it may have run": {rule: 2, events: "tick,tick,tick,tick", alter: func(m *wire.Message) {
--- a/lab/repeats_days_test.go
+++ b/lab/repeats_days_test.go
@@ -73,8 +73,7 @@
 				}
 			}
 			t.Logf("%d of %d effects duplicate against rule 2, %d otherwise; load generator late by %v at p99", r.RuleTwoDuplicates,
-				r.Effects, r.DuplicateEffects-r.RuleTwoDuplicates,
-				r.GeneratorLagP99)
+				r.Effects, r.DuplicateEffects-r.RuleTwoDuplicates, r.GeneratorLagP99)
 		})
 	}
 }
--- a/lab/repeats_test.go
+++ b/lab/repeats_test.go
@@ -381,8 +381,7 @@
 // write of the tenant, lends it another pack.
 func TestRepeatsThatBorrow(t *testing.T) {
 	failures := runRepeatCases(t, repeatCase{name: "borrowed", group: "pack", crossZone: oneTable, servers: serversInPacks(6),
-		tenants: withSubset(1), second: 1,
-		before: serveReads, between: drainTwo, tablesDiffer: true})
+		tenants: withSubset(1), second: 1, before: serveReads, between: drainTwo, tablesDiffer: true})
 	if failures != "" {
 		t.Error(failures)
 	}
--- a/lab/xfail/xfail_test.go
+++ b/lab/xfail/xfail_test.go
@@ -60,8 +60,8 @@
 	}
 }
 
-// TestRegister guards against entries for tests that do not call xfail.Fails, which nobody would notice once they pass, and
-// against tests that call it without an entry.
+// TestRegister guards against register entries whose tests do not call xfail.Fails, so that a fixed fault would stay listed,
+// and against tests that call xfail.Fails without an entry.
 func TestRegister(t *testing.T) {
 	root, err := ModuleRoot(".")
 	if err != nil {
