--- a/lab/check_test.go
+++ b/lab/check_test.go
@@ -111,7 +111,7 @@
 // TestCheckers checks each rule's checker with evidence that keeps the rule by a small margin and with evidence that breaks
 // it by a small margin.
 func TestCheckers(t *testing.T) {
-	const bind = "set map op-types * t0"
+	const mapAll = "set map op-types * t0"
 	const one, two = "add server t0/e1 127.0.0.1:80 weight 1 zone 0 pack 0", "add server t0/e2 127.0.0.1:80 weight 1 zone 1 pack 0"
 	for _, c := range []struct {
 		name, want string
@@ -119,17 +119,17 @@
 	}{
 		{"correct", "", func(c *scenario) {
 			c.join(sec)
-			c.message(2*sec, 2*sec, 3*sec, 8, one, two, bind)
+			c.message(2*sec, 2*sec, 3*sec, 8, one, two, mapAll)
 			c.try(4*sec, 1, 1, 0, true)
 		}},
 		{"empty table within the limit", "", func(c *scenario) {
 			c.join(sec)
-			c.message(2*sec, 2*sec, 2*sec, 5, bind)
+			c.message(2*sec, 2*sec, 2*sec, 5, mapAll)
 			c.message(4*sec, 4*sec, 4500*time.Millisecond, 5, one)
 		}},
 		{"empty table past the limit", "11", func(c *scenario) {
 			c.join(sec)
-			c.message(2*sec, 2*sec, 2*sec, 5, bind)
+			c.message(2*sec, 2*sec, 2*sec, 5, mapAll)
 			c.message(4*sec, 4*sec, 5500*time.Millisecond, 5, one)
 		}},
 		{"all endpoints withdrawn", "11", func(c *scenario) {
@@ -139,7 +139,7 @@
 		{"empty table while no warm endpoint is listed", "", func(c *scenario) {
 			c.list(sec, "full", "started", 1)
 			c.join(sec)
-			c.message(2*sec, 2*sec, 2*sec, 5, bind)
+			c.message(2*sec, 2*sec, 2*sec, 5, mapAll)
 			c.end = 10 * sec
 		}},
 		{"retry after a refusal", "", func(c *scenario) { c.try(sec, 1, 1, 1, false); c.try(sec, 2, 1, 1, true) }},
@@ -176,7 +176,7 @@
 		{"cold, overloaded by an informed proxy", "4", func(c *scenario) {
 			c.list(2*sec, "changes", "started", 2)
 			c.join(sec)
-			c.message(3*sec, 3*sec, 3*sec, 5, one, two, bind)
+			c.message(3*sec, 3*sec, 3*sec, 5, one, two, mapAll)
 			c.try(4*sec, 2, 1, 0, true)
 			c.coldCrashes = []node.Fall{{At: 4 * sec, Endpoint: 2}}
 		}},
@@ -186,19 +186,19 @@
 			c.try(3*sec, 2, 1, 0, true)
 			c.coldCrashes = []node.Fall{{At: 3 * sec, Endpoint: 2}}
 		}},
-		{"full queue", "", func(c *scenario) { c.join(sec); c.message(2*sec, 4*sec, 5*sec, 9600, one, two, bind) }},
+		{"full queue", "", func(c *scenario) { c.join(sec); c.message(2*sec, 4*sec, 5*sec, 9600, one, two, mapAll) }},
 		{"queue past its bound", "5", func(c *scenario) {
 			c.join(sec)
-			c.message(2*sec, 4*sec, 5*sec, 9000, one, two, bind)
+			c.message(2*sec, 4*sec, 5*sec, 9000, one, two, mapAll)
 			c.message(3*sec, 5*sec, 5*sec, 900, one)
 		}},
 		{"lines faster than the limit", "5", func(c *scenario) {
 			c.join(sec)
 			for i := range time.Duration(20) {
-				c.message(sec+i, sec+i, sec+i, 480, one, two, bind)
+				c.message(sec+i, sec+i, sec+i, 480, one, two, mapAll)
 			}
 			for i := range time.Duration(20) {
-				c.message(sec*3/2+i, sec*3/2+i, sec*3/2+i, 480, one, two, bind)
+				c.message(sec*3/2+i, sec*3/2+i, sec*3/2+i, 480, one, two, mapAll)
 			}
 			c.channel.MostWaiting = 1 << 20
 		}},
@@ -206,7 +206,7 @@
 			c.channel.MessageCap, c.channel.MessageCapOver = 3, files.Duration(10*sec)
 			c.join(sec)
 			for i := range time.Duration(4) {
-				c.message(2*sec*(i+1), 2*sec*(i+1), 2*sec*(i+1), 5, one, two, bind)
+				c.message(2*sec*(i+1), 2*sec*(i+1), 2*sec*(i+1), 5, one, two, mapAll)
 			}
 		}},
 	} {
--- a/lab/fleet.go
+++ b/lab/fleet.go
@@ -20,7 +20,7 @@
 	"vetchdoor/lab/link"
 	"vetchdoor/lab/loopback"
 	"vetchdoor/lab/node"
-	stand "vetchdoor/lab/roster"
+	labroster "vetchdoor/lab/roster"
 	"vetchdoor/pilot"
 	"vetchdoor/proxy"
 	"vetchdoor/roster"
@@ -37,7 +37,7 @@
 	rng            *rand.Rand // for draws while the day is set up
 	tap            *link.Tap
 	ledger         *node.Ledger
-	list           *stand.Server
+	list           *labroster.Server
 	nodes          []*node.Node
 	spare          []*node.Node // nodes that are started by the trouble "grow"
 	pilots         []*pilotInstance
@@ -87,11 +87,12 @@
 }
 
 // newFleet builds and starts all parts but the clients. On an error it stops the parts that already run.
-func newFleet(day *files.Day, o *Options) (f *fleet, err error) {
-	f = &fleet{day: day, log: o.Log, rng: rand.New(rand.NewPCG(day.Seed, 2)), ledger: node.NewLedger(), createdAt: time.Now(),
-		host: loopback.Host(), stop: make(chan struct{}), wrapProxy: o.wrapProxy, configured: day.Service, records: o.Records}
-	if f.configured.OpTypes = slices.Clone(day.Service.OpTypes); o.configure != nil {
-		o.configure(&f.configured)
+func newFleet(day *files.Day, options *Options) (f *fleet, err error) {
+	f = &fleet{day: day, log: options.Log, rng: rand.New(rand.NewPCG(day.Seed, 2)), ledger: node.NewLedger(),
+		createdAt: time.Now(), host: loopback.Host(), stop: make(chan struct{}), wrapProxy: options.wrapProxy,
+		configured: day.Service, records: options.Records}
+	if f.configured.OpTypes = slices.Clone(day.Service.OpTypes); options.configure != nil {
+		options.configure(&f.configured)
 	}
 	f.tap = link.NewTap(f.ledger.From())
 	defer func() {
@@ -114,7 +115,7 @@
 		}
 		entries = append(entries, e)
 	}
-	if f.list, err = stand.Start(net.JoinHostPort(f.host, "0"), entries); err != nil {
+	if f.list, err = labroster.Start(net.JoinHostPort(f.host, "0"), entries); err != nil {
 		return f, err
 	}
 	if err = f.startPilots(); err != nil {
--- a/lab/links_test.go
+++ b/lab/links_test.go
@@ -176,14 +176,14 @@
 	for range 20 {
 		withSimFleet(t, variant{}, func(f *simFleet) {
 			f.pilots[0].Stop()
-			heard := 0
+			redirected := 0
 			for _, p := range f.tap.All() {
 				if p.Direction == link.Down && strings.HasPrefix(string(p.Data), "away ") {
-					heard++
+					redirected++
 				}
 			}
-			if heard != 3 { // one of the three was redirected to this pilot at the start
-				f.t.Errorf("%d of 3 proxies were redirected", heard)
+			if redirected != 3 { // one of the three was redirected to this pilot at the start
+				f.t.Errorf("%d of 3 proxies were redirected", redirected)
 			}
 			f.startPilot(0)
 		})
@@ -198,12 +198,12 @@
 			begin := time.Since(f.ledger.From())
 			f.proxies[2].Stop(context.Background())
 			time.Sleep(100 * time.Millisecond)
-			heard := false
+			received := false
 			for _, p := range f.tap.All() {
-				heard = heard || p.Direction == link.Up && p.Came >= begin && strings.HasPrefix(p.Link,
+				received = received || p.Direction == link.Up && p.Came >= begin && strings.HasPrefix(p.Link,
 					"stream 2 ") && strings.HasPrefix(string(p.Data), "sums ")
 			}
-			if !heard {
+			if !received {
 				f.t.Error("the proxy did not send its last sums")
 			}
 			f.startProxy(2)
--- a/lab/orders_test.go
+++ b/lab/orders_test.go
@@ -23,7 +23,7 @@
 	"vetchdoor/http1"
 	"vetchdoor/lab/link"
 	"vetchdoor/lab/node"
-	stand "vetchdoor/lab/roster"
+	labroster "vetchdoor/lab/roster"
 	"vetchdoor/pilot"
 	"vetchdoor/proxy"
 	"vetchdoor/roster"
@@ -71,7 +71,7 @@
 	net         *link.Memory
 	ledger      *node.Ledger
 	nodes       []*node.Node
-	list        *stand.Server
+	list        *labroster.Server
 	pilots      []*pilot.Pilot
 	proxies     []*proxy.Proxy
 	routes      [3][2]*link.Road // by proxy and pilot
@@ -153,7 +153,7 @@
 		}
 	}
 	var err error
-	if f.list, err = stand.StartOver(f.net, "10.0.3.1:80", entries); err != nil {
+	if f.list, err = labroster.StartOver(f.net, "10.0.3.1:80", entries); err != nil {
 		t.Fatal(err)
 	}
 	f.pilots, f.proxies = make([]*pilot.Pilot, 2), make([]*proxy.Proxy, 3)
@@ -220,7 +220,8 @@
 	d := f.day
 	file := &files.Pilot{Kind: "pilot", Name: fmt.Sprintf("pilot-%d", j), Zone: d.Service.Zones[j], Instance: j, Instances: 2,
 		Proxies: 3, Listen: fmt.Sprintf("10.0.2.%d:80", j+1), Roster: fmt.Sprintf("list-%d", j), Seed: uint64(j + 1),
-		Service: d.Service, Limits: d.Limits, Channel: d.Channel, Silent: files.Duration(3 * time.Second), Resume: files.Duration(time.Second),
+		Service: d.Service, Limits: d.Limits, Channel: d.Channel,
+		Silent: files.Duration(3 * time.Second), Resume: files.Duration(time.Second),
 		LeaveWithin: files.Duration(time.Second),
 		Peers:       []files.Peer{{Instance: 1 - j, Address: fmt.Sprintf("10.0.2.%d:80", 2-j)}}}
 	if f.variant.pilotConfig != nil {
--- a/lab/repeats_test.go
+++ b/lab/repeats_test.go
@@ -367,11 +367,12 @@
 func TestRepeatsAcrossTables(t *testing.T) {
 	c := repeatCase{group: "pack", crossZone: oneTable, servers: serversInPacks(7), unlisted: 1, tenants: withSubset(1),
 		tablesDiffer: true}
-	heard, hears, anew := c, c, c
-	heard.name, heard.second, heard.before = "only one pilot received the new server", 1, announceLastToOnePilot
-	hears.name, hears.between = "one proxy, new server between the tries", announceLast
-	anew.name, anew.between = "one proxy, restarted between the tries", restartProxyIsolated
-	failures := runRepeatCases(t, heard, hears, anew)
+	onePilotInformed, proxyInformed, proxyRestarted := c, c, c
+	onePilotInformed.name, onePilotInformed.second, onePilotInformed.before = "only one pilot received the new server", 1,
+		announceLastToOnePilot
+	proxyInformed.name, proxyInformed.between = "one proxy, new server between the tries", announceLast
+	proxyRestarted.name, proxyRestarted.between = "one proxy, restarted between the tries", restartProxyIsolated
+	failures := runRepeatCases(t, onePilotInformed, proxyInformed, proxyRestarted)
 	if failures != "" {
 		t.Error(failures)
 	}
--- a/lab/run.go
+++ b/lab/run.go
@@ -38,12 +38,12 @@
 
 // Run plays a day and returns its report. It returns an error if the fleet cannot start, the observed traffic cannot be
 // parsed, or ctx ends.
-func Run(ctx context.Context, day *files.Day, o Options) (*Report, error) {
+func Run(ctx context.Context, day *files.Day, options Options) (*Report, error) {
 	begin := time.Now()
-	if o.Progress == nil {
-		o.Progress = io.Discard
+	if options.Progress == nil {
+		options.Progress = io.Discard
 	}
-	f, err := newFleet(day, &o)
+	f, err := newFleet(day, &options)
 	if err != nil {
 		return nil, err
 	}
@@ -53,15 +53,15 @@
 			f.close()
 		}
 	}()
-	fmt.Fprintf(o.Progress, "%s: started %d pilots, %d proxies and %d nodes\n", day.Name, len(f.pilots), len(f.proxies),
+	fmt.Fprintf(options.Progress, "%s: started %d pilots, %d proxies and %d nodes\n", day.Name, len(f.pilots), len(f.proxies),
 		len(f.nodes))
 	select {
 	case <-time.After(settleTime):
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
-	if o.beforeLoad != nil {
-		o.beforeLoad(f)
+	if options.beforeLoad != nil {
+		options.beforeLoad(f)
 	}
 	f.scheduleTroubles()
 	s := &loadGenerator{day: day, ledger: f.ledger, largeRequests: true, types: day.Service.Types(),
@@ -79,7 +79,7 @@
 		s.play(from, ctx.Done())
 		close(done)
 	}()
-	connections := f.progress(ctx, o.Progress, from, done)
+	connections := f.progress(ctx, options.Progress, from, done)
 	if err := ctx.Err(); err != nil {
 		<-done
 		return nil, err
--- a/lab/sign/sign.go
+++ b/lab/sign/sign.go
@@ -1,5 +1,5 @@
 // Package sign marks test requests so that mixed-up requests and responses are detected: the path, the headers and the body
-// of a request bear the same number, and the response returns it in the header Field. Check compares the three on the
+// of a request carry the same number, and the response returns it in the header Field. Check compares the three on the
 // server side.
 package sign
 
@@ -11,7 +11,7 @@
 	"vetchdoor/http1"
 )
 
-// Field is the header that bears the number of a request; a response returns the number of the request that it answers.
+// Field is the header that carries the number of a request; a response returns the number of the request that it answers.
 const Field = "Lab-Sign"
 
 // paddingField is the header that pads the head of a large request.
@@ -23,7 +23,7 @@
 	LargeBody = 24 << 10
 )
 
-// signQuery is the query parameter that bears the number in a path.
+// signQuery is the query parameter that carries the number in a path.
 const signQuery = "?sign="
 
 // Path returns the path with the number appended as a query.
@@ -31,7 +31,7 @@
 	return path + signQuery + strconv.FormatUint(number, 10)
 }
 
-// AppendFields appends the header that bears the number and, for a large request, one that pads the head.
+// AppendFields appends the header that carries the number and, for a large request, one that pads the head.
 func AppendFields(b []byte, number uint64, large bool) []byte {
 	b = http1.AppendField(b, Field, strconv.FormatUint(number, 10))
 	if large {
@@ -40,7 +40,7 @@
 	return b
 }
 
-// Body returns a body that bears the number.
+// Body returns a body that carries the number.
 func Body(number uint64, large bool) []byte {
 	if large {
 		return repeatNumber(number, LargeBody)
@@ -54,7 +54,7 @@
 	return bytes.Repeat(one, (size+len(one)-1)/len(one))
 }
 
-// Check returns the number of a request, or nil if it bears none. It returns an error that names the part that belongs to
+// Check returns the number of a request, or nil if it carries none. It returns an error that names the part that belongs to
 // another request.
 func Check(m *http1.Message) (number []byte, err error) {
 	number = m.Get(Field)
--- a/lab/tenants.go
+++ b/lab/tenants.go
@@ -65,7 +65,7 @@
 	badImpatient  = "hasty"       // the client times out early and retries at once, whatever the response
 	badPoison     = "poison"      // the server that processes one crashes
 	badSlowReader = "slow-reader" // requests a large response and reads it slowly
-	badNewNames   = "new-names"   // each op bears a new, unknown tenant name
+	badNewNames   = "new-names"   // each op has a new, unknown tenant name
 )
 
 // impatientTimeout is the time for which an impatient client waits for a response; impatientTries is the maximum number
@@ -75,7 +75,7 @@
 	impatientTries   = 60
 )
 
-// tenantName returns the tenant name that the op bears.
+// tenantName returns the tenant name in the request of the op.
 func (o *op) tenantName() string {
 	if o.misbehaviour == badNewNames {
 		return tenantName(o.tenant) + "x" + strconv.FormatUint(o.number, 10)
@@ -363,12 +363,12 @@
 			}
 		}
 	}
-	var held time.Duration
+	var heldTotal time.Duration
 	for _, list := range changesByTenant {
 		slices.SortFunc(list, func(a, b bindingChange) int { return int(int64(a.number - b.number)) })
 		for i := 1; i < len(list); i++ {
 			if before, now := list[i-1], list[i]; before.change.Held && !now.change.Held {
-				if held += now.at - before.at; now.change.Seat.Equal(before.change.Seat) {
+				if heldTotal += now.at - before.at; now.change.Seat.Equal(before.change.Seat) {
 					result.Cancelled++
 				} else {
 					result.Moved++
@@ -376,7 +376,7 @@
 			}
 		}
 	}
-	result.HeldMean = held / time.Duration(max(1, result.Moved+result.Cancelled))
+	result.HeldMean = heldTotal / time.Duration(max(1, result.Moved+result.Cancelled))
 	addExample := func(o *op) {
 		moving := false
 		t := nodes[o.number]
--- a/lab/tenants_test.go
+++ b/lab/tenants_test.go
@@ -91,7 +91,7 @@
 	}
 }
 
-// TestMisbehaviours plays each kind of misbehaviour and checks that no rule is broken beside it.
+// TestMisbehaviours plays each kind of misbehaviour and checks that no rule is broken during it.
 func TestMisbehaviours(t *testing.T) {
 	t.Parallel()
 	for _, how := range []string{"", badImpatient, badPoison, badSlowReader, badNewNames} {
