--- a/http1/cut_test.go
+++ b/http1/cut_test.go
@@ -24,14 +24,14 @@
 		{"answer until the end", Responses, "HTTP/1.1 200 OK\r\nX-One: 1\r\n\r\nabcde", true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			whole, err := c.parser(Usual).Parse([]byte(c.in), c.ended)
+			whole, err := c.parser(DefaultBounds).Parse([]byte(c.in), c.ended)
 			if err != nil {
 				t.Fatal(err)
 			}
 			want := describe(whole)
 			for first := 1; first < len(c.in); first++ {
 				for second := first; second < len(c.in); second++ {
-					if got := parsePieces(t, c.parser(Usual), c.in, c.ended, first, second); got != want {
+					if got := parsePieces(t, c.parser(DefaultBounds), c.in, c.ended, first, second); got != want {
 						t.Fatalf("cut at %d and %d:\n%s\nwant:\n%s", first, second, got, want)
 					}
 				}
@@ -58,7 +58,7 @@
 
 // TestMessagesOfOneParser guards against memory of one message that shows in the next: several come through one parser.
 func TestMessagesOfOneParser(t *testing.T) {
-	p := Requests(Usual)
+	p := Requests(DefaultBounds)
 	for i, size := range []int{10, 20_000, 5, 100, 20_000, 0} {
 		pad := strings.Repeat(string(rune('a'+i)), size)
 		in := fmt.Sprintf("POST /%d HTTP/1.1\r\nHost: a\r\nX-Pad: %s\r\nContent-Length: 3\r\n\r\nabc", i, pad)
--- a/http1/http1.go
+++ b/http1/http1.go
@@ -16,8 +16,8 @@
 	Body int
 }
 
-// Usual are bounds that suit small ops.
-var Usual = Bounds{Line: 8 << 10, Head: 32 << 10, Body: 1 << 20}
+// DefaultBounds are bounds that suit small ops.
+var DefaultBounds = Bounds{Line: 8 << 10, Head: 32 << 10, Body: 1 << 20}
 
 // ErrMore says that the message is not whole yet.
 var ErrMore = errors.New("http1: more bytes are needed")
--- a/http1/http1_test.go
+++ b/http1/http1_test.go
@@ -57,7 +57,7 @@
 		{"long head", "GET / HTTP/1.1\r\nA: " + strings.Repeat("a", 33000), 431, "", false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			m, err := Requests(Usual).Parse([]byte(c.in), false)
+			m, err := Requests(DefaultBounds).Parse([]byte(c.in), false)
 			var bad *Malformed
 			switch {
 			case errors.As(err, &bad):
@@ -81,7 +81,7 @@
 func TestTrickle(t *testing.T) {
 	in := "POST /1 HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n" +
 		"POST /2 HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\nxy" + "GET /3 HTTP/1.1\r\nHost: a\r\n\r\n"
-	p := Requests(Usual)
+	p := Requests(DefaultBounds)
 	var got []string
 	var buf []byte
 	for i := range in {
@@ -103,7 +103,7 @@
 }
 
 func TestResponses(t *testing.T) {
-	p := Responses(Usual)
+	p := Responses(DefaultBounds)
 	m, err := p.Parse([]byte("HTTP/1.1 200 OK\r\n\r\nrest"), false)
 	if !errors.Is(err, ErrMore) || m != nil {
 		t.Fatalf("a body that ends with the connection: %v %v", m, err)
@@ -111,17 +111,17 @@
 	if m, err = p.Parse([]byte("HTTP/1.1 200 OK\r\n\r\nrest"), true); err != nil || string(m.Body) != "rest" || !m.Close {
 		t.Fatalf("%v %v", m, err)
 	}
-	p = Responses(Usual)
+	p = Responses(DefaultBounds)
 	p.ForHead()
 	if m, err = p.Parse([]byte("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n"), false); err != nil || len(m.Body) != 0 {
 		t.Fatalf("answer to HEAD: %v %v", m, err)
 	}
-	p = Responses(Usual)
+	p = Responses(DefaultBounds)
 	if m, err = p.Parse([]byte("HTTP/1.1 204 No Content\r\n\r\n"), false); err != nil || m.Status != 204 {
 		t.Fatalf("204: %v %v", m, err)
 	}
 	for _, in := range []string{"HTTP/1.1 20 OK\r\n\r\n", "HTTP/1.1 abc OK\r\n\r\n", "HTTP/1.1 2000 OK\r\n\r\n", "FTP/1.1 200 OK\r\n\r\n"} {
-		if _, err := Responses(Usual).Parse([]byte(in), true); err == nil || errors.Is(err, ErrMore) {
+		if _, err := Responses(DefaultBounds).Parse([]byte(in), true); err == nil || errors.Is(err, ErrMore) {
 			t.Errorf("%q: %v", in, err)
 		}
 	}
@@ -129,7 +129,7 @@
 
 // What belongs to one connection is not passed on.
 func TestForwarded(t *testing.T) {
-	m, err := Requests(Usual).Parse([]byte("GET / HTTP/1.1\r\nHost: a\r\nConnection: X-One, close\r\nX-One: 1\r\nX-Two: 2\r\nTE: x\r\nContent-Length: 0\r\n\r\n"), false)
+	m, err := Requests(DefaultBounds).Parse([]byte("GET / HTTP/1.1\r\nHost: a\r\nConnection: X-One, close\r\nX-One: 1\r\nX-Two: 2\r\nTE: x\r\nContent-Length: 0\r\n\r\n"), false)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -164,10 +164,10 @@
 		f.Add([]byte(s))
 	}
 	f.Fuzz(func(t *testing.T, in []byte) {
-		p := Requests(Usual)
+		p := Requests(DefaultBounds)
 		m, err := p.Parse(in, false)
 		// Two pieces are the same as one.
-		q := Requests(Usual)
+		q := Requests(DefaultBounds)
 		half := in[:len(in)/2]
 		var m2 *Message
 		_, err2 := q.Parse(half, false)
@@ -207,7 +207,7 @@
 	f.Add([]byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab"), true)
 	f.Add([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n0\r\nX: y\r\n\r\n"), false)
 	f.Fuzz(func(t *testing.T, in []byte, ended bool) {
-		m, err := Responses(Usual).Parse(in, ended)
+		m, err := Responses(DefaultBounds).Parse(in, ended)
 		if err == nil && (m.Size > len(in) || len(m.Body) > len(in) || m.Status < 100 || m.Status > 999) {
 			t.Fatalf("%+v", m)
 		}
--- a/serve/serve.go
+++ b/serve/serve.go
@@ -46,7 +46,7 @@
 // Start listens on HOST:PORT; port 0 takes any that is free.
 func (s *Server) Start(address string) error {
 	if s.Bounds == (http1.Bounds{}) {
-		s.Bounds = http1.Usual
+		s.Bounds = http1.DefaultBounds
 	}
 	if s.Idle <= 0 {
 		s.Idle = time.Minute
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -79,7 +79,7 @@
 		p.ConnectTimeout = 250 * time.Millisecond
 	}
 	if p.Bounds == (http1.Bounds{}) {
-		p.Bounds = http1.Usual
+		p.Bounds = http1.DefaultBounds
 	}
 	go p.sweep()
 }
