--- a/pilot/moves.go
+++ b/pilot/moves.go
@@ -58,7 +58,7 @@
 		s.Close()
 		return err
 	}
-	w := tenancy.Waits{Most: f.Most.Span(), Abreast: f.Abreast}
+	w := tenancy.MoveLimits{Most: f.Most.Span(), Abreast: f.Abreast}
 	w.Write, w.Window = tenancy.Needs(p.facts.OpTypes, p.file.Service.WriteLife.Span())
 	if w.Most <= 0 {
 		w.Most = 10 * (w.Write + w.Window)
--- a/tenancy/bench_test.go
+++ b/tenancy/bench_test.go
@@ -29,7 +29,7 @@
 func BenchmarkJoin(b *testing.B) {
 	for _, has := range []bool{false, true} {
 		b.Run(fmt.Sprintf("knows %t", has), func(b *testing.B) {
-			m := NewMover(Waits{Most: time.Hour}, 1, nil, nil)
+			m := NewMover(MoveLimits{Most: time.Hour}, 1, nil, nil)
 			for i := range 10_000 {
 				m.Step(0, Event{Ask: &Ask{Tenant: fmt.Sprint("newsroom-", i), To: Seat{Draw: 1}}})
 			}
--- a/tenancy/move.go
+++ b/tenancy/move.go
@@ -15,8 +15,8 @@
 // ProxyID numbers a proxy.
 type ProxyID uint16
 
-// Waits are what a move must wait out, from the facts of the service, and how many go on at a time.
-type Waits struct {
+// MoveLimits are what a move must wait out, from the facts of the service, and how many go on at a time.
+type MoveLimits struct {
 	Write   time.Duration // longest that a write stays in hand at a proxy or server
 	Window  time.Duration // longest that servers of one group drop a repeat, which those of another would not
 	Most    time.Duration // longest that a tenant is held; a move that needs more is cancelled
@@ -119,7 +119,7 @@
 
 // Mover is the tenants of one pilot.
 type Mover struct {
-	waits   Waits
+	waits   MoveLimits
 	born    uint64 // every order of this store has a higher number
 	number  uint64 // of the newest order
 	now     time.Duration
@@ -141,7 +141,7 @@
 // are. Times and confirmations are not kept: what was awaited or waited out is so again. Every proxy counts as away until
 // it joins: one that has not come back to a pilot that died still sends where it was told to, and a move that did not wait
 // for it could double what it sends.
-func NewMover(w Waits, born uint64, kept []Record, known []ProxyID) *Mover {
+func NewMover(w MoveLimits, born uint64, kept []Record, known []ProxyID) *Mover {
 	m := &Mover{waits: w, born: born, number: born, tenants: map[string]*tenant{}, moving: map[string]*tenant{}, proxies: map[ProxyID]bool{}}
 	for _, p := range known {
 		m.proxies[p] = false
