--- a/files/files.go
+++ b/files/files.go
@@ -329,7 +329,7 @@
 		Instance: p.Instance, Instances: max(1, p.Instances), Zone: s.ZoneIndex(p.Zone), Zones: len(s.Zones),
 		OpTypes: s.Types(), Tick: p.Tick.Span(), Levels: control.LevelShare,
 		OutlierAfter: s.OutlierAfter, Bootstrap: s.Bootstrap, Proxies: p.Proxies, MessageLines: float64(c.MessageLines),
-		LinesPerSecond: c.LinesPerSecond, MostWaiting: float64(c.MostWaiting - p.NoticeLines()),
+		LinesPerSecond: c.LinesPerSecond, MaxUnconfirmedLines: float64(c.MostWaiting - p.NoticeLines()),
 		MessageCap:     max(0, c.MessageCap-1), // one is the pilot's own
 		MessageCapOver: c.MessageCapOver.Span(), PushDelayMost: c.PushDelayMost.Span(),
 		ReportEvery: s.ReportEvery.Span(), ReportLinesPerS: c.ReportLinesPerSecond,
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -74,7 +74,7 @@
 		zones: map[control.ProxyID]int{}, hears: map[control.EndpointID][3]float64{},
 		asks: map[control.ProxyID]float64{}, facts: control.Facts{
 			Zones: 2, Proxies: 4, Instances: 1, Levels: control.LevelShare, ReportEvery: time.Second, PushDelayMost: time.Second / 2,
-			LinesPerSecond: 2000, MostWaiting: 4000, MessageCapOver: 10 * time.Second, MessageLines: 5, ListedWeights: true,
+			LinesPerSecond: 2000, MaxUnconfirmedLines: 4000, MessageCapOver: 10 * time.Second, MessageLines: 5, ListedWeights: true,
 			Measures: []control.Measure{control.Util}, CrossZonePrice: 0.08, ColdFor: 16 * time.Second,
 			ColdShare: 0.2, DrainGrace: 2 * time.Second,
 			OpTypes: []control.OpType{
@@ -153,7 +153,7 @@
 	for p := range w.waits {
 		total += w.waits[p]
 	}
-	if total > w.facts.MostWaiting {
+	if total > w.facts.MaxUnconfirmedLines {
 		w.fail("%v lines wait", total)
 	}
 	for p, tables := range w.bound {
@@ -256,7 +256,7 @@
 		count := map[string]*int{"avoid": &w.facts.OutlierAfter, "standing": &w.facts.Bootstrap, "cap": &w.facts.MessageCap,
 			"proxies": &w.facts.Proxies, "zones": &w.facts.Zones, "slices": &w.facts.Slices}[key]
 		if key == "waiting" {
-			w.facts.MostWaiting = v
+			w.facts.MaxUnconfirmedLines = v
 		} else if key == "across" {
 			w.facts.AcrossCells = uint16(v)
 		} else if key == "packs" {
--- a/policy/tables.go
+++ b/policy/tables.go
@@ -240,7 +240,7 @@
 	}
 	lane := swift * a.facts.DrainGrace.Seconds() * a.facts.LinesPerSecond
 	late := room < hardWaiting && lane > 0 && a.waiting > lane
-	if need > 0 && (late || a.waiting+need > room*a.facts.MostWaiting) {
+	if need > 0 && (late || a.waiting+need > room*a.facts.MaxUnconfirmedLines) {
 		a.held = true
 		return false
 	}
