--- a/pilot/moves.go
+++ b/pilot/moves.go
@@ -33,7 +33,7 @@
 
 // bound is an order for one session of a proxy.
 type bound struct {
-	tenancy.Order
+	tenancy.BindingUpdate
 	s *session
 }
 
@@ -120,7 +120,7 @@
 		if len(b.s.bindings) == 0 {
 			p.mover.sending = append(p.mover.sending, b.s)
 		}
-		b.s.bindings = append(b.s.bindings, b.Order)
+		b.s.bindings = append(b.s.bindings, b.BindingUpdate)
 	}
 	p.pump()
 }
--- a/pilot/session.go
+++ b/pilot/session.go
@@ -19,11 +19,11 @@
 	conn        *connection // nil while away
 	generation  int         // counts joins and breaks, so that a timer of an earlier break does nothing
 	sent        []outgoing
-	unconfirmed int             // lines of sent
-	digests     []uint64        // of the tables that it joined with
-	standing    bool            // it joined with its standing tables alone
-	announced   bool            // the module was told that it joined
-	bindings    []tenancy.Order // of tenants, to be sent
+	unconfirmed int                     // lines of sent
+	digests     []uint64                // of the tables that it joined with
+	standing    bool                    // it joined with its standing tables alone
+	announced   bool                    // the module was told that it joined
+	bindings    []tenancy.BindingUpdate // of tenants, to be sent
 }
 
 // newSession begins a proxy's session with the tables that it holds.
--- a/tenancy/move.go
+++ b/tenancy/move.go
@@ -48,9 +48,9 @@
 	Asked  *Ask   `json:"asked,omitempty"` // a move that waits for its turn
 }
 
-// Order is a binding for one proxy: how the tenant's ops go from now on. It may be sent any number of times; a proxy
+// BindingUpdate is a binding for one proxy: how the tenant's ops go from now on. It may be sent any number of times; a proxy
 // keeps the one with the highest number.
-type Order struct {
+type BindingUpdate struct {
 	Proxy  ProxyID
 	Tenant string
 	Number uint64
@@ -96,7 +96,7 @@
 type Done struct {
 	Records []Record
 	Known   []ProxyID // not nil: keep this in place of the proxies kept before, with the records
-	Orders  []Order
+	Orders  []BindingUpdate
 	Refused []error
 	Ended   []End
 	Wake    time.Duration
@@ -276,7 +276,7 @@
 		}
 	}
 	if j.Has == 0 { // what others told it, or this pilot before it lost its store, is over
-		m.done.Orders = append(m.done.Orders, Order{Proxy: j.Proxy, Number: m.born, Clear: true})
+		m.done.Orders = append(m.done.Orders, BindingUpdate{Proxy: j.Proxy, Number: m.born, Clear: true})
 	}
 }
 
@@ -402,7 +402,7 @@
 // order tells one proxy how the tenant stands, if it can be told.
 func (m *Mover) order(t *tenant, p ProxyID) {
 	if m.proxies[p] && t.Number > 0 {
-		m.done.Orders = append(m.done.Orders, Order{Proxy: p, Tenant: t.Tenant, Number: t.Number, Seat: t.Seat.clone(), Held: t.Phase != Settled})
+		m.done.Orders = append(m.done.Orders, BindingUpdate{Proxy: p, Tenant: t.Tenant, Number: t.Number, Seat: t.Seat.clone(), Held: t.Phase != Settled})
 	}
 }
 
--- a/tenancy/move_test.go
+++ b/tenancy/move_test.go
@@ -31,9 +31,9 @@
 type held struct {
 	Binding
 	joined  bool
-	has     uint64    // orders of the pilot that it has all of
-	orders  []Order   // on their way to it
-	answers []Confirm // on their way back
+	has     uint64          // orders of the pilot that it has all of
+	orders  []BindingUpdate // on their way to it
+	answers []Confirm       // on their way back
 }
 
 type op struct {
