--- a/proxy/admin.go
+++ b/proxy/admin.go
@@ -89,7 +89,7 @@
 		if _, bound := t.bindings.of[name]; bound && !b.Writes(now, t.bindings.wait) {
 			writes = "held"
 		}
-		fmt.Fprintf(w, "%s,%g,%g,%t,%g,%s,%d,%s,\n", runtime.Quote("="+name), l.Rate, l.Hand, l.Fenced, l.Room, b.Seat, b.Number, writes)
+		fmt.Fprintf(w, "%s,%g,%g,%t,%g,%s,%d,%s,\n", runtime.Quote("="+name), l.Rate, l.Hand, l.Fenced, l.Room, b.Placement, b.Number, writes)
 	}
 	return nil
 }
--- a/proxy/bindings.go
+++ b/proxy/bindings.go
@@ -47,7 +47,7 @@
 	next := *b
 	n, changed := &next, map[string]tenancy.Binding{}
 	n.of = maps.Clone(b.of)
-	set := func(tenant string, number uint64, seat tenancy.Seat, held bool) {
+	set := func(tenant string, number uint64, seat tenancy.Placement, held bool) {
 		x, ok := n.of[tenant]
 		if !ok {
 			x = tenancy.Bound()
@@ -68,7 +68,7 @@
 			n.pilot, n.upTo, n.untold = m.Pilot, c.Number, false
 			for name, x := range n.of {
 				if x.Pilot != m.Pilot || x.Number <= c.Number {
-					set(name, c.Number, tenancy.Seat{}, false)
+					set(name, c.Number, tenancy.Placement{}, false)
 				}
 				n.upTo = max(n.upTo, n.of[name].Number)
 			}
@@ -81,7 +81,7 @@
 func (b *bindings) sweep(now time.Duration) (*bindings, map[string]tenancy.Binding) {
 	gone := map[string]tenancy.Binding{}
 	for name, x := range b.of {
-		if !x.Held && x.Seat.Equal(tenancy.Seat{}) && x.Writes(now, b.wait) && x.Number <= b.upTo {
+		if !x.Held && x.Placement.Equal(tenancy.Placement{}) && x.Writes(now, b.wait) && x.Number <= b.upTo {
 			gone[name] = x
 		}
 	}
--- a/proxy/placement.go
+++ b/proxy/placement.go
@@ -122,7 +122,7 @@
 
 // write is what a tenant's writes are drawn by.
 func (t *tenants) write(kind groupKind, x *tenant, b *bindings) tenancy.Write {
-	seat := b.of[x.name].Seat
+	seat := b.of[x.name].Placement
 	if kind.ofZones() {
 		seat = seat.InZones()
 	}
@@ -138,7 +138,7 @@
 // podsInZone returns the pods of a zone, one of several, that a tenant's writes of a kind go to there: its part of a subset, of those
 // with a line in the table; nil for all. Servers of the whole zone know a repeat, so that proxies need not agree on them.
 func (t *tenants) podsInZone(kind groupKind, x *tenant, table *table, b *bindings, zone tenancy.PodID, several int) []tenancy.PodID {
-	seat := b.of[x.name].Seat
+	seat := b.of[x.name].Placement
 	count := t.count
 	if seat.Size > 0 {
 		count = seat.Size
--- a/proxy/places_test.go
+++ b/proxy/places_test.go
@@ -79,7 +79,7 @@
 	const all = 200
 	for i := range all {
 		who := tenantOf(i)
-		told.bindings.of[who.name] = tenancy.Bound().Take(0, 0, "p", 1, tenancy.Seat{Draw: 1}, false)
+		told.bindings.of[who.name] = tenancy.Bound().Take(0, 0, "p", 1, tenancy.Placement{Draw: 1}, false)
 		first, known := groupOf(old, who, "key", told, unlimited)
 		second, also := groupOf(fresh, who, "key", untold, unlimited)
 		if known && also && first != second {
@@ -169,13 +169,13 @@
 	ownPack, ownZone := byPack, byZone
 	ownPack.OwnZoneOnly, ownZone.OwnZoneOnly = true, true
 	opTypes := []files.OpType{byPack, byZone, ownPack, ownZone}
-	pods := func(zone int, packs ...int) (s tenancy.Seat) {
+	pods := func(zone int, packs ...int) (s tenancy.Placement) {
 		for _, pack := range packs {
 			s.Pods = append(s.Pods, tenancy.PodOf(zone, pack))
 		}
 		return s
 	}
-	seats := []tenancy.Seat{{}, {Draw: 1}, {Size: 3}, {Size: 5}, {Draw: 2, Size: 2}, pods(0, 2), pods(1, 1, 4), pods(0, 0, 1, 5)}
+	seats := []tenancy.Placement{{}, {Draw: 1}, {Size: 3}, {Size: 5}, {Draw: 2, Size: 2}, pods(0, 2), pods(1, 1, 4), pods(0, 0, 1, 5)}
 	newProxy := func() (*Proxy, *tables) {
 		p, tab := placing(t, &files.Tenants{Header: "Tenant", Subset: usual}, opTypes...)
 		p.file.Service.WritePacksNext = packsNext
@@ -196,7 +196,7 @@
 		}
 		who := tenantOf(random.IntN(3))
 		if number%5 == 0 {
-			tab.bindings.of[who.name] = tenancy.Binding{Seat: seats[random.IntN(len(seats))]}
+			tab.bindings.of[who.name] = tenancy.Binding{Placement: seats[random.IntN(len(seats))]}
 		}
 		fresh, same := newProxy()
 		same.bindings = tab.bindings
@@ -212,7 +212,7 @@
 			t.Fatalf("op type %d, %s: %+v %t, drawn anew %v %t", i, who.name, got, known, group, ok)
 		}
 		if known != alsoKnown || !reflect.DeepEqual(got, want) {
-			t.Fatalf("op type %d, %s at %v, usual %d: %+v %t, with nothing kept %+v %t", i, who.name, tab.bindings.of[who.name].Seat,
+			t.Fatalf("op type %d, %s at %v, usual %d: %+v %t, with nothing kept %+v %t", i, who.name, tab.bindings.of[who.name].Placement,
 				usual, got, known, want, alsoKnown)
 		}
 	}
--- a/proxy/tenants.go
+++ b/proxy/tenants.go
@@ -179,7 +179,7 @@
 
 // cachedSubset is a tenant's subset of pods, or of groups, and what it was drawn by.
 type cachedSubset struct {
-	seat  tenancy.Seat
+	seat  tenancy.Placement
 	count int
 	pods  []tenancy.PodID
 }
@@ -235,7 +235,7 @@
 	if t == nil || len(table.lines) == 0 {
 		return nil
 	}
-	seat := b.of[x.name].Seat
+	seat := b.of[x.name].Placement
 	if t.count == 0 && seat.Size == 0 && len(seat.Pods) == 0 {
 		return nil
 	}
@@ -266,7 +266,7 @@
 		s.cache.clear()
 	}
 	return s.cache.getOrDraw(w, func(w tenancy.Write) []tenancy.PodID {
-		return tenancy.Seat{Draw: w.Seat.Draw, Size: w.Count, Pods: w.Seat.Pods}.Among(w.Tenant, s.candidates, w.Count)
+		return tenancy.Placement{Draw: w.Seat.Draw, Size: w.Count, Pods: w.Seat.Pods}.Among(w.Tenant, s.candidates, w.Count)
 	})
 }
 
--- a/runtime/change.go
+++ b/runtime/change.go
@@ -45,7 +45,7 @@
 	Room     float64 // times the pods that its subset has by itself
 	Digest   uint64
 	Number   uint64 // of a binding, among those of its pilot
-	Seat     tenancy.Seat
+	Seat     tenancy.Placement
 	Held     bool // writes are refused with a time to come back
 }
 
--- a/runtime/runtime_test.go
+++ b/runtime/runtime_test.go
@@ -100,7 +100,7 @@
 		{Verb: SetLevel, Table: 9, Level: 0, Again: control.TwiceMore},
 		{Verb: SetTenant, Tenant: "a b;", Rate: -1, Tries: 0.2, Hand: -1, Room: 1},
 		{Verb: SetTenant, Tenant: "", Rate: 0.5, Fenced: true, Hand: 2.5, Room: 1.5},
-		{Verb: SetBinding, Tenant: "a <<", Number: 1 << 63, Seat: tenancy.Seat{Draw: 3, Size: 2, Pods: []tenancy.PodID{1<<16 | 7, 9}}, Held: true},
+		{Verb: SetBinding, Tenant: "a <<", Number: 1 << 63, Seat: tenancy.Placement{Draw: 3, Size: 2, Pods: []tenancy.PodID{1<<16 | 7, 9}}, Held: true},
 		{Verb: SetBinding, Tenant: "", Number: 1},
 		{Verb: ClearBindings, Number: 12},
 		{Verb: AdoptTable, Table: 4, Digest: 1<<63 + 5},
--- a/runtime/seat.go
+++ b/runtime/seat.go
@@ -12,7 +12,7 @@
 func TenantName(word string) string { return strings.TrimPrefix(word, "=") }
 
 // ParseSeat reads where a tenant is to be: any of draw N, size N and pods ZONE.PACK,…, in place of those of its seat.
-func ParseSeat(words []string, seat tenancy.Seat) (tenancy.Seat, error) {
+func ParseSeat(words []string, seat tenancy.Placement) (tenancy.Placement, error) {
 	w := &wordReader{words: words}
 	if len(words) == 0 {
 		w.fail("nothing is said of the seat: draw N, size N, pods ZONE.PACK,… or home")
@@ -20,7 +20,7 @@
 	for len(w.words) > 0 && w.err == nil {
 		switch kind := w.take(); kind {
 		case "home":
-			seat = tenancy.Seat{}
+			seat = tenancy.Placement{}
 		case "draw":
 			seat.Draw = uint32(w.uint("draw", math.MaxUint32))
 		case "size":
@@ -37,7 +37,7 @@
 // maxPods bounds a subset.
 const maxPods = 1000
 
-func (w *wordReader) seat() (s tenancy.Seat) {
+func (w *wordReader) seat() (s tenancy.Placement) {
 	w.expect("draw")
 	s.Draw = uint32(w.uint("draw", math.MaxUint32))
 	w.expect("size")
--- a/tenancy/groups.go
+++ b/tenancy/groups.go
@@ -58,7 +58,7 @@
 // Write is what a deduplicated write's group is drawn by.
 type Write struct {
 	Tenant string // empty: nobody's
-	Seat   Seat
+	Seat   Placement
 	Count  int    // groups of a tenant's subset; 0: all
 	Key    string // by which servers know a repeat; empty: they know none
 }
--- a/tenancy/groups_test.go
+++ b/tenancy/groups_test.go
@@ -257,7 +257,7 @@
 	if _, ok := (Groups{}).Draw(w, Groups{}.Subset(w)); ok {
 		t.Error("drawn among none")
 	}
-	w.Seat = Seat{Pods: []PodID{PodOf(0, 2), PodOf(1, 2)}}
+	w.Seat = Placement{Pods: []PodID{PodOf(0, 2), PodOf(1, 2)}}
 	if zones := w.Seat.InZones().Pods; !slices.Equal(zones, []PodID{PodOf(0, 0), PodOf(1, 0)}) || w.Seat.Pods[0] != PodOf(0, 2) {
 		t.Errorf("%v", zones)
 	}
--- a/tenancy/move.go
+++ b/tenancy/move.go
@@ -39,13 +39,13 @@
 
 // Record is the durable part of one tenant's place.
 type Record struct {
-	Tenant string `json:"tenant"`
-	Seat   Seat   `json:"seat"`
-	To     Seat   `json:"to,omitzero"` // where it goes, while it moves
-	Phase  Phase  `json:"phase"`
-	Number uint64 `json:"number"`          // of its newest order
-	Waits  bool   `json:"waits,omitempty"` // it opens when told to
-	Asked  *Ask   `json:"asked,omitempty"` // a move that waits for its turn
+	Tenant string    `json:"tenant"`
+	Seat   Placement `json:"seat"`
+	To     Placement `json:"to,omitzero"` // where it goes, while it moves
+	Phase  Phase     `json:"phase"`
+	Number uint64    `json:"number"`          // of its newest order
+	Waits  bool      `json:"waits,omitempty"` // it opens when told to
+	Asked  *Ask      `json:"asked,omitempty"` // a move that waits for its turn
 }
 
 // BindingUpdate is a binding for one proxy: how the tenant's ops go from now on. It may be sent any number of times; a proxy
@@ -54,7 +54,7 @@
 	Proxy  ProxyID
 	Tenant string
 	Number uint64
-	Seat   Seat
+	Seat   Placement
 	Held   bool // its writes are refused with a time to come back; reads go on
 	Clear  bool // no tenant's: bindings of other pilots, and those below Number, are no more
 }
@@ -86,9 +86,9 @@
 
 // Ask asks for a tenant to be moved.
 type Ask struct {
-	Tenant string `json:"tenant"`
-	To     Seat   `json:"to"`
-	Waits  bool   `json:"waits,omitempty"` // once all hold and nothing is in hand, open only when told to
+	Tenant string    `json:"tenant"`
+	To     Placement `json:"to"`
+	Waits  bool      `json:"waits,omitempty"` // once all hold and nothing is in hand, open only when told to
 }
 
 // Done is what one step asks for: records to be kept first, then orders to be sent, and when to step again at the latest
@@ -319,7 +319,7 @@
 	case t == nil && len(m.tenants) >= mostBound:
 		m.refuse("tenant %.40q cannot be moved: %d tenants were, which is the most", a.Tenant, mostBound)
 		return
-	case t != nil && t.Phase == Settled && t.Asked == nil && t.Seat.Equal(a.To) || t == nil && a.To.Equal(Seat{}):
+	case t != nil && t.Phase == Settled && t.Asked == nil && t.Seat.Equal(a.To) || t == nil && a.To.Equal(Placement{}):
 		m.refuse("tenant %.40q is there already", a.Tenant)
 		return
 	case t == nil:
@@ -382,9 +382,9 @@
 
 // settle ends a move, at the new seat or the old one. All hold by then or still let go at the old one alone, so each
 // proxy may open as it hears of it; one that does not hear goes on as it was.
-func (m *Mover) settle(t *tenant, at Seat) {
+func (m *Mover) settle(t *tenant, at Placement) {
 	m.done.Ended = append(m.done.Ended, End{t.Tenant, !at.Equal(t.Seat), m.now - t.held})
-	t.Phase, t.Seat, t.To, t.Waits, t.awaited = Settled, at, Seat{}, false, nil
+	t.Phase, t.Seat, t.To, t.Waits, t.awaited = Settled, at, Placement{}, false, nil
 	delete(m.moving, t.Tenant)
 	m.tell(t)
 }
--- a/tenancy/move_test.go
+++ b/tenancy/move_test.go
@@ -96,7 +96,7 @@
 	p.has = max(p.has, o.Number)
 	if o.Clear {
 		if p.Pilot != "p" || p.Number < o.Number {
-			p.Binding = p.Take(w.now, w.alone, "p", o.Number, Seat{}, false)
+			p.Binding = p.Take(w.now, w.alone, "p", o.Number, Placement{}, false)
 		}
 		return
 	}
@@ -119,7 +119,7 @@
 				o.first, o.tried = w.now, true
 			}
 			if w.now-o.first < window {
-				w.flights = append(w.flights, flight{i, p.Seat.String(), w.now})
+				w.flights = append(w.flights, flight{i, p.Placement.String(), w.now})
 			}
 		}
 	case 4, 5: // a try arrives
@@ -159,7 +159,7 @@
 		case 2:
 			w.step(Event{Open: &name})
 		default:
-			w.step(Event{Ask: &Ask{"a", Seat{Draw: w.rng.Uint32N(3)}, w.rng.IntN(3) == 0}})
+			w.step(Event{Ask: &Ask{"a", Placement{Draw: w.rng.Uint32N(3)}, w.rng.IntN(3) == 0}})
 		}
 	case 12: // a proxy starts anew with what it kept on disk
 		if w.rng.IntN(4) == 0 {
@@ -242,7 +242,7 @@
 			t.Fatalf("seed %d: no way out of %+v", seed, r)
 		}
 		for id, p := range w.proxies {
-			if !p.Writes(w.now, w.alone) || !p.Seat.Equal(r.Seat) {
+			if !p.Writes(w.now, w.alone) || !p.Placement.Equal(r.Seat) {
 				t.Fatalf("seed %d: proxy %d has %+v, the tenant is at %v", seed, id, p, r.Seat)
 			}
 		}
@@ -287,7 +287,7 @@
 			case 0: // one pilot or the other orders, by its own numbers; some orders come late
 				pilot := []string{"a", "b"}[rng.IntN(2)]
 				numbers[pilot]++
-				b = b.Take(w.now, alone, pilot, numbers[pilot]-rng.Uint64N(2)*2, Seat{Draw: rng.Uint32N(2)}, rng.IntN(4) == 0)
+				b = b.Take(w.now, alone, pilot, numbers[pilot]-rng.Uint64N(2)*2, Placement{Draw: rng.Uint32N(2)}, rng.IntN(4) == 0)
 			case 1, 2:
 				if b.Writes(w.now, alone) {
 					opened++
@@ -295,7 +295,7 @@
 						w.ops = append(w.ops, &op{first: w.now})
 					}
 					if i := len(w.ops) - 1; w.now-w.ops[i].first < window {
-						w.flights = append(w.flights, flight{i, b.Seat.String(), w.now})
+						w.flights = append(w.flights, flight{i, b.Placement.String(), w.now})
 					}
 				}
 			case 3:
@@ -356,7 +356,7 @@
 	if len(d.Orders) != 2 || !d.Orders[0].Clear || !slices.Equal(d.Known, []ProxyID{1, 2}) {
 		t.Fatalf("%+v", d)
 	}
-	ask := func(name string, draw uint32) Event { return Event{Ask: &Ask{Tenant: name, To: Seat{Draw: draw}}} }
+	ask := func(name string, draw uint32) Event { return Event{Ask: &Ask{Tenant: name, To: Placement{Draw: draw}}} }
 	for _, c := range []struct {
 		event Event
 		want  string
@@ -389,7 +389,7 @@
 	if d = m.Step(now); len(d.Ended) != 1 || !d.Ended[0].Moved {
 		t.Errorf("%+v", d)
 	}
-	d = m.Step(now, Event{Ask: &Ask{"a", Seat{Pods: []PodID{3}}, true}})
+	d = m.Step(now, Event{Ask: &Ask{"a", Placement{Pods: []PodID{3}}, true}})
 	confirmAll(m, now, d)
 	now += 3 * tick
 	m.Step(now)
@@ -417,7 +417,7 @@
 	}
 	var asks []Event
 	for i := range 10000 {
-		asks = append(asks, Event{Ask: &Ask{Tenant: fmt.Sprint("newsroom ", i), To: Seat{Draw: 1}}})
+		asks = append(asks, Event{Ask: &Ask{Tenant: fmt.Sprint("newsroom ", i), To: Placement{Draw: 1}}})
 	}
 	begin := time.Now()
 	now, ended := time.Duration(0), 0
