--- a/control/control.go
+++ b/control/control.go
@@ -95,16 +95,16 @@
 	OutlierAfter int
 	Bootstrap    int // lines of a standing table, at most
 
-	Proxies             int // of all instances
-	MessageLines        float64
-	LinesPerSecond      float64
-	MaxUnconfirmedLines float64
-	MessageCap          int // messages to one proxy within MessageCapOver; 0: no cap
-	MessageCapOver      time.Duration
-	PushDelayMost       time.Duration // longest way of a message once it left the channel
-	KeepsShut           bool          // a proxy keeps what was withdrawn on an earlier stream until it is let in by name
-	ReportEvery         time.Duration
-	ReportLinesPerS     float64
+	Proxies              int // of all instances
+	MessageOverheadLines float64
+	LinesPerSecond       float64
+	MaxUnconfirmedLines  float64
+	MessageCap           int // messages to one proxy within MessageCapOver; 0: no cap
+	MessageCapOver       time.Duration
+	PushDelayMost        time.Duration // longest way of a message once it left the channel
+	KeepsShut            bool          // a proxy keeps what was withdrawn on an earlier stream until it is let in by name
+	ReportEvery          time.Duration
+	ReportLinesPerS      float64
 
 	Measures       []Measure // what a load report holds, in order
 	CrossZonePrice float64
--- a/pilot/pilot.go
+++ b/pilot/pilot.go
@@ -122,7 +122,7 @@
 
 // Begin starts the desired state anew, with the list as it is known and nothing else.
 func (p *Pilot) Begin() (events []control.Event) {
-	p.desired = newDesiredState(len(p.facts.OpTypes), int(p.facts.MessageLines), p.where)
+	p.desired = newDesiredState(len(p.facts.OpTypes), int(p.facts.MessageOverheadLines), p.where)
 	if p.desired.budget.most = p.file.NoticeLines(); p.facts.MessageCap > 0 {
 		p.desired.budget.gap = p.facts.MessageCapOver
 	}
--- a/policy/tables.go
+++ b/policy/tables.go
@@ -231,7 +231,7 @@
 
 // charge books lines if the channel has room: a message's own, its checkpoint's and the levels' come first.
 func (a *Assigner) charge(room, lines float64, to ...*proxy) bool {
-	head := a.facts.MessageLines + 1 + float64(len(a.ops))
+	head := a.facts.MessageOverheadLines + 1 + float64(len(a.ops))
 	need := 0.0
 	for _, p := range to {
 		if need += lines; p.lines == 0 {
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -111,7 +111,7 @@
 		Instance: o.Me, Instances: o.Peers, Zone: o.Zone, Zones: len(o.Zones),
 		AskForList: o.Registry == "ask", Tick: Span(o.Tick),
 		Slices: x.Shards, OutlierAfter: x.OutlierAfter, Bootstrap: x.Bootstrap, Proxies: x.ProxyCount,
-		MessageLines: x.Envelope, LinesPerSecond: x.LinesPerS, MaxUnconfirmedLines: x.MostWaiting,
+		MessageOverheadLines: x.Envelope, LinesPerSecond: x.LinesPerS, MaxUnconfirmedLines: x.MostWaiting,
 		MessageCap: x.UpdateCap, MessageCapOver: Span(x.MessagesOver),
 		PushDelayMost: Span(x.TransitMax), ReportEvery: Span(x.Cycle), ReportLinesPerS: x.IntakePerS,
 		CrossZonePrice: o.Prices.CrossZone, ListedWeights: o.Weights != "off",
