--- a/pilot/host/host.go
+++ b/pilot/host/host.go
@@ -30,13 +30,13 @@
 
 // Host runs a module. Its fields are set before Run.
 type Host struct {
-	Facts  control.Facts
-	Seed   uint64
-	Log    *slog.Logger
-	Silent time.Duration // the module counts as stuck after half of it
-	Stuck  func()        // nil, or called once then; nothing in this process can mend that
-	New    func() Decider
-	Front  Front
+	Facts          control.Facts
+	Seed           uint64
+	Log            *slog.Logger
+	SilenceTimeout time.Duration // the module counts as stuck after half of it
+	Stuck          func()        // nil, or called once then; nothing in this process can mend that
+	New            func() Decider
+	Front          Front
 
 	born     time.Time
 	inbox    chan func()
@@ -61,7 +61,7 @@
 	if f.Tick <= 0 {
 		f.Tick = 5 * time.Millisecond
 	}
-	return &Host{Facts: f, Seed: seed, Log: log, Silent: 10 * time.Second, born: time.Now(), inbox: make(chan func(), 1024),
+	return &Host{Facts: f, Seed: seed, Log: log, SilenceTimeout: 10 * time.Second, born: time.Now(), inbox: make(chan func(), 1024),
 		stop: make(chan struct{}), stopped: make(chan struct{}), New: func() Decider { return &policy.Assigner{} }}
 }
 
@@ -219,7 +219,7 @@
 
 // Guard watches the module from beside the loop, for as long as that runs: an end waits for the loop too.
 func (h *Host) Guard() {
-	t := time.NewTicker(max(h.Silent/40, time.Millisecond))
+	t := time.NewTicker(max(h.SilenceTimeout/40, time.Millisecond))
 	defer t.Stop()
 	for {
 		select {
@@ -228,7 +228,7 @@
 		case <-t.C:
 		}
 		since := time.Duration(h.inModule.Load())
-		if since == 0 || h.Now()-since < h.Silent/2 {
+		if since == 0 || h.Now()-since < h.SilenceTimeout/2 {
 			continue
 		}
 		stacks := make([]byte, 64<<10)
--- a/pilot/pilot.go
+++ b/pilot/pilot.go
@@ -112,7 +112,7 @@
 	if p.resumeWithin <= 0 {
 		p.resumeWithin = 2 * time.Second
 	}
-	p.host.Silent = p.silent
+	p.host.SilenceTimeout = p.silent
 	p.run = uint64(p.host.Born().UnixMicro())
 	return p, nil
 }
