--- a/pilot/moves.go
+++ b/pilot/moves.go
@@ -355,7 +355,7 @@
 	}
 	name = runtime.TenantName(name)
 	r, _ := p.mover.Of(name)
-	seat := r.Seat
+	seat := r.Placement
 	if fresh {
 		seat.Draw++
 		seat.Pods = nil
@@ -424,7 +424,7 @@
 			u = p.quarantine.Met(name)
 		}
 		per := p.facts.ReportEvery.Seconds()
-		fmt.Fprintf(w, "%s,%g,%g,%g,%t,%g,%s,%s,%d,%.3g,%.3g,%.3g,\n", runtime.Quote("="+name), l.Rate, l.Tries, l.Hand, l.Fenced, l.Room, r.Seat, r.Phase, r.Number,
+		fmt.Fprintf(w, "%s,%g,%g,%g,%t,%g,%s,%s,%d,%.3g,%.3g,%.3g,\n", runtime.Quote("="+name), l.Rate, l.Tries, l.Hand, l.Fenced, l.Room, r.Placement, r.Phase, r.Number,
 			u.Ops/per, u.Failed/per, u.Busy.Seconds()/per)
 	}
 	return nil
@@ -437,7 +437,7 @@
 	moving, waiting := p.mover.Moving(p.host.Now())
 	fmt.Fprintln(w, "# tenant,phase,from,to,held_ms,left_ms,awaited,away,")
 	for _, m := range moving {
-		fmt.Fprintf(w, "%s,%s,%s,%s,%d,%d,%s,%s,\n", runtime.Quote("="+m.Tenant), m.Phase, m.Seat, m.To, m.Held.Milliseconds(), m.Left.Milliseconds(),
+		fmt.Fprintf(w, "%s,%s,%s,%s,%d,%d,%s,%s,\n", runtime.Quote("="+m.Tenant), m.Phase, m.Placement, m.To, m.Held.Milliseconds(), m.Left.Milliseconds(),
 			someIDs(m.Awaited), someIDs(m.Away))
 	}
 	joined, away := p.mover.Known()
--- a/tenancy/move.go
+++ b/tenancy/move.go
@@ -39,13 +39,13 @@
 
 // Record is the durable part of one tenant's place.
 type Record struct {
-	Tenant string    `json:"tenant"`
-	Seat   Placement `json:"seat"`
-	To     Placement `json:"to,omitzero"` // where it goes, while it moves
-	Phase  Phase     `json:"phase"`
-	Number uint64    `json:"number"`          // of its newest order
-	Waits  bool      `json:"waits,omitempty"` // it opens when told to
-	Asked  *Ask      `json:"asked,omitempty"` // a move that waits for its turn
+	Tenant    string    `json:"tenant"`
+	Placement Placement `json:"seat"`
+	To        Placement `json:"to,omitzero"` // where it goes, while it moves
+	Phase     Phase     `json:"phase"`
+	Number    uint64    `json:"number"`          // of its newest order
+	Waits     bool      `json:"waits,omitempty"` // it opens when told to
+	Asked     *Ask      `json:"asked,omitempty"` // a move that waits for its turn
 }
 
 // BindingUpdate is a binding for one proxy: how the tenant's ops go from now on. It may be sent any number of times; a proxy
@@ -161,7 +161,7 @@
 }
 
 func clone(r Record) Record {
-	r.Seat, r.To = r.Seat.clone(), r.To.clone()
+	r.Placement, r.To = r.Placement.clone(), r.To.clone()
 	if r.Asked != nil {
 		a := *r.Asked
 		a.To = a.To.clone()
@@ -319,7 +319,7 @@
 	case t == nil && len(m.tenants) >= mostBound:
 		m.refuse("tenant %.40q cannot be moved: %d tenants were, which is the most", a.Tenant, mostBound)
 		return
-	case t != nil && t.Phase == Settled && t.Asked == nil && t.Seat.Equal(a.To) || t == nil && a.To.Equal(Placement{}):
+	case t != nil && t.Phase == Settled && t.Asked == nil && t.Placement.Equal(a.To) || t == nil && a.To.Equal(Placement{}):
 		m.refuse("tenant %.40q is there already", a.Tenant)
 		return
 	case t == nil:
@@ -339,7 +339,7 @@
 	a := t.Asked
 	t.Asked = nil
 	m.touched[t.Tenant] = true
-	if t.Seat.Equal(a.To) {
+	if t.Placement.Equal(a.To) {
 		return
 	}
 	t.To, t.Waits = a.To, a.Waits
@@ -360,7 +360,7 @@
 func (m *Mover) cancel(name string) {
 	switch t := m.tenants[name]; {
 	case t != nil && t.Phase != Settled:
-		m.settle(t, t.Seat)
+		m.settle(t, t.Placement)
 	case t != nil && t.Asked != nil:
 		t.Asked = nil
 		m.queue = slices.DeleteFunc(m.queue, func(x *tenant) bool { return x == t })
@@ -383,8 +383,8 @@
 // settle ends a move, at the new seat or the old one. All hold by then or still let go at the old one alone, so each
 // proxy may open as it hears of it; one that does not hear goes on as it was.
 func (m *Mover) settle(t *tenant, at Placement) {
-	m.done.Ended = append(m.done.Ended, End{t.Tenant, !at.Equal(t.Seat), m.now - t.held})
-	t.Phase, t.Seat, t.To, t.Waits, t.awaited = Settled, at, Placement{}, false, nil
+	m.done.Ended = append(m.done.Ended, End{t.Tenant, !at.Equal(t.Placement), m.now - t.held})
+	t.Phase, t.Placement, t.To, t.Waits, t.awaited = Settled, at, Placement{}, false, nil
 	delete(m.moving, t.Tenant)
 	m.tell(t)
 }
@@ -402,7 +402,7 @@
 // order tells one proxy how the tenant stands, if it can be told.
 func (m *Mover) order(t *tenant, p ProxyID) {
 	if m.proxies[p] && t.Number > 0 {
-		m.done.Orders = append(m.done.Orders, BindingUpdate{Proxy: p, Tenant: t.Tenant, Number: t.Number, Seat: t.Seat.clone(), Held: t.Phase != Settled})
+		m.done.Orders = append(m.done.Orders, BindingUpdate{Proxy: p, Tenant: t.Tenant, Number: t.Number, Seat: t.Placement.clone(), Held: t.Phase != Settled})
 	}
 }
 
@@ -448,7 +448,7 @@
 		}
 	}
 	if wait <= 0 { // held for as long as it may be
-		m.settle(t, t.Seat)
+		m.settle(t, t.Placement)
 		return
 	}
 	if m.done.Wake < 0 || wait < m.done.Wake {
--- a/tenancy/move_test.go
+++ b/tenancy/move_test.go
@@ -242,8 +242,8 @@
 			t.Fatalf("seed %d: no way out of %+v", seed, r)
 		}
 		for id, p := range w.proxies {
-			if !p.Writes(w.now, w.alone) || !p.Placement.Equal(r.Seat) {
-				t.Fatalf("seed %d: proxy %d has %+v, the tenant is at %v", seed, id, p, r.Seat)
+			if !p.Writes(w.now, w.alone) || !p.Placement.Equal(r.Placement) {
+				t.Fatalf("seed %d: proxy %d has %+v, the tenant is at %v", seed, id, p, r.Placement)
 			}
 		}
 		moves += w.moved
