--- a/pilot/pilot.go
+++ b/pilot/pilot.go
@@ -124,7 +124,7 @@
 func (p *Pilot) Begin() (events []control.Event) {
 	p.desired = newDesiredState(len(p.facts.OpTypes), int(p.facts.MessageOverheadLines), p.where)
 	if p.desired.budget.most = p.file.NoticeLines(); p.facts.MessageCap > 0 {
-		p.desired.budget.gap = p.facts.MessageCapOver
+		p.desired.budget.gap = p.facts.MessageCapWindow
 	}
 	p.channel = newChannel(p.facts.LinesPerSecond, float64(p.file.Channel.MostWaiting))
 	p.intake = newIntake(p.facts.ReportLinesPerS, len(p.facts.Measures))
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -165,7 +165,7 @@
 			review = a.take(ev) || review
 		}
 	}
-	gap := a.facts.MessageCapOver / time.Duration(max(1, a.facts.MessageCap))
+	gap := a.facts.MessageCapWindow / time.Duration(max(1, a.facts.MessageCap))
 	if review && (a.facts.MessageCap < 1 || a.now-a.wroteAt > gap) {
 		a.push()
 	}
