--- a/http1/cut_test.go
+++ b/http1/cut_test.go
@@ -16,9 +16,9 @@
 		in     string
 		ended  bool
 	}{
-		{"request", Requests, "POST /p?q=1 HTTP/1.1\r\nHost: a\r\nAuthorization: Bearer one\r\nContent-Length: 6\r\n\r\nabcdef", false},
-		{"request without a body", Requests, "GET /p HTTP/1.1\r\nHost: a\r\nAccept: text/plain\r\n\r\n", false},
-		{"chunked request", Requests, "POST /p HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n3;x=y\r\nabc\r\n2\r\nde\r\n0\r\nT: v\r\nU: w\r\n\r\n", false},
+		{"request", NewRequestParser, "POST /p?q=1 HTTP/1.1\r\nHost: a\r\nAuthorization: Bearer one\r\nContent-Length: 6\r\n\r\nabcdef", false},
+		{"request without a body", NewRequestParser, "GET /p HTTP/1.1\r\nHost: a\r\nAccept: text/plain\r\n\r\n", false},
+		{"chunked request", NewRequestParser, "POST /p HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n3;x=y\r\nabc\r\n2\r\nde\r\n0\r\nT: v\r\nU: w\r\n\r\n", false},
 		{"answer", Responses, "HTTP/1.1 200 Very good\r\nX-One: 1\r\nContent-Length: 5\r\n\r\nabcde", false},
 		{"chunked answer", Responses, "HTTP/1.1 404 No\r\nX-One: 1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\nT: v\r\n\r\n", false},
 		{"answer until the end", Responses, "HTTP/1.1 200 OK\r\nX-One: 1\r\n\r\nabcde", true},
@@ -58,7 +58,7 @@
 
 // TestMessagesOfOneParser guards against memory of one message that shows in the next: several come through one parser.
 func TestMessagesOfOneParser(t *testing.T) {
-	p := Requests(DefaultBounds)
+	p := NewRequestParser(DefaultBounds)
 	for i, size := range []int{10, 20_000, 5, 100, 20_000, 0} {
 		pad := strings.Repeat(string(rune('a'+i)), size)
 		in := fmt.Sprintf("POST /%d HTTP/1.1\r\nHost: a\r\nX-Pad: %s\r\nContent-Length: 3\r\n\r\nabc", i, pad)
--- a/http1/http1.go
+++ b/http1/http1.go
@@ -114,8 +114,8 @@
 	toClose
 )
 
-// Requests returns a parser of requests.
-func Requests(b Bounds) *Parser { return &Parser{Bounds: b, kind: request} }
+// NewRequestParser returns a parser of requests.
+func NewRequestParser(b Bounds) *Parser { return &Parser{Bounds: b, kind: request} }
 
 // Responses returns a parser of responses.
 func Responses(b Bounds) *Parser { return &Parser{Bounds: b, kind: response} }
--- a/http1/http1_test.go
+++ b/http1/http1_test.go
@@ -57,7 +57,7 @@
 		{"long head", "GET / HTTP/1.1\r\nA: " + strings.Repeat("a", 33000), 431, "", false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			m, err := Requests(DefaultBounds).Parse([]byte(c.in), false)
+			m, err := NewRequestParser(DefaultBounds).Parse([]byte(c.in), false)
 			var bad *Malformed
 			switch {
 			case errors.As(err, &bad):
@@ -81,7 +81,7 @@
 func TestTrickle(t *testing.T) {
 	in := "POST /1 HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n" +
 		"POST /2 HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\nxy" + "GET /3 HTTP/1.1\r\nHost: a\r\n\r\n"
-	p := Requests(DefaultBounds)
+	p := NewRequestParser(DefaultBounds)
 	var got []string
 	var buf []byte
 	for i := range in {
@@ -129,7 +129,7 @@
 
 // What belongs to one connection is not passed on.
 func TestForwarded(t *testing.T) {
-	m, err := Requests(DefaultBounds).Parse([]byte("GET / HTTP/1.1\r\nHost: a\r\nConnection: X-One, close\r\nX-One: 1\r\nX-Two: 2\r\nTE: x\r\nContent-Length: 0\r\n\r\n"), false)
+	m, err := NewRequestParser(DefaultBounds).Parse([]byte("GET / HTTP/1.1\r\nHost: a\r\nConnection: X-One, close\r\nX-One: 1\r\nX-Two: 2\r\nTE: x\r\nContent-Length: 0\r\n\r\n"), false)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -164,10 +164,10 @@
 		f.Add([]byte(s))
 	}
 	f.Fuzz(func(t *testing.T, in []byte) {
-		p := Requests(DefaultBounds)
+		p := NewRequestParser(DefaultBounds)
 		m, err := p.Parse(in, false)
 		// Two pieces are the same as one.
-		q := Requests(DefaultBounds)
+		q := NewRequestParser(DefaultBounds)
 		half := in[:len(in)/2]
 		var m2 *Message
 		_, err2 := q.Parse(half, false)
--- a/lab/sign/sign_test.go
+++ b/lab/sign/sign_test.go
@@ -11,7 +11,7 @@
 	request := func(path, fields, body uint64, large bool) *http1.Message {
 		b := http1.AppendRequest(nil, []byte("GET"), []byte(Path("/x", path)))
 		b = http1.AppendField(b, "Host", "h")
-		m, err := http1.Requests(http1.DefaultBounds).Parse(http1.AppendBody(AppendFields(b, fields, large), Body(body, large)), false)
+		m, err := http1.NewRequestParser(http1.DefaultBounds).Parse(http1.AppendBody(AppendFields(b, fields, large), Body(body, large)), false)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/serve/serve.go
+++ b/serve/serve.go
@@ -73,7 +73,7 @@
 func (s *Server) Address() string { return s.server.Address() }
 
 func (s *Server) prepare(nc netpoll.Connection) context.Context {
-	c := &Conn{nc: nc, server: s, parser: http1.Requests(s.Bounds), guard: stream.NewGuard(nc)}
+	c := &Conn{nc: nc, server: s, parser: http1.NewRequestParser(s.Bounds), guard: stream.NewGuard(nc)}
 	c.last.Store(time.Now().UnixNano())
 	if s.ended() || s.Open != nil && !s.Open(c) {
 		_ = nc.Close()
