--- a/control/control.go
+++ b/control/control.go
@@ -101,7 +101,7 @@
 	MaxUnconfirmedLines  float64
 	MessageCap           int // messages to one proxy within MessageCapOver; 0: no cap
 	MessageCapWindow     time.Duration
-	PushDelayMost        time.Duration // longest way of a message once it left the channel
+	MaxPushDelay         time.Duration // longest way of a message once it left the channel
 	KeepsShut            bool          // a proxy keeps what was withdrawn on an earlier stream until it is let in by name
 	ReportEvery          time.Duration
 	ReportLinesPerS      float64
--- a/files/files.go
+++ b/files/files.go
@@ -331,7 +331,7 @@
 		OutlierAfter: s.OutlierAfter, Bootstrap: s.Bootstrap, Proxies: p.Proxies, MessageOverheadLines: float64(c.MessageLines),
 		LinesPerSecond: c.LinesPerSecond, MaxUnconfirmedLines: float64(c.MostWaiting - p.NoticeLines()),
 		MessageCap:       max(0, c.MessageCap-1), // one is the pilot's own
-		MessageCapWindow: c.MessageCapOver.Span(), PushDelayMost: c.PushDelayMost.Span(),
+		MessageCapWindow: c.MessageCapOver.Span(), MaxPushDelay: c.PushDelayMost.Span(),
 		ReportEvery: s.ReportEvery.Span(), ReportLinesPerS: c.ReportLinesPerSecond,
 		CrossZonePrice: s.CrossZone, ListedWeights: true, ColdFor: l.ColdFor.Span(),
 		ColdShare: l.ColdShare, DrainGrace: l.DrainGrace.Span(), AcrossCells: s.acrossCells(), PackWrites: s.packWrites(),
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -362,7 +362,7 @@
 }
 
 // lag is how long a change takes to show in the sums.
-func (a *Assigner) lag() time.Duration { return a.window + a.facts.ReportEvery + a.facts.PushDelayMost }
+func (a *Assigner) lag() time.Duration { return a.window + a.facts.ReportEvery + a.facts.MaxPushDelay }
 
 // digest takes in what proxies met at a server, and its load.
 func (a *Assigner) digest(d control.Digest) {
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -73,7 +73,7 @@
 	return &world{t: t, entries: map[control.EndpointID]control.Entry{}, confirmed: true,
 		zones: map[control.ProxyID]int{}, hears: map[control.EndpointID][3]float64{},
 		asks: map[control.ProxyID]float64{}, facts: control.Facts{
-			Zones: 2, Proxies: 4, Instances: 1, Levels: control.LevelShare, ReportEvery: time.Second, PushDelayMost: time.Second / 2,
+			Zones: 2, Proxies: 4, Instances: 1, Levels: control.LevelShare, ReportEvery: time.Second, MaxPushDelay: time.Second / 2,
 			LinesPerSecond: 2000, MaxUnconfirmedLines: 4000, MessageCapWindow: 10 * time.Second, MessageOverheadLines: 5, ListedWeights: true,
 			Measures: []control.Measure{control.Util}, CrossZonePrice: 0.08, ColdFor: 16 * time.Second,
 			ColdShare: 0.2, DrainGrace: 2 * time.Second,
