--- a/pilot/host/host.go
+++ b/pilot/host/host.go
@@ -35,7 +35,7 @@
 	Log            *slog.Logger
 	SilenceTimeout time.Duration // the module counts as stuck after half of it
 	Stuck          func()        // nil, or called once then; nothing in this process can mend that
-	New            func() Decider
+	NewDecider     func() Decider
 	Front          Front
 
 	born     time.Time
@@ -62,7 +62,7 @@
 		f.Tick = 5 * time.Millisecond
 	}
 	return &Host{Facts: f, Seed: seed, Log: log, SilenceTimeout: 10 * time.Second, born: time.Now(), inbox: make(chan func(), 1024),
-		stop: make(chan struct{}), stopped: make(chan struct{}), New: func() Decider { return &policy.Assigner{} }}
+		stop: make(chan struct{}), stopped: make(chan struct{}), NewDecider: func() Decider { return &policy.Assigner{} }}
 }
 
 // Born is when its time began.
@@ -159,7 +159,7 @@
 
 // Fresh begins a module anew: it is told of its start and of what its front says.
 func (h *Host) Fresh() {
-	h.module = h.New()
+	h.module = h.NewDecider()
 	h.run++
 	h.events = append([]control.Event{control.Start{Facts: h.Facts, Seed: h.Seed}}, h.Front.Begin()...)
 	h.Seed++
--- a/pilot/host/host_test.go
+++ b/pilot/host/host_test.go
@@ -80,7 +80,7 @@
 func begin(t *testing.T) *script {
 	s := &script{}
 	s.host = New(control.Facts{Tick: time.Millisecond}, 7, slog.New(slog.DiscardHandler))
-	s.host.Front, s.host.New = s, func() Decider { return s }
+	s.host.Front, s.host.NewDecider = s, func() Decider { return s }
 	s.next = []control.Order{control.Wake{After: time.Millisecond, Label: 5}, control.Note{Text: "x"}}
 	go s.host.Run()
 	t.Cleanup(s.host.Stop)
--- a/pilot/pilot_test.go
+++ b/pilot/pilot_test.go
@@ -156,7 +156,7 @@
 func begin(t testing.TB, p *Pilot, module host.Decider) *Pilot {
 	t.Helper()
 	if module != nil {
-		p.host.New = func() host.Decider { return module }
+		p.host.NewDecider = func() host.Decider { return module }
 	}
 	if err := p.Start(); err != nil {
 		t.Fatal(err)
--- a/pilot/records_test.go
+++ b/pilot/records_test.go
@@ -162,7 +162,7 @@
 	f.Proxies, f.Service.Measures, f.Channel.MostWaiting = proxies, []string{"cpu_utilization"}, 1e6
 	f.Service.ReportEvery, f.Service.Bootstrap = files.Duration(time.Second), 8
 	p := newPilot(b, f)
-	p.host.New = func() host.Decider { return &policy.Assigner{} }
+	p.host.NewDecider = func() host.Decider { return &policy.Assigner{} }
 	if how != "off" {
 		route := syslog.Route{Network: "file", Address: filepath.Join(b.TempDir(), "log"), Buffer: 1 << 16}
 		if how == "stuck" {
--- a/pilot/start_test.go
+++ b/pilot/start_test.go
@@ -49,7 +49,7 @@
 			intact := f.Moves.Store
 			spoil(f)
 			p := newPilot(t, f)
-			p.host.New = func() host.Decider { return &script{} }
+			p.host.NewDecider = func() host.Decider { return &script{} }
 			if err := p.Start(); err == nil {
 				t.Error("it started")
 			}
