--- a/tenancy/move.go
+++ b/tenancy/move.go
@@ -45,7 +45,7 @@
 	Phase     Phase     `json:"phase"`
 	Number    uint64    `json:"number"`          // of its newest order
 	Waits     bool      `json:"waits,omitempty"` // it opens when told to
-	Asked     *Ask      `json:"asked,omitempty"` // a move that waits for its turn
+	Queued    *Ask      `json:"asked,omitempty"` // a move that waits for its turn
 }
 
 // BindingUpdate is a binding for one proxy: how the tenant's ops go from now on. It may be sent any number of times; a proxy
@@ -153,7 +153,7 @@
 		if t.Phase != Settled {
 			m.await(t)
 		}
-		if t.Asked != nil {
+		if t.Queued != nil {
 			m.queue = append(m.queue, t)
 		}
 	}
@@ -162,10 +162,10 @@
 
 func clone(r Record) Record {
 	r.Placement, r.To = r.Placement.clone(), r.To.clone()
-	if r.Asked != nil {
-		a := *r.Asked
+	if r.Queued != nil {
+		a := *r.Queued
 		a.To = a.To.clone()
-		r.Asked = &a
+		r.Queued = &a
 	}
 	return r
 }
@@ -319,25 +319,25 @@
 	case t == nil && len(m.tenants) >= mostBound:
 		m.refuse("tenant %.40q cannot be moved: %d tenants were, which is the most", a.Tenant, mostBound)
 		return
-	case t != nil && t.Phase == Settled && t.Asked == nil && t.Placement.Equal(a.To) || t == nil && a.To.Equal(Placement{}):
+	case t != nil && t.Phase == Settled && t.Queued == nil && t.Placement.Equal(a.To) || t == nil && a.To.Equal(Placement{}):
 		m.refuse("tenant %.40q is there already", a.Tenant)
 		return
 	case t == nil:
 		t = &tenant{Record: Record{Tenant: a.Tenant}}
 		m.tenants[a.Tenant] = t
 	}
-	if t.Asked == nil {
+	if t.Queued == nil {
 		m.queue = append(m.queue, t)
 	}
 	a.To = a.To.clone()
-	t.Asked = &a
+	t.Queued = &a
 	m.touched[a.Tenant] = true
 }
 
 // begin starts the move that a tenant's record asks for.
 func (m *Mover) begin(t *tenant) {
-	a := t.Asked
-	t.Asked = nil
+	a := t.Queued
+	t.Queued = nil
 	m.touched[t.Tenant] = true
 	if t.Placement.Equal(a.To) {
 		return
@@ -361,8 +361,8 @@
 	switch t := m.tenants[name]; {
 	case t != nil && t.Phase != Settled:
 		m.settle(t, t.Placement)
-	case t != nil && t.Asked != nil:
-		t.Asked = nil
+	case t != nil && t.Queued != nil:
+		t.Queued = nil
 		m.queue = slices.DeleteFunc(m.queue, func(x *tenant) bool { return x == t })
 		m.touched[name] = true
 	default:
--- a/tenancy/move_test.go
+++ b/tenancy/move_test.go
@@ -238,7 +238,7 @@
 			t.Fatalf("seed %d: %d ops took effect twice", seed, n)
 		}
 		r, _ := w.m.Of("a")
-		if r.Phase != Settled || r.Asked != nil {
+		if r.Phase != Settled || r.Queued != nil {
 			t.Fatalf("seed %d: no way out of %+v", seed, r)
 		}
 		for id, p := range w.proxies {
--- a/tenancy/store/store_test.go
+++ b/tenancy/store/store_test.go
@@ -32,7 +32,7 @@
 	for i, n := range names {
 		for v := range uint64(3) {
 			r := tenancy.Record{Tenant: n, Placement: tenancy.Placement{Draw: uint32(i), Pods: []tenancy.PodID{7}}, Number: v, Phase: tenancy.Draining,
-				Asked: &tenancy.Ask{Tenant: n, Waits: true}}
+				Queued: &tenancy.Ask{Tenant: n, Waits: true}}
 			if err := s.Keep(tenancy.Done{Records: []tenancy.Record{r}, Known: []tenancy.ProxyID{1, 2, 3}}, []tenancy.Sentence{{Limit: tenancy.Limit{Tenant: n, Rate: 2, Fenced: true}, Fences: 3}}); err != nil {
 				t.Fatal(err)
 			}
