--- a/http1/cut_test.go
+++ b/http1/cut_test.go
@@ -65,7 +65,7 @@
 		if got := parsePieces(t, p, in, false, len(in)/2, len(in)-2); got != fmt.Sprintf("POST /%d 0  1 close=false size=%d\nHost: a\nX-Pad: %s\nContent-Length: 3\n\nabc", i, len(in), pad) {
 			t.Errorf("message %d: %.200s", i, got)
 		}
-		p.Next()
+		p.Reset()
 	}
 }
 
--- a/http1/http1.go
+++ b/http1/http1.go
@@ -165,8 +165,8 @@
 	return p.head > 0 && p.msg.Minor == 1 && equalFold(p.msg.Get("Expect"), "100-continue")
 }
 
-// Next makes the parser ready for the message after the one just returned, which may no longer be used.
-func (p *Parser) Next() {
+// Reset makes the parser ready for the message after the one just returned, which may no longer be used.
+func (p *Parser) Reset() {
 	*p = Parser{Bounds: p.Bounds, kind: p.kind, msg: Message{Fields: p.msg.Fields[:0]},
 		text: reuse(p.text, mostTextKept), chunks: reuse(p.chunks, mostChunksKept)}
 }
--- a/http1/http1_test.go
+++ b/http1/http1_test.go
@@ -95,7 +95,7 @@
 		}
 		got = append(got, string(m.Target)+" "+string(m.Body))
 		buf = append([]byte(nil), buf[m.Size:]...)
-		p.Next()
+		p.Reset()
 	}
 	if s := strings.Join(got, ","); s != "/1 abc,/2 xy,/3 " {
 		t.Fatalf("got %s", s)
--- a/serve/conn.go
+++ b/serve/conn.go
@@ -136,7 +136,7 @@
 			size := m.Size
 			c.closing = m.Close
 			s.Handle(c, m)
-			c.parser.Next()
+			c.parser.Reset()
 			if r.Skip(size) != nil || r.Release() != nil {
 				return false
 			}
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -131,7 +131,7 @@
 	if size := a.Size; keep {
 		r := c.nc.Reader()
 		keep = r.Skip(size) == nil && r.Release() == nil && r.Len() == 0
-		c.parser.Next()
+		c.parser.Reset()
 	}
 	a.pool.put(c, keep)
 }
@@ -226,7 +226,7 @@
 	if c.nc.Reader().Skip(m.Size) != nil {
 		return netpoll.ErrConnClosed
 	}
-	c.parser.Next()
+	c.parser.Reset()
 	if head {
 		c.parser.ForHead()
 	}
