--- a/pilot/moves.go
+++ b/pilot/moves.go
@@ -143,7 +143,7 @@
 	orders := s.bindings[:min(bindingLines, len(s.bindings))]
 	changes := make([]runtime.Change, len(orders))
 	for j, b := range orders {
-		if changes[j] = (runtime.Change{Verb: runtime.SetBinding, Tenant: b.Tenant, Number: b.Number, Seat: b.Seat, Held: b.Held}); b.Clear {
+		if changes[j] = (runtime.Change{Verb: runtime.SetBinding, Tenant: b.Tenant, Number: b.Number, Seat: b.Placement, Held: b.Held}); b.Clear {
 			changes[j] = runtime.Change{Verb: runtime.ClearBindings, Number: b.Number}
 		}
 	}
--- a/tenancy/move.go
+++ b/tenancy/move.go
@@ -51,12 +51,12 @@
 // BindingUpdate is a binding for one proxy: how the tenant's ops go from now on. It may be sent any number of times; a proxy
 // keeps the one with the highest number.
 type BindingUpdate struct {
-	Proxy  ProxyID
-	Tenant string
-	Number uint64
-	Seat   Placement
-	Held   bool // its writes are refused with a time to come back; reads go on
-	Clear  bool // no tenant's: bindings of other pilots, and those below Number, are no more
+	Proxy     ProxyID
+	Tenant    string
+	Number    uint64
+	Placement Placement
+	Held      bool // its writes are refused with a time to come back; reads go on
+	Clear     bool // no tenant's: bindings of other pilots, and those below Number, are no more
 }
 
 // Event is what happened. Exactly one of its parts is set.
@@ -402,7 +402,7 @@
 // order tells one proxy how the tenant stands, if it can be told.
 func (m *Mover) order(t *tenant, p ProxyID) {
 	if m.proxies[p] && t.Number > 0 {
-		m.done.Orders = append(m.done.Orders, BindingUpdate{Proxy: p, Tenant: t.Tenant, Number: t.Number, Seat: t.Placement.clone(), Held: t.Phase != Settled})
+		m.done.Orders = append(m.done.Orders, BindingUpdate{Proxy: p, Tenant: t.Tenant, Number: t.Number, Placement: t.Placement.clone(), Held: t.Phase != Settled})
 	}
 }
 
--- a/tenancy/move_test.go
+++ b/tenancy/move_test.go
@@ -100,7 +100,7 @@
 		}
 		return
 	}
-	p.Binding = p.Take(w.now, w.alone, "p", o.Number, o.Seat, o.Held)
+	p.Binding = p.Take(w.now, w.alone, "p", o.Number, o.Placement, o.Held)
 	p.answers = append(p.answers, Confirm{id, o.Tenant, o.Number})
 }
 
@@ -397,7 +397,7 @@
 		t.Errorf("%+v", moving)
 	}
 	name := "a"
-	if d = m.Step(now, Event{Open: &name}); len(d.Ended) != 1 || !d.Ended[0].Moved || !slices.Equal(d.Orders[0].Seat.Pods, []PodID{3}) || d.Orders[0].Held {
+	if d = m.Step(now, Event{Open: &name}); len(d.Ended) != 1 || !d.Ended[0].Moved || !slices.Equal(d.Orders[0].Placement.Pods, []PodID{3}) || d.Orders[0].Held {
 		t.Errorf("%+v", d)
 	}
 	// A proxy that comes back is told what it has not been told, and no more.
