--- a/http1/orca.go
+++ b/http1/orca.go
@@ -11,9 +11,9 @@
 // that begins with "TEXT " lists name=number pairs, one that begins with "JSON " holds an OrcaLoadReport in JSON.
 const LoadHeader = "endpoint-load-metrics"
 
-// Load is what a report says, by the names of OrcaLoadReport: utilisations from 0 up, rates a second, and the
+// LoadReport is what a report says, by the names of OrcaLoadReport: utilisations from 0 up, rates a second, and the
 // application's own measures by name.
-type Load map[string]float64
+type LoadReport map[string]float64
 
 // orcaReport is the part of OrcaLoadReport that is read.
 type orcaReport struct {
@@ -32,12 +32,12 @@
 
 // ParseLoad reads a load report in either form; what is no number, or not finite, or below 0, is left out. It returns
 // nil for what is no report at all.
-func ParseLoad(v []byte) Load {
+func ParseLoad(v []byte) LoadReport {
 	form, rest, ok := bytes.Cut(v, []byte(" "))
 	if !ok {
 		return nil
 	}
-	l := Load{}
+	l := LoadReport{}
 	switch string(form) {
 	case "TEXT":
 		for pair := range bytes.SplitSeq(rest, []byte(",")) {
@@ -70,7 +70,7 @@
 	return l
 }
 
-func (l Load) put(name string, x float64) {
+func (l LoadReport) put(name string, x float64) {
 	if name != "" && x >= 0 && !math.IsInf(x, 0) && !math.IsNaN(x) && len(l) < mostMeasures {
 		l[name] = x
 	}
