--- a/proxy/placement.go
+++ b/proxy/placement.go
@@ -126,7 +126,7 @@
 	if kind.ofZones() {
 		seat = seat.InZones()
 	}
-	return tenancy.Write{Tenant: x.name, Seat: seat, Count: t.count}
+	return tenancy.Write{Tenant: x.name, Placement: seat, Count: t.count}
 }
 
 // subset returns the packs that a tenant's deduplicated writes may go to. Neither the table in force nor the time nor the pilot's
@@ -151,7 +151,7 @@
 		return nil
 	}
 	seat.Size = (count + several - 1) / several
-	return inZone.subsets[kind].getOrDraw(tenancy.Write{Tenant: x.name, Seat: seat, Count: seat.Size}, func(w tenancy.Write) []tenancy.PodID {
-		return w.Seat.Among(w.Tenant, inZone.live, w.Count)
+	return inZone.subsets[kind].getOrDraw(tenancy.Write{Tenant: x.name, Placement: seat, Count: seat.Size}, func(w tenancy.Write) []tenancy.PodID {
+		return w.Placement.Among(w.Tenant, inZone.live, w.Count)
 	})
 }
--- a/proxy/tenants.go
+++ b/proxy/tenants.go
@@ -192,10 +192,10 @@
 		s.byTenant = map[string]cachedSubset{}
 	}
 	cached, ok := s.byTenant[w.Tenant]
-	if ok && cached.count == w.Count && cached.seat.Equal(w.Seat) {
+	if ok && cached.count == w.Count && cached.seat.Equal(w.Placement) {
 		return cached.pods
 	}
-	cached = cachedSubset{w.Seat, w.Count, draw(w)}
+	cached = cachedSubset{w.Placement, w.Count, draw(w)}
 	if ok || len(s.byTenant) < mostDrawn {
 		s.byTenant[w.Tenant] = cached
 	}
@@ -246,7 +246,7 @@
 	if count > 1 { // one alone stays one: a second would not know what the first has written
 		count = int(math.Ceil(float64(count) * l.Room))
 	}
-	pods := table.subsets.podsFor(tenancy.Write{Tenant: x.name, Seat: seat, Count: count}, now)
+	pods := table.subsets.podsFor(tenancy.Write{Tenant: x.name, Placement: seat, Count: count}, now)
 	if l.Fenced && len(pods) > 1 {
 		return pods[:1]
 	}
@@ -266,7 +266,7 @@
 		s.cache.clear()
 	}
 	return s.cache.getOrDraw(w, func(w tenancy.Write) []tenancy.PodID {
-		return tenancy.Placement{Draw: w.Seat.Draw, Size: w.Count, Pods: w.Seat.Pods}.Among(w.Tenant, s.candidates, w.Count)
+		return tenancy.Placement{Draw: w.Placement.Draw, Size: w.Count, Pods: w.Placement.Pods}.Among(w.Tenant, s.candidates, w.Count)
 	})
 }
 
--- a/tenancy/groups.go
+++ b/tenancy/groups.go
@@ -57,21 +57,21 @@
 
 // Write is what a deduplicated write's group is drawn by.
 type Write struct {
-	Tenant string // empty: nobody's
-	Seat   Placement
-	Count  int    // groups of a tenant's subset; 0: all
-	Key    string // by which servers know a repeat; empty: they know none
+	Tenant    string // empty: nobody's
+	Placement Placement
+	Count     int    // groups of a tenant's subset; 0: all
+	Key       string // by which servers know a repeat; empty: they know none
 }
 
 // All tells whether a write's tenant, if any, may use all groups.
-func (w Write) All() bool { return w.Count == 0 && w.Seat.Size == 0 && len(w.Seat.Pods) == 0 }
+func (w Write) All() bool { return w.Count == 0 && w.Placement.Size == 0 && len(w.Placement.Pods) == 0 }
 
 // Subset returns the groups that writes of a tenant may go to, by id. It must not be changed.
 func (g Groups) Subset(w Write) []PodID { return g.now.subset(w) }
 
 // subset returns the groups that a write may go to.
 func (s groupSet) subset(w Write) []PodID {
-	if subset := w.Seat.Among(w.Tenant, s.pods, w.Count); subset != nil {
+	if subset := w.Placement.Among(w.Tenant, s.pods, w.Count); subset != nil {
 		return subset
 	}
 	return s.ids
--- a/tenancy/groups_test.go
+++ b/tenancy/groups_test.go
@@ -257,8 +257,8 @@
 	if _, ok := (Groups{}).Draw(w, Groups{}.Subset(w)); ok {
 		t.Error("drawn among none")
 	}
-	w.Seat = Placement{Pods: []PodID{PodOf(0, 2), PodOf(1, 2)}}
-	if zones := w.Seat.InZones().Pods; !slices.Equal(zones, []PodID{PodOf(0, 0), PodOf(1, 0)}) || w.Seat.Pods[0] != PodOf(0, 2) {
+	w.Placement = Placement{Pods: []PodID{PodOf(0, 2), PodOf(1, 2)}}
+	if zones := w.Placement.InZones().Pods; !slices.Equal(zones, []PodID{PodOf(0, 0), PodOf(1, 0)}) || w.Placement.Pods[0] != PodOf(0, 2) {
 		t.Errorf("%v", zones)
 	}
 }
