--- a/control/control.go
+++ b/control/control.go
@@ -91,9 +91,9 @@
 
 	Slices int // 0: proxies are bound to tables; else a table is a slice of the keys
 
-	Levels       LevelUnit
-	OutlierAfter int
-	Bootstrap    int // lines of a standing table, at most
+	Levels             LevelUnit
+	OutlierAfter       int
+	StandingTableLines int // lines of a standing table, at most
 
 	Proxies              int // of all instances
 	MessageOverheadLines float64
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -241,7 +241,7 @@
 	}
 	for area, n := range servers {
 		proxies := float64(a.facts.Proxies) * n / max(1, float64(len(a.listed)))
-		most := min(n/(roomCell*float64(max(1, a.facts.Bootstrap))), proxies/crowd)
+		most := min(n/(roomCell*float64(max(1, a.facts.StandingTableLines))), proxies/crowd)
 		for range max(1, int(most)) {
 			t := &table{id: control.TableID(len(a.tables))}
 			t.cell = &cell{table: t, area: area, live: true, since: control.LongAgo, answeredAt: a.now}
@@ -607,7 +607,7 @@
 // spread tells who without room goes to the commons: all where tables stay few, else who is too heavy.
 func (a *Assigner) spread(p *proxy) bool {
 	heavy := p.demand/max(a.demand, tiny)*float64(len(a.cells))*even > a.roomy()
-	few := 3*len(a.tables) <= a.facts.Proxies && len(a.listed) <= fewLines*a.facts.Bootstrap
+	few := 3*len(a.tables) <= a.facts.Proxies && len(a.listed) <= fewLines*a.facts.StandingTableLines
 	return len(a.cells) > 1 && (heavy || few)
 }
 
