--- a/pilot/host/host.go
+++ b/pilot/host/host.go
@@ -176,7 +176,7 @@
 		return
 	}
 	now := h.Now()
-	orders, fault := h.Ask(now, events)
+	orders, fault := h.CallModule(now, events)
 	h.Deciding += h.Now() - now
 	h.Batches++
 	if fault != nil {
@@ -204,8 +204,8 @@
 	})
 }
 
-// Ask runs the module; a panic in it becomes a fault.
-func (h *Host) Ask(now time.Duration, events []control.Event) (orders []control.Order, fault any) {
+// CallModule runs the module; a panic in it becomes a fault.
+func (h *Host) CallModule(now time.Duration, events []control.Event) (orders []control.Order, fault any) {
 	defer func() {
 		if fault = recover(); fault != nil {
 			h.Log.Error("the module panicked", "panic", fmt.Sprint(fault), "now", now, "events", describe(events),
--- a/pilot/records_test.go
+++ b/pilot/records_test.go
@@ -209,7 +209,7 @@
 		}
 		events = append(events, control.Ring{Label: 1})
 		begin := time.Now()
-		orders, _ := p.host.Ask(now, events)
+		orders, _ := p.host.CallModule(now, events)
 		messages, _ := p.desired.write(orders)
 		p.records.ordered(orders)
 		p.records.sent(orders, messages)
