--- a/pilot/moves.go
+++ b/pilot/moves.go
@@ -370,7 +370,7 @@
 			return fmt.Errorf("pod %s has no server on the list", tenancy.AppendPods(nil, []tenancy.PodID{pod}))
 		}
 	}
-	return p.asked(tenancy.Event{Ask: &tenancy.Ask{Tenant: name, To: seat, Waits: waits}})
+	return p.asked(tenancy.Event{Ask: &tenancy.MoveRequest{Tenant: name, To: seat, Waits: waits}})
 }
 
 // hasPod tells whether the list has a server of a pod.
--- a/pilot/records.go
+++ b/pilot/records.go
@@ -300,7 +300,7 @@
 	})
 }
 
-func (r *recorder) movesAsked(a tenancy.Ask) {
+func (r *recorder) movesAsked(a tenancy.MoveRequest) {
 	r.post(1, func() {
 		r.write(slog.LevelInfo+2, record.Move, "asked", "a move is asked for", slog.String(record.Tenant, a.Tenant), slog.String("to", a.To.String()))
 	})
--- a/tenancy/move.go
+++ b/tenancy/move.go
@@ -39,13 +39,13 @@
 
 // Record is the durable part of one tenant's place.
 type Record struct {
-	Tenant    string    `json:"tenant"`
-	Placement Placement `json:"seat"`
-	To        Placement `json:"to,omitzero"` // where it goes, while it moves
-	Phase     Phase     `json:"phase"`
-	Number    uint64    `json:"number"`          // of its newest order
-	Waits     bool      `json:"waits,omitempty"` // it opens when told to
-	Queued    *Ask      `json:"asked,omitempty"` // a move that waits for its turn
+	Tenant    string       `json:"tenant"`
+	Placement Placement    `json:"seat"`
+	To        Placement    `json:"to,omitzero"` // where it goes, while it moves
+	Phase     Phase        `json:"phase"`
+	Number    uint64       `json:"number"`          // of its newest order
+	Waits     bool         `json:"waits,omitempty"` // it opens when told to
+	Queued    *MoveRequest `json:"asked,omitempty"` // a move that waits for its turn
 }
 
 // BindingUpdate is a binding for one proxy: how the tenant's ops go from now on. It may be sent any number of times; a proxy
@@ -64,7 +64,7 @@
 	Joined    *Joined
 	Forgotten *ProxyID // a proxy is known to be dead and to come back without bindings, if at all
 	Confirmed *Confirm
-	Ask       *Ask
+	Ask       *MoveRequest
 	Cancel    *string // a tenant: its move ends where it began
 	Open      *string // a tenant: a move that waits to be told is told
 }
@@ -84,8 +84,8 @@
 	Number uint64
 }
 
-// Ask asks for a tenant to be moved.
-type Ask struct {
+// MoveRequest asks for a tenant to be moved.
+type MoveRequest struct {
 	Tenant string    `json:"tenant"`
 	To     Placement `json:"to"`
 	Waits  bool      `json:"waits,omitempty"` // once all hold and nothing is in hand, open only when told to
@@ -310,7 +310,7 @@
 	m.done.Refused = append(m.done.Refused, fmt.Errorf(format, args...))
 }
 
-func (m *Mover) ask(a Ask) {
+func (m *Mover) ask(a MoveRequest) {
 	t := m.tenants[a.Tenant]
 	switch {
 	case a.Tenant == Folded || len(a.Tenant) > mostName:
--- a/tenancy/store/store_test.go
+++ b/tenancy/store/store_test.go
@@ -32,7 +32,7 @@
 	for i, n := range names {
 		for v := range uint64(3) {
 			r := tenancy.Record{Tenant: n, Placement: tenancy.Placement{Draw: uint32(i), Pods: []tenancy.PodID{7}}, Number: v, Phase: tenancy.Draining,
-				Queued: &tenancy.Ask{Tenant: n, Waits: true}}
+				Queued: &tenancy.MoveRequest{Tenant: n, Waits: true}}
 			if err := s.Keep(tenancy.Done{Records: []tenancy.Record{r}, Known: []tenancy.ProxyID{1, 2, 3}}, []tenancy.Sentence{{Limit: tenancy.Limit{Tenant: n, Rate: 2, Fenced: true}, Fences: 3}}); err != nil {
 				t.Fatal(err)
 			}
@@ -127,7 +127,7 @@
 			t.Fatal(err)
 		}
 	}
-	d := m.Step(1, tenancy.Event{Ask: &tenancy.Ask{Tenant: "a", To: tenancy.Placement{Draw: 1}}})
+	d := m.Step(1, tenancy.Event{Ask: &tenancy.MoveRequest{Tenant: "a", To: tenancy.Placement{Draw: 1}}})
 	if err := s.Keep(d, nil); err != nil || len(d.Orders) != 3 {
 		t.Fatal(err, d)
 	}
