--- a/control/control.go
+++ b/control/control.go
@@ -113,7 +113,7 @@
 	AcrossCells uint16 // op types, by bit, that every proxy may have to send to any server, whichever cell it is in
 	PackWrites  bool   // some ops go to one pack alone, and are refused while none of its servers is in use
 
-	ColdFor    time.Duration
+	WarmUpTime time.Duration
 	ColdShare  float64
 	DrainGrace time.Duration
 }
--- a/files/files.go
+++ b/files/files.go
@@ -333,7 +333,7 @@
 		MessageCap:       max(0, c.MessageCap-1), // one is the pilot's own
 		MessageCapWindow: c.MessageCapOver.Span(), MaxPushDelay: c.PushDelayMost.Span(),
 		ReportEvery: s.ReportEvery.Span(), ReportLinesPerS: c.ReportLinesPerSecond,
-		CrossZonePrice: s.CrossZone, ListedWeights: true, ColdFor: l.ColdFor.Span(),
+		CrossZonePrice: s.CrossZone, ListedWeights: true, WarmUpTime: l.ColdFor.Span(),
 		ColdShare: l.ColdShare, DrainGrace: l.DrainGrace.Span(), AcrossCells: s.acrossCells(), PackWrites: s.packWrites(),
 	}
 	for _, m := range s.Measures {
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -407,7 +407,7 @@
 
 // cold is how far a server that started has come, from 0 to 1 when it is surely warm.
 func (a *Assigner) cold(e *endpoint) float64 {
-	return min(1, max(0, (a.now-e.started).Seconds()/max(a.facts.ColdFor.Seconds(), tiny)))
+	return min(1, max(0, (a.now-e.started).Seconds()/max(a.facts.WarmUpTime.Seconds(), tiny)))
 }
 
 // fit is the share of its listed weight that a server gets: a quarter at its start or return, then steps up.
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -75,7 +75,7 @@
 		asks: map[control.ProxyID]float64{}, facts: control.Facts{
 			Zones: 2, Proxies: 4, Instances: 1, Levels: control.LevelShare, ReportEvery: time.Second, MaxPushDelay: time.Second / 2,
 			LinesPerSecond: 2000, MaxUnconfirmedLines: 4000, MessageCapWindow: 10 * time.Second, MessageOverheadLines: 5, ListedWeights: true,
-			Measures: []control.Measure{control.Util}, CrossZonePrice: 0.08, ColdFor: 16 * time.Second,
+			Measures: []control.Measure{control.Util}, CrossZonePrice: 0.08, WarmUpTime: 16 * time.Second,
 			ColdShare: 0.2, DrainGrace: 2 * time.Second,
 			OpTypes: []control.OpType{
 				{TargetLatency: time.Second, Revenue: 1},
@@ -159,7 +159,7 @@
 	for p, tables := range w.bound {
 		warm := false
 		for _, e := range w.entries {
-			warm = warm || e.Mode == control.Ready && w.now-e.Started >= w.facts.ColdFor
+			warm = warm || e.Mode == control.Ready && w.now-e.Started >= w.facts.WarmUpTime
 		}
 		for _, t := range tables {
 			if warm && t != control.Everywhere && !w.open(t) {
