--- a/control/control.go
+++ b/control/control.go
@@ -113,9 +113,9 @@
 	AcrossCells uint16 // op types, by bit, that every proxy may have to send to any server, whichever cell it is in
 	PackWrites  bool   // some ops go to one pack alone, and are refused while none of its servers is in use
 
-	WarmUpTime time.Duration
-	ColdShare  float64
-	DrainGrace time.Duration
+	WarmUpTime        time.Duration
+	ColdCapacityShare float64
+	DrainGrace        time.Duration
 }
 
 // Event is something that happened to the instance.
--- a/files/files.go
+++ b/files/files.go
@@ -334,7 +334,7 @@
 		MessageCapWindow: c.MessageCapOver.Span(), MaxPushDelay: c.PushDelayMost.Span(),
 		ReportEvery: s.ReportEvery.Span(), ReportLinesPerS: c.ReportLinesPerSecond,
 		CrossZonePrice: s.CrossZone, ListedWeights: true, WarmUpTime: l.ColdFor.Span(),
-		ColdShare: l.ColdShare, DrainGrace: l.DrainGrace.Span(), AcrossCells: s.acrossCells(), PackWrites: s.packWrites(),
+		ColdCapacityShare: l.ColdShare, DrainGrace: l.DrainGrace.Span(), AcrossCells: s.acrossCells(), PackWrites: s.packWrites(),
 	}
 	for _, m := range s.Measures {
 		f.Measures = append(f.Measures, measures[m])
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -425,7 +425,7 @@
 
 // can is what a server is given and surely does now, in units of listed weight.
 func (a *Assigner) can(e *endpoint) float64 {
-	return e.weight * min(a.fit(e), e.ease*(a.facts.ColdShare+(1-a.facts.ColdShare)*a.cold(e)))
+	return e.weight * min(a.fit(e), e.ease*(a.facts.ColdCapacityShare+(1-a.facts.ColdCapacityShare)*a.cold(e)))
 }
 
 // health takes out servers that fail far more than the rest though calmer, longer each time: a cold one if
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -76,7 +76,7 @@
 			Zones: 2, Proxies: 4, Instances: 1, Levels: control.LevelShare, ReportEvery: time.Second, MaxPushDelay: time.Second / 2,
 			LinesPerSecond: 2000, MaxUnconfirmedLines: 4000, MessageCapWindow: 10 * time.Second, MessageOverheadLines: 5, ListedWeights: true,
 			Measures: []control.Measure{control.Util}, CrossZonePrice: 0.08, WarmUpTime: 16 * time.Second,
-			ColdShare: 0.2, DrainGrace: 2 * time.Second,
+			ColdCapacityShare: 0.2, DrainGrace: 2 * time.Second,
 			OpTypes: []control.OpType{
 				{TargetLatency: time.Second, Revenue: 1},
 				{TargetLatency: time.Second, Revenue: 5, Repeat: control.OnceOnly},
@@ -425,7 +425,7 @@
 	w := newWorld(t)
 	w.play("list 1/0*2 2/0*2 3/1*2 4/1*2\njoin 1/0 10 2/1 10\nhears 1,2,3,4 20 0 67\nasks 1,2 10\nrun 20\nchange 1/0@20*2\nrun 1")
 	const factor = 4 // of what it can do now, for two seconds
-	cell, whole := 0.67*4, 2*(w.facts.ColdShare+(1-w.facts.ColdShare)/16)
+	cell, whole := 0.67*4, 2*(w.facts.ColdCapacityShare+(1-w.facts.ColdCapacityShare)/16)
 	if w.lines[0][1] > 0 && cell > factor*whole {
 		t.Errorf("its cell's work is %.1f times what it can do", cell/whole)
 	}
--- a/policy/tables.go
+++ b/policy/tables.go
@@ -23,7 +23,7 @@
 	if a.facts.OutlierAfter > 0 && float64(e.cell.warm) > mostlyWarm*float64(e.cell.ready) {
 		young = youngAvoid
 	}
-	work, does := e.cell.load/100*float64(e.cell.ready), a.facts.ColdShare+(1-a.facts.ColdShare)*a.cold(e)
+	work, does := e.cell.load/100*float64(e.cell.ready), a.facts.ColdCapacityShare+(1-a.facts.ColdCapacityShare)*a.cold(e)
 	weak := a.cold(e) < youngest && e.cell.load > fits && does*pushedOver < work && work < smallWork
 	return a.cold(e) < 1 && e.cell.jammed || weak || a.cold(e) < young && a.pressed(e.cell) > failsMuch
 }
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -115,7 +115,7 @@
 		MessageCap: x.UpdateCap, MessageCapWindow: Span(x.MessagesOver),
 		MaxPushDelay: Span(x.TransitMax), ReportEvery: Span(x.Cycle), ReportLinesPerS: x.IntakePerS,
 		CrossZonePrice: o.Prices.CrossZone, ListedWeights: o.Weights != "off",
-		WarmUpTime: Span(o.Rules.Cold), ColdShare: o.Rules.ColdShare, DrainGrace: Span(o.Rules.DrainGrace),
+		WarmUpTime: Span(o.Rules.Cold), ColdCapacityShare: o.Rules.ColdShare, DrainGrace: Span(o.Rules.DrainGrace),
 	}
 	switch x.Admit {
 	case "share":
