--- a/lab/load.go
+++ b/lab/load.go
@@ -314,7 +314,7 @@
 
 // checkSignature records a response that belongs to another op, and any 4xx status, which means that the request was
 // corrupted, because every request is well-formed.
-func (s *loadGenerator) checkSignature(o *op, a *upstream.Answer) {
+func (s *loadGenerator) checkSignature(o *op, a *upstream.Response) {
 	if a.Status >= 400 && a.Status < 500 {
 		s.ledger.Mix(fmt.Sprintf("op %d got the response status %d", o.number, a.Status))
 	}
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -116,16 +116,16 @@
 	return !c.gone
 }
 
-// Answer is a response. Its message holds until Release, which must be called: netpoll takes the bytes of the last Peek back at
+// Response is a response. Its message holds until Release, which must be called: netpoll takes the bytes of the last Peek back at
 // the next Peek or Release of its connection, or as it is closed, and none of these comes before.
-type Answer struct {
+type Response struct {
 	*http1.Message
 	pool *Pool
 	conn *conn
 }
 
 // Release gives the connection back.
-func (a *Answer) Release() {
+func (a *Response) Release() {
 	c := a.conn
 	keep := !a.Close
 	if size := a.Size; keep {
@@ -137,7 +137,7 @@
 }
 
 // Send sends a request, whole in req, and waits for its answer until the deadline. head says that no body will answer.
-func (p *Pool) Send(call *Call, address string, req []byte, deadline time.Time, head bool) (*Answer, *Failure) {
+func (p *Pool) Send(call *Call, address string, req []byte, deadline time.Time, head bool) (*Response, *Failure) {
 	c, fail := p.get(call, address, deadline)
 	if fail != nil {
 		return nil, fail
@@ -154,7 +154,7 @@
 	return a, f
 }
 
-func (p *Pool) exchange(call *Call, c *conn, req []byte, deadline time.Time, head bool) (*Answer, *Failure) {
+func (p *Pool) exchange(call *Call, c *conn, req []byte, deadline time.Time, head bool) (*Response, *Failure) {
 	answered := false
 	fail := func(err error) *Failure {
 		f := &Failure{Err: fmt.Errorf("%s: %w", c.server, err), Timeout: errors.Is(err, netpoll.ErrReadTimeout)}
@@ -179,7 +179,7 @@
 	if answered = begun; err != nil {
 		return nil, fail(err)
 	}
-	return &Answer{Message: m, pool: p, conn: c}, nil
+	return &Response{Message: m, pool: p, conn: c}, nil
 }
 
 // receive reads an answer, past the interim ones before it. begun says whether a byte of any came.
--- a/upstream/upstream_test.go
+++ b/upstream/upstream_test.go
@@ -119,7 +119,7 @@
 }
 
 // send sends a request.
-func send(pool *upstream.Pool, address, path string, head bool) (*upstream.Answer, *upstream.Failure) {
+func send(pool *upstream.Pool, address, path string, head bool) (*upstream.Response, *upstream.Failure) {
 	request := []byte("GET " + path + " HTTP/1.1\r\nHost: h\r\n\r\n")
 	return pool.Send(&upstream.Call{}, address, request, time.Now().Add(patience), head)
 }
