--- a/control/control.go
+++ b/control/control.go
@@ -103,7 +103,7 @@
 	MessageCapWindow     time.Duration
 	MaxPushDelay         time.Duration // longest way of a message once it left the channel
 	KeepsShut            bool          // a proxy keeps what was withdrawn on an earlier stream until it is let in by name
-	ReportEvery          time.Duration
+	ReportInterval       time.Duration
 	ReportLinesPerS      float64
 
 	Measures       []Measure // what a load report holds, in order
--- a/files/files.go
+++ b/files/files.go
@@ -332,7 +332,7 @@
 		LinesPerSecond: c.LinesPerSecond, MaxUnconfirmedLines: float64(c.MostWaiting - p.NoticeLines()),
 		MessageCap:       max(0, c.MessageCap-1), // one is the pilot's own
 		MessageCapWindow: c.MessageCapOver.Span(), MaxPushDelay: c.PushDelayMost.Span(),
-		ReportEvery: s.ReportEvery.Span(), ReportLinesPerS: c.ReportLinesPerSecond,
+		ReportInterval: s.ReportEvery.Span(), ReportLinesPerS: c.ReportLinesPerSecond,
 		CrossZonePrice: s.CrossZone, ListedWeights: true, WarmUpTime: l.ColdFor.Span(),
 		ColdCapacityShare: l.ColdShare, DrainGrace: l.DrainGrace.Span(), AcrossCells: s.acrossCells(), PackWrites: s.packWrites(),
 	}
--- a/pilot/lifecycle.go
+++ b/pilot/lifecycle.go
@@ -70,8 +70,8 @@
 	go func() { defer p.done.Done(); p.host.Guard() }()
 	p.log.Info("pilot runs", "listen", p.ln.Address(), "run", p.run, "list", len(p.list)) // before the loop owns the list
 	p.pace = p.host.After(time.Hour, p.pump)
-	p.host.Every(p.facts.ReportEvery, func() {
-		for _, e := range p.intake.take(p.facts.ReportEvery) {
+	p.host.Every(p.facts.ReportInterval, func() {
+		for _, e := range p.intake.take(p.facts.ReportInterval) {
 			p.host.Event(e)
 		}
 		p.limitTenants()
--- a/pilot/moves.go
+++ b/pilot/moves.go
@@ -423,7 +423,7 @@
 		if p.quarantine != nil {
 			u = p.quarantine.Met(name)
 		}
-		per := p.facts.ReportEvery.Seconds()
+		per := p.facts.ReportInterval.Seconds()
 		fmt.Fprintf(w, "%s,%g,%g,%g,%t,%g,%s,%s,%d,%.3g,%.3g,%.3g,\n", runtime.Quote("="+name), l.Rate, l.Tries, l.Hand, l.Fenced, l.Room, r.Placement, r.Phase, r.Number,
 			u.Ops/per, u.Failed/per, u.Busy.Seconds()/per)
 	}
--- a/pilot/pilot.go
+++ b/pilot/pilot.go
@@ -137,7 +137,7 @@
 		} else if p.mover != nil {
 			kept = p.mover.kept
 		}
-		p.quarantine = tenancy.NewQuarantine(p.facts.ReportEvery)
+		p.quarantine = tenancy.NewQuarantine(p.facts.ReportInterval)
 		p.quarantine.Restore(kept)
 		for _, s := range kept {
 			p.desired.limits[s.Tenant] = runtime.LimitOf(s.Limit)
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -192,7 +192,7 @@
 		a.arrivals(ev)
 	case control.Ring:
 		if ev.Label == beat {
-			a.do(control.Wake{After: a.facts.ReportEvery, Label: beat})
+			a.do(control.Wake{After: a.facts.ReportInterval, Label: beat})
 			a.forget()
 			a.health()
 			a.rate()
@@ -217,7 +217,7 @@
 	*a = Assigner{facts: s.Facts, now: a.now, carry: s.Seed>>1 | 1, admitted: 1, lagged: 1, trim: 1,
 		wroteAt: control.LongAgo, endpoints: map[control.EndpointID]*endpoint{},
 		proxies: map[control.ProxyID]*proxy{}}
-	a.facts.ReportEvery = max(a.facts.ReportEvery, a.facts.Tick, 100*time.Millisecond)
+	a.facts.ReportInterval = max(a.facts.ReportInterval, a.facts.Tick, 100*time.Millisecond)
 	for _, t := range a.facts.OpTypes {
 		cost := max(t.TargetLatency, time.Millisecond).Seconds()
 		a.ops = append(a.ops, opType{cost: cost, density: t.Revenue / cost, level: -1})
@@ -230,7 +230,7 @@
 	if a.facts.AskForList {
 		a.do(control.WatchList{On: true})
 	}
-	a.do(control.Wake{After: a.facts.ReportEvery, Label: beat})
+	a.do(control.Wake{After: a.facts.ReportInterval, Label: beat})
 }
 
 // group lays out each area's cells by the first list: as many as leave each enough servers and proxies.
@@ -362,7 +362,9 @@
 }
 
 // lag is how long a change takes to show in the sums.
-func (a *Assigner) lag() time.Duration { return a.window + a.facts.ReportEvery + a.facts.MaxPushDelay }
+func (a *Assigner) lag() time.Duration {
+	return a.window + a.facts.ReportInterval + a.facts.MaxPushDelay
+}
 
 // digest takes in what proxies met at a server, and its load.
 func (a *Assigner) digest(d control.Digest) {
@@ -435,7 +437,7 @@
 	for _, c := range a.cells {
 		c.ready, c.warm, c.sick, c.met = 0, 0, 0, tally{}
 	}
-	keep := math.Exp(-a.facts.ReportEvery.Seconds() / a.lag().Seconds())
+	keep := math.Exp(-a.facts.ReportInterval.Seconds() / a.lag().Seconds())
 	for _, e := range a.listed {
 		e.tries *= keep
 		if e.mode != control.Ready {
@@ -675,7 +677,7 @@
 		failing = 0
 	}
 	distress := a.load >= busy || failing > failsMuch
-	k := min(1, a.facts.ReportEvery.Seconds()/a.lag().Seconds())
+	k := min(1, a.facts.ReportInterval.Seconds()/a.lag().Seconds())
 	a.lagged += k * (a.admitted - a.lagged)
 	if a.offered == 0 || distress || a.lagged < wholly {
 		a.offered = min(a.demand, cmp.Or(a.offered, a.demand))
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -73,7 +73,7 @@
 	return &world{t: t, entries: map[control.EndpointID]control.Entry{}, confirmed: true,
 		zones: map[control.ProxyID]int{}, hears: map[control.EndpointID][3]float64{},
 		asks: map[control.ProxyID]float64{}, facts: control.Facts{
-			Zones: 2, Proxies: 4, Instances: 1, Levels: control.LevelShare, ReportEvery: time.Second, MaxPushDelay: time.Second / 2,
+			Zones: 2, Proxies: 4, Instances: 1, Levels: control.LevelShare, ReportInterval: time.Second, MaxPushDelay: time.Second / 2,
 			LinesPerSecond: 2000, MaxUnconfirmedLines: 4000, MessageCapWindow: 10 * time.Second, MessageOverheadLines: 5, ListedWeights: true,
 			Measures: []control.Measure{control.Util}, CrossZonePrice: 0.08, WarmUpTime: 16 * time.Second,
 			ColdCapacityShare: 0.2, DrainGrace: 2 * time.Second,
@@ -203,12 +203,12 @@
 // run lets time pass in periods; each begins with the period's sums.
 func (w *world) run(until time.Duration) {
 	for w.now < until {
-		w.now += w.facts.ReportEvery
+		w.now += w.facts.ReportInterval
 		var events []control.Event
 		for id := control.EndpointID(0); id < 100; id++ {
 			if h, ok := w.hears[id]; ok && h[0] > 0 {
 				events = append(events, control.Digest{Zone: w.entries[id].Zone, Endpoint: id, Tries: int(h[0]),
-					Failed: int(h[1]), Latency: time.Second / 5, Window: w.facts.ReportEvery, Load: []float64{h[2] / 100}})
+					Failed: int(h[1]), Latency: time.Second / 5, Window: w.facts.ReportInterval, Load: []float64{h[2] / 100}})
 			}
 		}
 		for p := control.ProxyID(0); p < 100; p++ {
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -113,7 +113,7 @@
 		Slices: x.Shards, OutlierAfter: x.OutlierAfter, StandingTableLines: x.Bootstrap, Proxies: x.ProxyCount,
 		MessageOverheadLines: x.Envelope, LinesPerSecond: x.LinesPerS, MaxUnconfirmedLines: x.MostWaiting,
 		MessageCap: x.UpdateCap, MessageCapWindow: Span(x.MessagesOver),
-		MaxPushDelay: Span(x.TransitMax), ReportEvery: Span(x.Cycle), ReportLinesPerS: x.IntakePerS,
+		MaxPushDelay: Span(x.TransitMax), ReportInterval: Span(x.Cycle), ReportLinesPerS: x.IntakePerS,
 		CrossZonePrice: o.Prices.CrossZone, ListedWeights: o.Weights != "off",
 		WarmUpTime: Span(o.Rules.Cold), ColdCapacityShare: o.Rules.ColdShare, DrainGrace: Span(o.Rules.DrainGrace),
 	}
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -24,8 +24,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if f.Tick != 5*time.Millisecond || f.WarmUpTime != 9*time.Second || f.ReportEvery != time.Second {
-		t.Errorf("%v, %v, %v", f.Tick, f.WarmUpTime, f.ReportEvery)
+	if f.Tick != 5*time.Millisecond || f.WarmUpTime != 9*time.Second || f.ReportInterval != time.Second {
+		t.Errorf("%v, %v, %v", f.Tick, f.WarmUpTime, f.ReportInterval)
 	}
 	if !slices.Equal(f.Zones, []string{"a", "b"}) || f.Facts.Zones != 2 || !slices.Equal(f.OpTypes, []string{"read"}) {
 		t.Errorf("%v, %d, %v", f.Zones, f.Facts.Zones, f.OpTypes)
