--- a/cmd/vetchdoor/daemons.go
+++ b/cmd/vetchdoor/daemons.go
@@ -51,7 +51,7 @@
 			l.close()
 			return nil, err
 		}
-		p.Records, p.Info = l.records, l.info
+		p.Records, p.WriteInfo = l.records, l.info
 		p.Stuck = func() {
 			l.close()
 			os.Exit(exitStuck)
--- a/pilot/admin.go
+++ b/pilot/admin.go
@@ -68,8 +68,8 @@
 	}
 	fmt.Fprintf(w, "Lines_saved: %d\nList_from: %s\nLeaving: %t\nSent_elsewhere: %d\n", p.desired.saved, from, p.leaving, p.redirected)
 	fmt.Fprintf(w, "Resumed: %d\nRefused: %d\nOverflows: %d\nPanics: %d\n", p.resumed, p.refused, p.overflows, p.host.Panics)
-	if p.Info != nil {
-		p.Info(w)
+	if p.WriteInfo != nil {
+		p.WriteInfo(w)
 	}
 	if m := p.mover; m != nil {
 		moving, waiting := m.Moving(p.host.Now())
--- a/pilot/pilot.go
+++ b/pilot/pilot.go
@@ -42,8 +42,8 @@
 	// take the pilot for silent. Nothing in this process can mend that; the program ends, and a new one starts over.
 	Stuck func()
 
-	// Info, if not nil at Start, adds lines to show info.
-	Info func(io.Writer)
+	// WriteInfo, if not nil at Start, adds lines to show info.
+	WriteInfo func(io.Writer)
 
 	// Net, if not nil at Start, is what connections to proxies, servers, peers and the list run over; else sockets.
 	Net stream.Net
