--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -371,7 +371,7 @@
 				return
 			}
 		} else {
-			if fail.Gone {
+			if fail.Cancelled {
 				e.met(false, took, nil, 0, 0)
 				t.unacked.Add(1)
 				p.tally.aborted.Add(1)
--- a/serve/serve_test.go
+++ b/serve/serve_test.go
@@ -238,7 +238,7 @@
 	}
 	for _, c := range calls {
 		c.GiveUp()
-		if f := <-done; f == nil || !f.Gone {
+		if f := <-done; f == nil || !f.Cancelled {
 			t.Errorf("given up: %+v", f)
 		}
 	}
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -19,11 +19,11 @@
 
 // Failure is how a request went without an answer.
 type Failure struct {
-	Unrun   bool // surely nothing of it was sent
-	Timeout bool
-	Gone    bool // given up by the caller
-	Stale   bool // the connection had been kept and ended before a byte of an answer: its server may have closed it unseen
-	Err     error
+	Unrun     bool // surely nothing of it was sent
+	Timeout   bool
+	Cancelled bool // given up by the caller
+	Stale     bool // the connection had been kept and ended before a byte of an answer: its server may have closed it unseen
+	Err       error
 }
 
 func (f *Failure) Error() string { return f.Err.Error() }
@@ -144,7 +144,7 @@
 	}
 	if !call.hold(c.nc) {
 		p.put(c, false)
-		return nil, &Failure{Unrun: true, Gone: true, Err: errors.New("upstream: given up")}
+		return nil, &Failure{Unrun: true, Cancelled: true, Err: errors.New("upstream: given up")}
 	}
 	a, f := p.exchange(call, c, req, deadline, head)
 	call.hold(nil)
@@ -158,8 +158,8 @@
 	answered := false
 	fail := func(err error) *Failure {
 		f := &Failure{Err: fmt.Errorf("%s: %w", c.server, err), Timeout: errors.Is(err, netpoll.ErrReadTimeout)}
-		f.Gone = call.given()
-		f.Stale = c.kept && !answered && !f.Timeout && !f.Gone
+		f.Cancelled = call.given()
+		f.Stale = c.kept && !answered && !f.Timeout && !f.Cancelled
 		return f
 	}
 	left := time.Until(deadline)
