--- a/pilot/moves.go
+++ b/pilot/moves.go
@@ -81,8 +81,8 @@
 	}
 	d := m.Step(p.host.Now(), events...)
 	for _, e := range events {
-		if e.Ask != nil && len(d.Refused) == 0 {
-			p.records.movesAsked(*e.Ask)
+		if e.MoveRequest != nil && len(d.Refused) == 0 {
+			p.records.movesAsked(*e.MoveRequest)
 		}
 	}
 	for _, e := range d.Ended {
@@ -370,7 +370,7 @@
 			return fmt.Errorf("pod %s has no server on the list", tenancy.AppendPods(nil, []tenancy.PodID{pod}))
 		}
 	}
-	return p.asked(tenancy.Event{Ask: &tenancy.MoveRequest{Tenant: name, To: seat, Waits: waits}})
+	return p.asked(tenancy.Event{MoveRequest: &tenancy.MoveRequest{Tenant: name, To: seat, Waits: waits}})
 }
 
 // hasPod tells whether the list has a server of a pod.
--- a/tenancy/bench_test.go
+++ b/tenancy/bench_test.go
@@ -31,7 +31,7 @@
 		b.Run(fmt.Sprintf("knows %t", has), func(b *testing.B) {
 			m := NewMover(MoveLimits{Most: time.Hour}, 1, nil, nil)
 			for i := range 10_000 {
-				m.Step(0, Event{Ask: &MoveRequest{Tenant: fmt.Sprint("newsroom-", i), To: Placement{Draw: 1}}})
+				m.Step(0, Event{MoveRequest: &MoveRequest{Tenant: fmt.Sprint("newsroom-", i), To: Placement{Draw: 1}}})
 			}
 			m.Step(time.Second)
 			number := uint64(0)
--- a/tenancy/move.go
+++ b/tenancy/move.go
@@ -61,12 +61,12 @@
 
 // Event is what happened. Exactly one of its parts is set.
 type Event struct {
-	Joined    *Joined
-	Forgotten *ProxyID // a proxy is known to be dead and to come back without bindings, if at all
-	Confirmed *Confirm
-	Ask       *MoveRequest
-	Cancel    *string // a tenant: its move ends where it began
-	Open      *string // a tenant: a move that waits to be told is told
+	Joined      *Joined
+	Forgotten   *ProxyID // a proxy is known to be dead and to come back without bindings, if at all
+	Confirmed   *Confirm
+	MoveRequest *MoveRequest
+	Cancel      *string // a tenant: its move ends where it began
+	Open        *string // a tenant: a move that waits to be told is told
 }
 
 // Joined says that a proxy's stream is up. It has all of this pilot's orders up to Has; 0: none. It may hold any older
@@ -240,8 +240,8 @@
 			m.forgotten(*e.Forgotten)
 		case e.Confirmed != nil:
 			m.confirmed(*e.Confirmed)
-		case e.Ask != nil:
-			m.ask(*e.Ask)
+		case e.MoveRequest != nil:
+			m.ask(*e.MoveRequest)
 		case e.Cancel != nil:
 			m.cancel(*e.Cancel)
 		case e.Open != nil:
--- a/tenancy/move_test.go
+++ b/tenancy/move_test.go
@@ -159,7 +159,7 @@
 		case 2:
 			w.step(Event{Open: &name})
 		default:
-			w.step(Event{Ask: &MoveRequest{"a", Placement{Draw: w.rng.Uint32N(3)}, w.rng.IntN(3) == 0}})
+			w.step(Event{MoveRequest: &MoveRequest{"a", Placement{Draw: w.rng.Uint32N(3)}, w.rng.IntN(3) == 0}})
 		}
 	case 12: // a proxy starts anew with what it kept on disk
 		if w.rng.IntN(4) == 0 {
@@ -357,7 +357,7 @@
 		t.Fatalf("%+v", d)
 	}
 	ask := func(name string, draw uint32) Event {
-		return Event{Ask: &MoveRequest{Tenant: name, To: Placement{Draw: draw}}}
+		return Event{MoveRequest: &MoveRequest{Tenant: name, To: Placement{Draw: draw}}}
 	}
 	for _, c := range []struct {
 		event Event
@@ -391,7 +391,7 @@
 	if d = m.Step(now); len(d.Ended) != 1 || !d.Ended[0].Moved {
 		t.Errorf("%+v", d)
 	}
-	d = m.Step(now, Event{Ask: &MoveRequest{"a", Placement{Pods: []PodID{3}}, true}})
+	d = m.Step(now, Event{MoveRequest: &MoveRequest{"a", Placement{Pods: []PodID{3}}, true}})
 	confirmAll(m, now, d)
 	now += 3 * tick
 	m.Step(now)
@@ -419,7 +419,7 @@
 	}
 	var asks []Event
 	for i := range 10000 {
-		asks = append(asks, Event{Ask: &MoveRequest{Tenant: fmt.Sprint("newsroom ", i), To: Placement{Draw: 1}}})
+		asks = append(asks, Event{MoveRequest: &MoveRequest{Tenant: fmt.Sprint("newsroom ", i), To: Placement{Draw: 1}}})
 	}
 	begin := time.Now()
 	now, ended := time.Duration(0), 0
--- a/tenancy/store/store_test.go
+++ b/tenancy/store/store_test.go
@@ -127,7 +127,7 @@
 			t.Fatal(err)
 		}
 	}
-	d := m.Step(1, tenancy.Event{Ask: &tenancy.MoveRequest{Tenant: "a", To: tenancy.Placement{Draw: 1}}})
+	d := m.Step(1, tenancy.Event{MoveRequest: &tenancy.MoveRequest{Tenant: "a", To: tenancy.Placement{Draw: 1}}})
 	if err := s.Keep(d, nil); err != nil || len(d.Orders) != 3 {
 		t.Fatal(err, d)
 	}
