--- a/settings/settings.go
+++ b/settings/settings.go
@@ -11,8 +11,8 @@
 	"vetchdoor/control"
 )
 
-// Start is what an instance is told, and the names that the settings give to what it knows by number.
-type Start struct {
+// Settings is what an instance is told, and the names that the settings give to what it knows by number.
+type Settings struct {
 	control.Facts
 	Zones    []string
 	Machines []string
@@ -100,13 +100,13 @@
 
 // Read turns the start settings into facts. What an op's repeats may do is read strictly: an effect or a group that is
 // not known counts as the one that allows least.
-func Read(settings []byte) (*Start, error) {
+func Read(settings []byte) (*Settings, error) {
 	var o options
 	if err := json.Unmarshal(settings, &o); err != nil {
 		return nil, fmt.Errorf("start settings: %w", err)
 	}
 	x := &o.Extra
-	f := &Start{Zones: o.Zones, Machines: o.Machines, Probes: o.Limits.Probes}
+	f := &Settings{Zones: o.Zones, Machines: o.Machines, Probes: o.Limits.Probes}
 	f.Facts = control.Facts{
 		Instance: o.Me, Instances: o.Peers, Zone: o.Zone, Zones: len(o.Zones),
 		AskForList: o.Registry == "ask", Tick: Span(o.Tick),
