--- a/control/control.go
+++ b/control/control.go
@@ -92,7 +92,7 @@
 	Slices int // 0: proxies are bound to tables; else a table is a slice of the keys
 
 	Levels             LevelUnit
-	OutlierAfter       int
+	AvoidAfterFailures int
 	StandingTableLines int // lines of a standing table, at most
 
 	Proxies              int // of all instances
--- a/files/files.go
+++ b/files/files.go
@@ -328,7 +328,7 @@
 	f := control.Facts{
 		Instance: p.Instance, Instances: max(1, p.Instances), Zone: s.ZoneIndex(p.Zone), Zones: len(s.Zones),
 		OpTypes: s.Types(), Tick: p.Tick.Span(), Levels: control.LevelShare,
-		OutlierAfter: s.OutlierAfter, StandingTableLines: s.Bootstrap, Proxies: p.Proxies, MessageOverheadLines: float64(c.MessageLines),
+		AvoidAfterFailures: s.OutlierAfter, StandingTableLines: s.Bootstrap, Proxies: p.Proxies, MessageOverheadLines: float64(c.MessageLines),
 		LinesPerSecond: c.LinesPerSecond, MaxUnconfirmedLines: float64(c.MostWaiting - p.NoticeLines()),
 		MessageCap:       max(0, c.MessageCap-1), // one is the pilot's own
 		MessageCapWindow: c.MessageCapOver.Span(), MaxPushDelay: c.PushDelayMost.Span(),
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -416,7 +416,7 @@
 func (a *Assigner) fit(e *endpoint) float64 {
 	stepped := func(done float64) float64 { return min(1, entry+(1-entry)*math.Floor(done*entries)/entries) }
 	back, warm := (a.now-e.turnAt).Seconds()/(easeLags*a.lag()).Seconds(), a.cold(e)
-	if a.facts.OutlierAfter == 0 { // proxies go on sending to one that they push over
+	if a.facts.AvoidAfterFailures == 0 { // proxies go on sending to one that they push over
 		warm *= warm
 		if e.cell.met.mean() > failsMuch { // and clients try again what the others fail
 			warm *= warm
@@ -460,7 +460,7 @@
 	a.failing = 1
 	for _, c := range a.cells {
 		a.failing = min(a.failing, c.met.mean())
-		c.jammed = a.facts.OutlierAfter > 0 && // where one that still answers gets the whole burst
+		c.jammed = a.facts.AvoidAfterFailures > 0 && // where one that still answers gets the whole burst
 			(c.heard == 0 || c.load >= busy || a.pressed(c) > sickMargin)
 	}
 	for _, e := range a.listed {
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -253,7 +253,7 @@
 	for _, pair := range pairs {
 		key, text, _ := strings.Cut(pair, "=")
 		v := w.number(text)
-		count := map[string]*int{"avoid": &w.facts.OutlierAfter, "standing": &w.facts.StandingTableLines, "cap": &w.facts.MessageCap,
+		count := map[string]*int{"avoid": &w.facts.AvoidAfterFailures, "standing": &w.facts.StandingTableLines, "cap": &w.facts.MessageCap,
 			"proxies": &w.facts.Proxies, "zones": &w.facts.Zones, "slices": &w.facts.Slices}[key]
 		if key == "waiting" {
 			w.facts.MaxUnconfirmedLines = v
--- a/policy/tables.go
+++ b/policy/tables.go
@@ -20,7 +20,7 @@
 // busy cell whose whole work would push it over, where that is so little that it soon bears it.
 func (a *Assigner) barred(e *endpoint) bool {
 	young := youngest
-	if a.facts.OutlierAfter > 0 && float64(e.cell.warm) > mostlyWarm*float64(e.cell.ready) {
+	if a.facts.AvoidAfterFailures > 0 && float64(e.cell.warm) > mostlyWarm*float64(e.cell.ready) {
 		young = youngAvoid
 	}
 	work, does := e.cell.load/100*float64(e.cell.ready), a.facts.ColdCapacityShare+(1-a.facts.ColdCapacityShare)*a.cold(e)
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -110,7 +110,7 @@
 	f.Facts = control.Facts{
 		Instance: o.Me, Instances: o.Peers, Zone: o.Zone, Zones: len(o.Zones),
 		AskForList: o.Registry == "ask", Tick: Span(o.Tick),
-		Slices: x.Shards, OutlierAfter: x.OutlierAfter, StandingTableLines: x.Bootstrap, Proxies: x.ProxyCount,
+		Slices: x.Shards, AvoidAfterFailures: x.OutlierAfter, StandingTableLines: x.Bootstrap, Proxies: x.ProxyCount,
 		MessageOverheadLines: x.Envelope, LinesPerSecond: x.LinesPerS, MaxUnconfirmedLines: x.MostWaiting,
 		MessageCap: x.UpdateCap, MessageCapWindow: Span(x.MessagesOver),
 		MaxPushDelay: Span(x.TransitMax), ReportInterval: Span(x.Cycle), ReportLinesPerS: x.IntakePerS,
