--- a/lab/load.go
+++ b/lab/load.go
@@ -248,7 +248,7 @@
 				}
 			}
 			answer.Release()
-		} else if fail.Unrun {
+		} else if fail.NotSent {
 			refused = true
 		}
 		o.ended = time.Since(from)
--- a/pilot/host/probe.go
+++ b/pilot/host/probe.go
@@ -38,7 +38,7 @@
 		return control.ProbeAnswered
 	case fail.Timeout:
 		return control.ProbeTimedOut
-	case fail.Unrun:
+	case fail.NotSent:
 		return control.ProbeUnreached
 	case errors.As(fail, &malformed):
 		return control.ProbeErrored
--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -379,7 +379,7 @@
 				return
 			}
 			e.met(false, took, nil, p.file.Service.OutlierAfter, p.file.Service.OutlierFor.Span())
-			state.failedAt(e, begin, fail.Unrun)
+			state.failedAt(e, begin, fail.NotSent)
 		}
 		last = fail
 		tried = append(tried, e)
--- a/serve/serve_test.go
+++ b/serve/serve_test.go
@@ -213,13 +213,13 @@
 	if p.Opened.Load() != 1 {
 		t.Errorf("%d connections for ops one after another", p.Opened.Load())
 	}
-	if _, f := p.Send(&upstream.Call{}, s.Address(), req("/drop"), late(20*time.Second), false); f == nil || f.Unrun || f.Timeout {
+	if _, f := p.Send(&upstream.Call{}, s.Address(), req("/drop"), late(20*time.Second), false); f == nil || f.NotSent || f.Timeout {
 		t.Errorf("cut off: %+v", f)
 	}
-	if _, f := p.Send(&upstream.Call{}, "127.0.0.1:1", req("/x"), late(20*time.Second), false); f == nil || !f.Unrun {
+	if _, f := p.Send(&upstream.Call{}, "127.0.0.1:1", req("/x"), late(20*time.Second), false); f == nil || !f.NotSent {
 		t.Errorf("nobody there: %+v", f)
 	}
-	if _, f := p.Send(&upstream.Call{}, s.Address(), req("/late"), late(30*time.Millisecond), false); f == nil || !f.Timeout || f.Unrun {
+	if _, f := p.Send(&upstream.Call{}, s.Address(), req("/late"), late(30*time.Millisecond), false); f == nil || !f.Timeout || f.NotSent {
 		t.Errorf("too late: %+v", f)
 	}
 	calls := []*upstream.Call{{}, {}}
@@ -233,7 +233,7 @@
 	for end := late(20 * time.Second); waiting.Load() < 2 && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
-	if _, f := p.Send(&upstream.Call{}, s.Address(), req("/x"), late(20*time.Second), false); f == nil || !f.Unrun {
+	if _, f := p.Send(&upstream.Call{}, s.Address(), req("/x"), late(20*time.Second), false); f == nil || !f.NotSent {
 		t.Errorf("past the cap: %+v", f)
 	}
 	for _, c := range calls {
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -19,7 +19,7 @@
 
 // Failure is how a request went without an answer.
 type Failure struct {
-	Unrun     bool // surely nothing of it was sent
+	NotSent   bool // surely nothing of it was sent
 	Timeout   bool
 	Cancelled bool // given up by the caller
 	Stale     bool // the connection had been kept and ended before a byte of an answer: its server may have closed it unseen
@@ -144,7 +144,7 @@
 	}
 	if !call.hold(c.nc) {
 		p.put(c, false)
-		return nil, &Failure{Unrun: true, Cancelled: true, Err: errors.New("upstream: given up")}
+		return nil, &Failure{NotSent: true, Cancelled: true, Err: errors.New("upstream: given up")}
 	}
 	a, f := p.exchange(call, c, req, deadline, head)
 	call.hold(nil)
@@ -165,7 +165,7 @@
 	left := time.Until(deadline)
 	if left <= 0 {
 		f := fail(netpoll.ErrReadTimeout)
-		f.Unrun = true
+		f.NotSent = true
 		return nil, f
 	}
 	_ = c.nc.SetWriteTimeout(left)
@@ -250,7 +250,7 @@
 	p.init()
 	if p.closed {
 		p.mu.Unlock()
-		return nil, &Failure{Unrun: true, Err: errors.New("upstream: the pool is closed")}
+		return nil, &Failure{NotSent: true, Err: errors.New("upstream: the pool is closed")}
 	}
 	s := p.servers[address]
 	if s == nil {
@@ -268,7 +268,7 @@
 	}
 	if s.open >= p.PerServer {
 		p.mu.Unlock()
-		return nil, &Failure{Unrun: true, Err: fmt.Errorf("%s: %w", address, errFull)}
+		return nil, &Failure{NotSent: true, Err: fmt.Errorf("%s: %w", address, errFull)}
 	}
 	s.open++
 	p.mu.Unlock()
@@ -282,7 +282,7 @@
 		p.mu.Lock()
 		s.open--
 		p.mu.Unlock()
-		return nil, &Failure{Unrun: true, Err: fmt.Errorf("dial %s: %w", address, err)}
+		return nil, &Failure{NotSent: true, Err: fmt.Errorf("dial %s: %w", address, err)}
 	}
 	p.Opened.Add(1)
 	p.open.Add(1)
--- a/upstream/upstream_test.go
+++ b/upstream/upstream_test.go
@@ -153,7 +153,7 @@
 		}()
 		a, fail := send(pool, server.Addr().String(), "/", c.head)
 		if fail != nil {
-			if c.fail == "" || !strings.Contains(fail.Error(), c.fail) || fail.Unrun || fail.Timeout || fail.Cancelled || fail.Stale {
+			if c.fail == "" || !strings.Contains(fail.Error(), c.fail) || fail.NotSent || fail.Timeout || fail.Cancelled || fail.Stale {
 				t.Errorf("%q: %+v", c.text, *fail)
 			}
 		} else {
