--- a/adapter/serve.go
+++ b/adapter/serve.go
@@ -70,7 +70,7 @@
 		if in == nil || len(in.events) == 0 {
 			continue
 		}
-		orders, fault := in.decide(settings.Span(b.clock - in.born))
+		orders, fault := in.decide(settings.Milliseconds(b.clock - in.born))
 		if fault != "" {
 			out.bailOut(who, fault)
 			continue
@@ -172,7 +172,7 @@
 		out[i] = e.entry
 		out[i].Started = control.LongAgo
 		if e.started > 0 {
-			out[i].Started = settings.Span(e.started - born)
+			out[i].Started = settings.Milliseconds(e.started - born)
 		}
 	}
 	return out
--- a/adapter/wire.go
+++ b/adapter/wire.go
@@ -103,7 +103,7 @@
 		if o, ok := outcomes[f.u16()]; ok {
 			e.Outcome = o
 		}
-		e.Took, e.Load = settings.Span(f.f64()), f.floats()
+		e.Took, e.Load = settings.Milliseconds(f.f64()), f.floats()
 		return e, nil
 	case evPeerData:
 		e := control.PeerNote{From: int(f.u32())}
@@ -116,19 +116,19 @@
 	case evDetached:
 		return control.Left{Proxy: control.ProxyID(f.u16())}, nil
 	case evInForce:
-		return control.InForce{Proxy: control.ProxyID(f.u16()), Checkpoint: int(f.u32()), Took: settings.Span(f.f64())}, nil
+		return control.InForce{Proxy: control.ProxyID(f.u16()), Checkpoint: int(f.u32()), Took: settings.Milliseconds(f.f64())}, nil
 	case evDigest:
 		e := control.Digest{Zone: int(f.u8()), Endpoint: control.EndpointID(f.u32())}
 		e.Tries, e.Failed = int(f.u32()), int(f.u32())
-		e.Latency, e.Window, e.Load = settings.Span(f.f64()), settings.Span(f.f64()), f.floats()
+		e.Latency, e.Window, e.Load = settings.Milliseconds(f.f64()), settings.Milliseconds(f.f64()), f.floats()
 		return e, nil
 	case evArrivals:
 		e := control.Arrivals{Proxy: control.ProxyID(f.u16()), OpType: int(f.u16())}
-		e.Ops, e.Unacked, e.Window = int(f.u32()), int(f.u32()), settings.Span(f.f64())
+		e.Ops, e.Unacked, e.Window = int(f.u32()), int(f.u32()), settings.Milliseconds(f.f64())
 		return e, nil
 	case evSliceLoad:
 		e := control.SliceLoad{Ops: int(f.u32()), Unacked: int(f.u32()), OpType: int(f.u16())}
-		e.Slice, e.Window = control.TableID(f.u16()), settings.Span(f.f64())
+		e.Slice, e.Window = control.TableID(f.u16()), settings.Milliseconds(f.f64())
 		return e, nil
 	case evHanded:
 		return control.SliceHanded{Slice: control.TableID(f.u16()), Given: f.u8() != 0}, nil
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -21,8 +21,8 @@
 	Probes   bool     // allowed
 }
 
-// Span reads milliseconds; what no clock can show becomes the longest span, and no number none.
-func Span(ms float64) time.Duration {
+// Milliseconds reads milliseconds; what no clock can show becomes the longest span, and no number none.
+func Milliseconds(ms float64) time.Duration {
 	ns := ms * float64(time.Millisecond)
 	switch {
 	case math.IsNaN(ns):
@@ -109,13 +109,13 @@
 	f := &Settings{Zones: o.Zones, Machines: o.Machines, Probes: o.Limits.Probes}
 	f.Facts = control.Facts{
 		Instance: o.Me, Instances: o.Peers, Zone: o.Zone, Zones: len(o.Zones),
-		AskForList: o.Registry == "ask", Tick: Span(o.Tick),
+		AskForList: o.Registry == "ask", Tick: Milliseconds(o.Tick),
 		Slices: x.Shards, AvoidAfterFailures: x.OutlierAfter, StandingTableLines: x.Bootstrap, Proxies: x.ProxyCount,
 		MessageOverheadLines: x.Envelope, LinesPerSecond: x.LinesPerS, MaxUnconfirmedLines: x.MostWaiting,
-		MessageCap: x.UpdateCap, MessageCapWindow: Span(x.MessagesOver),
-		MaxPushDelay: Span(x.TransitMax), ReportInterval: Span(x.Cycle), ReportLinesPerS: x.IntakePerS,
+		MessageCap: x.UpdateCap, MessageCapWindow: Milliseconds(x.MessagesOver),
+		MaxPushDelay: Milliseconds(x.TransitMax), ReportInterval: Milliseconds(x.Cycle), ReportLinesPerS: x.IntakePerS,
 		CrossZonePrice: o.Prices.CrossZone, ListedWeights: o.Weights != "off",
-		WarmUpTime: Span(o.Rules.Cold), ColdCapacityShare: o.Rules.ColdShare, DrainGrace: Span(o.Rules.DrainGrace),
+		WarmUpTime: Milliseconds(o.Rules.Cold), ColdCapacityShare: o.Rules.ColdShare, DrainGrace: Milliseconds(o.Rules.DrainGrace),
 	}
 	switch x.Admit {
 	case "share":
@@ -131,8 +131,8 @@
 	}
 	for i, g := range o.Grades {
 		t := control.OpType{
-			TargetLatency: Span(g.SLO), OpTimeout: Span(g.GiveUp), Revenue: g.Worth, LateShare: g.LateValue,
-			Repeat: control.OnceOnly, Group: control.GroupPack, DedupWindow: Span(g.MemorySpan),
+			TargetLatency: Milliseconds(g.SLO), OpTimeout: Milliseconds(g.GiveUp), Revenue: g.Worth, LateShare: g.LateValue,
+			Repeat: control.OnceOnly, Group: control.GroupPack, DedupWindow: Milliseconds(g.MemorySpan),
 			OwnZoneOnly: i < len(x.ZoneBound) && x.ZoneBound[i], Writes: i < len(x.Mutating) && x.Mutating[i],
 		}
 		switch g.Effect {
