--- a/pilot/moves.go
+++ b/pilot/moves.go
@@ -210,7 +210,7 @@
 
 // keep takes in a step. While the disk fails no more is held than the newest record of each tenant and the orders of the
 // sessions that there are.
-func (d *disk) keep(done tenancy.Done, orders []bound, there func(bound) bool) {
+func (d *disk) keep(done tenancy.StepResult, orders []bound, there func(bound) bool) {
 	d.mu.Lock()
 	for _, r := range done.Records {
 		d.next[r.Tenant] = r
@@ -254,7 +254,7 @@
 		case <-d.wake:
 		}
 		d.mu.Lock()
-		next, limits, orders := tenancy.Done{Records: slices.Collect(maps.Values(d.next)), Known: d.known}, d.limit, d.bound
+		next, limits, orders := tenancy.StepResult{Records: slices.Collect(maps.Values(d.next)), Known: d.known}, d.limit, d.bound
 		d.next, d.known, d.limit, d.bound = map[string]tenancy.Record{}, nil, nil, nil
 		d.mu.Unlock()
 		for {
--- a/tenancy/move.go
+++ b/tenancy/move.go
@@ -91,9 +91,9 @@
 	Waits  bool      `json:"waits,omitempty"` // once all hold and nothing is in hand, open only when told to
 }
 
-// Done is what one step asks for: records to be kept first, then orders to be sent, and when to step again at the latest
+// StepResult is what one step asks for: records to be kept first, then orders to be sent, and when to step again at the latest
 // (below 0: only when something happens).
-type Done struct {
+type StepResult struct {
 	Records []Record
 	Known   []ProxyID // not nil: keep this in place of the proxies kept before, with the records
 	Orders  []BindingUpdate
@@ -127,7 +127,7 @@
 	moving  map[string]*tenant
 	queue   []*tenant        // those asked for, in turn
 	proxies map[ProxyID]bool // known; true: joined
-	done    Done
+	done    StepResult
 	touched map[string]bool
 }
 
@@ -230,8 +230,8 @@
 }
 
 // Step takes what happened at a moment, in order, and returns what is to be done.
-func (m *Mover) Step(now time.Duration, events ...Event) Done {
-	m.now, m.done, m.touched = now, Done{Wake: -1}, map[string]bool{}
+func (m *Mover) Step(now time.Duration, events ...Event) StepResult {
+	m.now, m.done, m.touched = now, StepResult{Wake: -1}, map[string]bool{}
 	for _, e := range events {
 		switch {
 		case e.Joined != nil:
--- a/tenancy/move_test.go
+++ b/tenancy/move_test.go
@@ -332,7 +332,7 @@
 }
 
 // confirmAll has all proxies but some confirm what they are told, at once.
-func confirmAll(m *Mover, now time.Duration, d Done, but ...ProxyID) (out Done) {
+func confirmAll(m *Mover, now time.Duration, d StepResult, but ...ProxyID) (out StepResult) {
 	out = d
 	for len(d.Orders) > 0 {
 		var events []Event
--- a/tenancy/store/store.go
+++ b/tenancy/store/store.go
@@ -177,7 +177,7 @@
 
 // Keep writes what a step of the Mover hands out, all of it or, on an error, nothing.
 // Limits that stand take the place of those kept before where they are not nil.
-func (s *Store) Keep(d tenancy.Done, limits []tenancy.Sentence) (err error) {
+func (s *Store) Keep(d tenancy.StepResult, limits []tenancy.Sentence) (err error) {
 	defer s.guard(&err)()
 	if len(d.Records) == 0 && d.Known == nil && limits == nil {
 		return nil
