--- a/control/control.go
+++ b/control/control.go
@@ -303,7 +303,7 @@
 		Table   TableID
 		OpTypes uint16
 		Level   float64
-		Again   Again
+		Retry   Again
 		Why     Why
 	}
 	Suspend struct {
