--- a/cmd/vetchdoor/soak_test.go
+++ b/cmd/vetchdoor/soak_test.go
@@ -160,7 +160,7 @@
 // checkChannels looks at the queue of each pilot that answers (rule 5), whatever is going on.
 func (s *soak) checkChannels() {
 	for _, p := range s.pilots {
-		info, err := session.Ask("unix:"+filepath.Join(s.dir, p.name+".sock"), "show info", time.Second)
+		info, err := session.Query("unix:"+filepath.Join(s.dir, p.name+".sock"), "show info", time.Second)
 		if err != nil {
 			continue // it is not there just now
 		}
--- a/cmd/vetchdoor/tools.go
+++ b/cmd/vetchdoor/tools.go
@@ -21,7 +21,7 @@
 		Short: "sends a command to the socket of a pilot or proxy (unix:PATH or HOST:PORT) and prints the reply",
 		Args:  cobra.MinimumNArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			reply, err := session.Ask(args[0], strings.Join(args[1:], " "), timeout)
+			reply, err := session.Query(args[0], strings.Join(args[1:], " "), timeout)
 			fmt.Fprint(cmd.OutOrStdout(), reply)
 			if err != nil {
 				return fmt.Errorf("%s: %w", args[0], err)
--- a/lab/tenants.go
+++ b/lab/tenants.go
@@ -160,7 +160,7 @@
 					continue
 				}
 				f.movesRequested.Add(1)
-				if reply, err := session.Ask(running.AdminAddress(), line, 5*time.Second); err != nil || strings.TrimSpace(reply) != "" {
+				if reply, err := session.Query(running.AdminAddress(), line, 5*time.Second); err != nil || strings.TrimSpace(reply) != "" {
 					f.movesRefused.Add(1)
 					f.log.Warn("tenant move refused or failed", "command", line, "reply", reply, "error", err)
 				}
--- a/pilot/fleet_test.go
+++ b/pilot/fleet_test.go
@@ -79,7 +79,7 @@
 }
 
 func (x *pair) info(i int, want string) bool {
-	s, err := sessions.Ask(x.pilots[i].AdminAddress(), "show info", 10*time.Second)
+	s, err := sessions.Query(x.pilots[i].AdminAddress(), "show info", 10*time.Second)
 	return err == nil && strings.Contains(s, want)
 }
 
--- a/pilot/pilot_test.go
+++ b/pilot/pilot_test.go
@@ -309,7 +309,7 @@
 }
 
 func (r *rig) ask(cmd string) string {
-	s, err := sessions.Ask(r.p.AdminAddress(), cmd, 10*time.Second)
+	s, err := sessions.Query(r.p.AdminAddress(), cmd, 10*time.Second)
 	if err != nil {
 		r.t.Fatal(err)
 	}
--- a/proxy/admin_test.go
+++ b/proxy/admin_test.go
@@ -18,7 +18,7 @@
 		{"set server */e1 state drain", ""}, {"show stat", "e1,DRAIN"}, {"set server */e1 state ready", ""}, {"show stat", "e1,UP"},
 		{"set server t0/e1 weight 3", "weights are the pilot's"}, {"set server", "ends too early"}, {"open sesame", "Unknown command"},
 		{strings.Repeat("x ", 70), "more than 64 words"}, {strings.Repeat("x", 20000), "past its bounds"}} {
-		got, err := session.Ask(p.admin.Address(), c[0], 20*time.Second)
+		got, err := session.Query(p.admin.Address(), c[0], 20*time.Second)
 		if err != nil || !strings.Contains(got, c[1]) || c[1] == "" && strings.TrimSpace(got) != "" {
 			t.Errorf("%.40s: %q %v", c[0], got, err)
 		}
--- a/session/session.go
+++ b/session/session.go
@@ -188,8 +188,8 @@
 	return best.Do(w, cmd)
 }
 
-// Ask sends commands to a listener and returns the replies.
-func Ask(address, line string, timeout time.Duration) (string, error) {
+// Query sends commands to a listener and returns the replies.
+func Query(address, line string, timeout time.Duration) (string, error) {
 	network, at := "tcp", address
 	if path, ok := strings.CutPrefix(address, "unix:"); ok {
 		network, at = "unix", path
