--- a/pilot/moves.go
+++ b/pilot/moves.go
@@ -99,9 +99,9 @@
 	if d.Wake >= 0 {
 		m.wake.Reset(d.Wake)
 	}
-	if len(d.Records) > 0 || d.Known != nil || len(d.Orders) > 0 {
-		orders := make([]bound, 0, len(d.Orders))
-		for _, o := range d.Orders {
+	if len(d.Records) > 0 || d.Known != nil || len(d.Updates) > 0 {
+		orders := make([]bound, 0, len(d.Updates))
+		for _, o := range d.Updates {
 			if s := p.sessions[control.ProxyID(o.Proxy)]; s != nil {
 				orders = append(orders, bound{o, s})
 			}
--- a/tenancy/move.go
+++ b/tenancy/move.go
@@ -96,7 +96,7 @@
 type StepResult struct {
 	Records []Record
 	Known   []ProxyID // not nil: keep this in place of the proxies kept before, with the records
-	Orders  []BindingUpdate
+	Updates []BindingUpdate
 	Refused []error
 	Ended   []End
 	Wake    time.Duration
@@ -276,7 +276,7 @@
 		}
 	}
 	if j.Has == 0 { // what others told it, or this pilot before it lost its store, is over
-		m.done.Orders = append(m.done.Orders, BindingUpdate{Proxy: j.Proxy, Number: m.born, Clear: true})
+		m.done.Updates = append(m.done.Updates, BindingUpdate{Proxy: j.Proxy, Number: m.born, Clear: true})
 	}
 }
 
@@ -402,7 +402,7 @@
 // order tells one proxy how the tenant stands, if it can be told.
 func (m *Mover) order(t *tenant, p ProxyID) {
 	if m.proxies[p] && t.Number > 0 {
-		m.done.Orders = append(m.done.Orders, BindingUpdate{Proxy: p, Tenant: t.Tenant, Number: t.Number, Placement: t.Placement.clone(), Held: t.Phase != Settled})
+		m.done.Updates = append(m.done.Updates, BindingUpdate{Proxy: p, Tenant: t.Tenant, Number: t.Number, Placement: t.Placement.clone(), Held: t.Phase != Settled})
 	}
 }
 
--- a/tenancy/move_test.go
+++ b/tenancy/move_test.go
@@ -64,7 +64,7 @@
 			w.moved++
 		}
 	}
-	for _, o := range d.Orders {
+	for _, o := range d.Updates {
 		if p := w.proxies[o.Proxy]; p.joined {
 			p.orders = append(p.orders, o)
 		}
@@ -334,9 +334,9 @@
 // confirmAll has all proxies but some confirm what they are told, at once.
 func confirmAll(m *Mover, now time.Duration, d StepResult, but ...ProxyID) (out StepResult) {
 	out = d
-	for len(d.Orders) > 0 {
+	for len(d.Updates) > 0 {
 		var events []Event
-		for _, o := range d.Orders {
+		for _, o := range d.Updates {
 			if !o.Clear && !slices.Contains(but, o.Proxy) {
 				events = append(events, Event{Confirmed: &Confirm{o.Proxy, o.Tenant, o.Number}})
 			}
@@ -353,7 +353,7 @@
 	m := NewMover(MoveLimits{Write: tick, Window: tick, Most: 10 * tick, Abreast: 2}, 1000, nil, nil)
 	now := time.Duration(0)
 	d := m.Step(now, Event{Joined: &Joined{Proxy: 1}}, Event{Joined: &Joined{Proxy: 2}})
-	if len(d.Orders) != 2 || !d.Orders[0].Clear || !slices.Equal(d.Known, []ProxyID{1, 2}) {
+	if len(d.Updates) != 2 || !d.Updates[0].Clear || !slices.Equal(d.Known, []ProxyID{1, 2}) {
 		t.Fatalf("%+v", d)
 	}
 	ask := func(name string, draw uint32) Event {
@@ -370,7 +370,7 @@
 		}
 	}
 	d = m.Step(now, ask("a", 1), ask("", 1), ask("\x00\xff \n", 1))
-	if moving, waiting := m.Moving(now); len(moving) != 2 || waiting != 1 || len(d.Orders) != 4 || len(d.Records) != 3 {
+	if moving, waiting := m.Moving(now); len(moving) != 2 || waiting != 1 || len(d.Updates) != 4 || len(d.Records) != 3 {
 		t.Fatalf("%v %d, %+v", moving, waiting, d)
 	}
 	confirmAll(m, now, d, 2)
@@ -399,15 +399,15 @@
 		t.Errorf("%+v", moving)
 	}
 	name := "a"
-	if d = m.Step(now, Event{Open: &name}); len(d.Ended) != 1 || !d.Ended[0].Moved || !slices.Equal(d.Orders[0].Placement.Pods, []PodID{3}) || d.Orders[0].Held {
+	if d = m.Step(now, Event{Open: &name}); len(d.Ended) != 1 || !d.Ended[0].Moved || !slices.Equal(d.Updates[0].Placement.Pods, []PodID{3}) || d.Updates[0].Held {
 		t.Errorf("%+v", d)
 	}
 	// A proxy that comes back is told what it has not been told, and no more.
-	if d = m.Step(now, Event{Joined: &Joined{Proxy: 2, Has: d.Orders[0].Number - 1}}); len(d.Orders) != 1 || d.Orders[0].Tenant != "a" {
-		t.Errorf("%+v", d.Orders)
+	if d = m.Step(now, Event{Joined: &Joined{Proxy: 2, Has: d.Updates[0].Number - 1}}); len(d.Updates) != 1 || d.Updates[0].Tenant != "a" {
+		t.Errorf("%+v", d.Updates)
 	}
-	if d = m.Step(now, Event{Joined: &Joined{Proxy: 2, Has: 1 << 60}}); len(d.Orders) != 4 || !d.Orders[3].Clear {
-		t.Errorf("%+v", d.Orders)
+	if d = m.Step(now, Event{Joined: &Joined{Proxy: 2, Has: 1 << 60}}); len(d.Updates) != 4 || !d.Updates[3].Clear {
+		t.Errorf("%+v", d.Updates)
 	}
 }
 
--- a/tenancy/store/store_test.go
+++ b/tenancy/store/store_test.go
@@ -128,7 +128,7 @@
 		}
 	}
 	d := m.Step(1, tenancy.Event{MoveRequest: &tenancy.MoveRequest{Tenant: "a", To: tenancy.Placement{Draw: 1}}})
-	if err := s.Keep(d, nil); err != nil || len(d.Orders) != 3 {
+	if err := s.Keep(d, nil); err != nil || len(d.Updates) != 3 {
 		t.Fatal(err, d)
 	}
 	kept, err := s.Load()
