--- a/control/control.go
+++ b/control/control.go
@@ -57,14 +57,14 @@
 	LevelRate
 )
 
-// Again is when a proxy tries an op at another endpoint.
-type Again int
+// RetryPolicy is when a proxy tries an op at another endpoint.
+type RetryPolicy int
 
 const (
-	Never     Again = iota
-	IfUnrun         // once, after proof that the first try never ran
-	OnceMore        // once after any failure
-	TwiceMore       // twice after any failure
+	Never     RetryPolicy = iota
+	IfUnrun               // once, after proof that the first try never ran
+	OnceMore              // once after any failure
+	TwiceMore             // twice after any failure
 )
 
 // Measure is one value of a load report.
@@ -303,7 +303,7 @@
 		Table   TableID
 		OpTypes uint16
 		Level   float64
-		Retry   Again
+		Retry   RetryPolicy
 		Why     Why
 	}
 	Suspend struct {
--- a/files/files.go
+++ b/files/files.go
@@ -302,7 +302,7 @@
 		"once-only": control.OnceOnly}
 	groups = map[string]control.Group{"": control.GroupAll, "all": control.GroupAll, "zone": control.GroupZone,
 		"pack": control.GroupPack}
-	agains = map[string]control.Again{"": control.Never, "never": control.Never, "if-unrun": control.IfUnrun,
+	agains = map[string]control.RetryPolicy{"": control.Never, "never": control.Never, "if-unrun": control.IfUnrun,
 		"once": control.OnceMore, "twice": control.TwiceMore}
 	measures = map[string]control.Measure{"cpu_utilization": control.Util, "inflight": control.Inflight,
 		"queue": control.Queue, "latency_ms": control.Latency, "rps_fractional": control.Rate, "eps": control.ErrorRate}
@@ -320,7 +320,7 @@
 }
 
 // Again returns how tries are repeated where no level says.
-func (s *Service) Again() control.Again { return agains[s.UsualAgain] }
+func (s *Service) Again() control.RetryPolicy { return agains[s.UsualAgain] }
 
 // Facts are what the pilot's module is told at its start.
 func (p *Pilot) Facts() control.Facts {
--- a/proxy/again.go
+++ b/proxy/again.go
@@ -31,7 +31,7 @@
 }
 
 // most tries that an order allows, the first among them.
-func most(again control.Again) int {
+func most(again control.RetryPolicy) int {
 	switch again {
 	case control.IfUnrun, control.OnceMore:
 		return 2
@@ -42,7 +42,7 @@
 }
 
 // may tells whether another try may follow the ones made, by the order given, at any server at all.
-func (t *tries) may(again control.Again) bool {
+func (t *tries) may(again control.RetryPolicy) bool {
 	if t.made >= most(again) {
 		return false
 	}
--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -437,7 +437,7 @@
 // passOn hands an answer to the client, unless it is a refusal after which another try may follow. The server's connection is given
 // back before the client is written to, which may be slow to read.
 func (p *Proxy) passOn(c *serve.Conn, s *scratch, a *upstream.Response, e *server, took time.Duration, state *tries,
-	begin time.Time, again control.Again, deadline time.Time, head bool) bool {
+	begin time.Time, again control.RetryPolicy, deadline time.Time, head bool) bool {
 	good := a.Status < 500
 	e.met(good, took, p.load(a.Get(http1.LoadHeader)), p.file.Service.OutlierAfter, p.file.Service.OutlierFor.Span())
 	if !good {
--- a/proxy/proxy_test.go
+++ b/proxy/proxy_test.go
@@ -206,7 +206,7 @@
 		op    control.OpType
 		keyed bool
 		unrun bool // how the first try, at server 0, failed
-		again control.Again
+		again control.RetryPolicy
 		to    control.EndpointID
 		after time.Duration
 		want  bool
--- a/proxy/tables.go
+++ b/proxy/tables.go
@@ -86,7 +86,7 @@
 // level is how much of an op type is let in and how tries are repeated.
 type level struct {
 	share float64
-	again control.Again
+	again control.RetryPolicy
 }
 
 // tables is all that a proxy goes by, whole at any time: a message makes a new one, and an op keeps the one it began
@@ -347,7 +347,7 @@
 
 // level returns how much of an op type is let in and how its tries are repeated: the lower share holds, and the
 // table's own way of trying again where it has one.
-func (t *tables) level(opType int, usual control.Again) level {
+func (t *tables) level(opType int, usual control.RetryPolicy) level {
 	all, ok := t.levels[opType]
 	if !ok {
 		all = level{1, usual}
--- a/runtime/change.go
+++ b/runtime/change.go
@@ -36,7 +36,7 @@
 	Out      bool   // SetState
 	OpTypes  uint16 // a bit for each; 0: all
 	Level    float64
-	Again    control.Again
+	Again    control.RetryPolicy
 	Tenant   string
 	Rate     float64 // ops a second at this proxy; below 0: no limit
 	Tries    float64 // beyond the first, for each op
--- a/runtime/parse_change.go
+++ b/runtime/parse_change.go
@@ -109,11 +109,11 @@
 }
 
 // again reads when a try may be repeated.
-func (w *wordReader) again() control.Again {
+func (w *wordReader) again() control.RetryPolicy {
 	word := w.take()
 	for i, name := range agains {
 		if word == name {
-			return control.Again(i)
+			return control.RetryPolicy(i)
 		}
 	}
 	w.fail("%q is no way of trying again", word)
