--- a/lab/orders_test.go
+++ b/lab/orders_test.go
@@ -280,7 +280,7 @@
 // load starts a steady load of ops on all proxies for the given time.
 func (f *simFleet) load(span time.Duration) {
 	f.generator = &loadGenerator{day: f.day, ledger: f.ledger, types: f.day.Service.Types(), rng: rand.New(rand.NewPCG(1, 3)),
-		pool: &upstream.Pool{PerServer: 64, IdleClose: 5 * time.Second, Bounds: http1.DefaultBounds, Net: f.net}}
+		pool: &upstream.Pool{PerServer: 64, IdleTimeout: 5 * time.Second, Bounds: http1.DefaultBounds, Net: f.net}}
 	for i := range f.proxies {
 		f.generator.targets = append(f.generator.targets, fmt.Sprintf("10.0.1.%d:80", i+1))
 	}
--- a/lab/run.go
+++ b/lab/run.go
@@ -66,7 +66,7 @@
 	f.scheduleTroubles()
 	s := &loadGenerator{day: day, ledger: f.ledger, largeRequests: true, types: day.Service.Types(),
 		rng:  rand.New(rand.NewPCG(day.Seed, 3)),
-		pool: &upstream.Pool{PerServer: 4096, IdleClose: 5 * time.Second, Bounds: http1.DefaultBounds}}
+		pool: &upstream.Pool{PerServer: 4096, IdleTimeout: 5 * time.Second, Bounds: http1.DefaultBounds}}
 	defer s.pool.Close()
 	for _, instance := range f.proxies {
 		s.targets = append(s.targets, instance.address)
--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -104,7 +104,7 @@
 		}
 	}
 	pool := file.Pool
-	p.pool = &upstream.Pool{PerServer: pool.PerServer, IdleClose: pool.IdleClose.Span(),
+	p.pool = &upstream.Pool{PerServer: pool.PerServer, IdleTimeout: pool.IdleClose.Span(),
 		ConnectTimeout: pool.ConnectTimeout.Span()}
 	for i := range p.types {
 		p.types[i].rank = rank(types, i)
--- a/serve/serve_test.go
+++ b/serve/serve_test.go
@@ -199,7 +199,7 @@
 			ok(c, m)
 		}
 	}})
-	p := &upstream.Pool{PerServer: 2, IdleClose: 50 * time.Millisecond}
+	p := &upstream.Pool{PerServer: 2, IdleTimeout: 50 * time.Millisecond}
 	defer p.Close()
 	late := func(d time.Duration) time.Time { return time.Now().Add(d) }
 	req := func(path string) []byte { return fmt.Appendf(nil, "GET %s HTTP/1.1\r\nHost: h\r\n\r\n", path) }
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -33,7 +33,7 @@
 type Pool struct {
 	Bounds         http1.Bounds
 	PerServer      int           // connections to one server at most; 0: 256
-	IdleClose      time.Duration // 0: 15 seconds
+	IdleTimeout    time.Duration // 0: 15 seconds
 	ConnectTimeout time.Duration // 0: 250 milliseconds
 	Net            stream.Net    // nil: sockets
 
@@ -72,8 +72,8 @@
 	if p.PerServer <= 0 {
 		p.PerServer = 256
 	}
-	if p.IdleClose <= 0 {
-		p.IdleClose = 15 * time.Second
+	if p.IdleTimeout <= 0 {
+		p.IdleTimeout = 15 * time.Second
 	}
 	if p.ConnectTimeout <= 0 {
 		p.ConnectTimeout = 250 * time.Millisecond
@@ -322,7 +322,7 @@
 
 // sweep closes what stood idle too long.
 func (p *Pool) sweep() {
-	t := time.NewTicker(max(p.IdleClose/4, 10*time.Millisecond))
+	t := time.NewTicker(max(p.IdleTimeout/4, 10*time.Millisecond))
 	defer t.Stop()
 	for {
 		select {
@@ -333,7 +333,7 @@
 			for address, s := range p.servers {
 				kept := s.idle[:0]
 				for _, c := range s.idle {
-					if now.Sub(c.since) > p.IdleClose || !c.nc.IsActive() {
+					if now.Sub(c.since) > p.IdleTimeout || !c.nc.IsActive() {
 						p.drop(s, c)
 					} else {
 						kept = append(kept, c)
