--- a/pilot/admin.go
+++ b/pilot/admin.go
@@ -36,16 +36,16 @@
 		}
 	}
 	return slices.Concat(p.tenantCommands(inLoopOf), p.fleetCommands(inLoopOf), []sessions.Command{
-		{Words: "show info", Help: "what this pilot is and has done", Do: inLoop(p.showInfo)},
-		{Words: "show info typed", Help: "the same in the typed form", Do: inLoop(func(w io.Writer) {
+		{Prefix: "show info", Help: "what this pilot is and has done", Do: inLoop(p.showInfo)},
+		{Prefix: "show info typed", Help: "the same in the typed form", Do: inLoop(func(w io.Writer) {
 			var b strings.Builder
 			p.showInfo(&b)
 			sessions.Typed(w, b.String())
 		})},
-		{Words: "show stat", Help: "each server of each table, as CSV", Do: inLoop(p.showStat)},
-		{Words: "show servers state", Help: "the list of servers as this pilot has it", Do: inLoop(p.showServers)},
-		{Words: "show proxies", Help: "joined proxies, their tables, what they have not confirmed", Do: inLoop(p.showProxies)},
-		{Words: "show levels", Help: "how much of each op type is let in", Do: inLoop(p.showLevels)},
+		{Prefix: "show stat", Help: "each server of each table, as CSV", Do: inLoop(p.showStat)},
+		{Prefix: "show servers state", Help: "the list of servers as this pilot has it", Do: inLoop(p.showServers)},
+		{Prefix: "show proxies", Help: "joined proxies, their tables, what they have not confirmed", Do: inLoop(p.showProxies)},
+		{Prefix: "show levels", Help: "how much of each op type is let in", Do: inLoop(p.showLevels)},
 	})
 }
 
--- a/pilot/fleet.go
+++ b/pilot/fleet.go
@@ -107,10 +107,10 @@
 // fleetCommands are those of the socket for people that concern the other pilots.
 func (p *Pilot) fleetCommands(inLoop func(func(io.Writer, []string) error) func(io.Writer, runtime.Command) error) []sessions.Command {
 	return []sessions.Command{
-		{Words: "show fleet", Help: "the pilots that are heard of: what each tells of itself", Do: inLoop(p.showFleet)},
-		{Words: "show peers", Help: "where the gossip hears whom, and the beginnings of its keys", Do: inLoop(p.showPeers)},
-		{Words: "add key", Help: "B64: take what others write with it", Do: inLoop(p.keyCommand((*members.Members).AddKey))},
-		{Words: "use key", Help: "B64: write with it; all must have it", Do: inLoop(p.keyCommand((*members.Members).UseKey))},
-		{Words: "del key", Help: "B64: nobody may write with it any more", Do: inLoop(p.keyCommand((*members.Members).DropKey))},
+		{Prefix: "show fleet", Help: "the pilots that are heard of: what each tells of itself", Do: inLoop(p.showFleet)},
+		{Prefix: "show peers", Help: "where the gossip hears whom, and the beginnings of its keys", Do: inLoop(p.showPeers)},
+		{Prefix: "add key", Help: "B64: take what others write with it", Do: inLoop(p.keyCommand((*members.Members).AddKey))},
+		{Prefix: "use key", Help: "B64: write with it; all must have it", Do: inLoop(p.keyCommand((*members.Members).UseKey))},
+		{Prefix: "del key", Help: "B64: nobody may write with it any more", Do: inLoop(p.keyCommand((*members.Members).DropKey))},
 	}
 }
--- a/pilot/moves.go
+++ b/pilot/moves.go
@@ -309,13 +309,13 @@
 		}
 	}
 	return []sessions.Command{
-		{Words: "show tenant", Help: "[NAME]: tenants with a limit or a seat of their own, or all of one", Do: inLoop(p.showTenant)},
-		{Words: "set tenant", Help: "NAME subset home|draw N|size N|pods ZONE.PACK,...: move it there", Do: inLoop(p.setTenant)},
-		{Words: "move tenant", Help: "NAME [draw N|size N|pods ZONE.PACK,...] [wait]: move it, to a new draw where nothing is said", Do: inLoop(p.moveTenant)},
-		{Words: "show move", Help: "moves under way, what each waits for, and the last that ended", Do: inLoop(p.showMove)},
-		{Words: "cancel move", Help: "NAME: the move ends where it began", Do: inLoop(one(func(n string) tenancy.Event { return tenancy.Event{Cancel: &n} }))},
-		{Words: "open move", Help: "NAME: a move that waits to be told ends", Do: inLoop(one(func(n string) tenancy.Event { return tenancy.Event{Open: &n} }))},
-		{Words: "forget proxy", Help: "N: one that is gone for good; moves wait for it no longer", Do: inLoop(p.forgetProxy)},
+		{Prefix: "show tenant", Help: "[NAME]: tenants with a limit or a seat of their own, or all of one", Do: inLoop(p.showTenant)},
+		{Prefix: "set tenant", Help: "NAME subset home|draw N|size N|pods ZONE.PACK,...: move it there", Do: inLoop(p.setTenant)},
+		{Prefix: "move tenant", Help: "NAME [draw N|size N|pods ZONE.PACK,...] [wait]: move it, to a new draw where nothing is said", Do: inLoop(p.moveTenant)},
+		{Prefix: "show move", Help: "moves under way, what each waits for, and the last that ended", Do: inLoop(p.showMove)},
+		{Prefix: "cancel move", Help: "NAME: the move ends where it began", Do: inLoop(one(func(n string) tenancy.Event { return tenancy.Event{Cancel: &n} }))},
+		{Prefix: "open move", Help: "NAME: a move that waits to be told ends", Do: inLoop(one(func(n string) tenancy.Event { return tenancy.Event{Open: &n} }))},
+		{Prefix: "forget proxy", Help: "N: one that is gone for good; moves wait for it no longer", Do: inLoop(p.forgetProxy)},
 	}
 }
 
--- a/proxy/admin.go
+++ b/proxy/admin.go
@@ -16,17 +16,17 @@
 // commands are those of the socket for people.
 func (p *Proxy) commands() []session.Command {
 	return []session.Command{
-		{Words: "show tenant", Help: "[NAME]: tenants with a limit or a binding, as this proxy has them", Do: p.showTenant},
-		{Words: "show info", Help: "what this proxy is and has done", Do: p.showInfo},
-		{Words: "show info typed", Help: "the same in the typed form", Do: func(w io.Writer, _ runtime.Command) error {
+		{Prefix: "show tenant", Help: "[NAME]: tenants with a limit or a binding, as this proxy has them", Do: p.showTenant},
+		{Prefix: "show info", Help: "what this proxy is and has done", Do: p.showInfo},
+		{Prefix: "show info typed", Help: "the same in the typed form", Do: func(w io.Writer, _ runtime.Command) error {
 			session.Typed(w, p.Info())
 			return nil
 		}},
-		{Words: "show stat", Help: "each server of each table, as CSV", Do: p.showStat},
-		{Words: "show servers state", Help: "servers with their weights and states", Do: p.showServers},
-		{Words: "show map", Help: "op types and the tables that they go by", Do: p.showMap},
-		{Words: "show levels", Help: "how much of each op type is let in", Do: p.showLevels},
-		{Words: "set server", Help: "*/eN state drain|ready: by hand, until the pilot says otherwise", Do: p.setServer},
+		{Prefix: "show stat", Help: "each server of each table, as CSV", Do: p.showStat},
+		{Prefix: "show servers state", Help: "servers with their weights and states", Do: p.showServers},
+		{Prefix: "show map", Help: "op types and the tables that they go by", Do: p.showMap},
+		{Prefix: "show levels", Help: "how much of each op type is let in", Do: p.showLevels},
+		{Prefix: "set server", Help: "*/eN state drain|ready: by hand, until the pilot says otherwise", Do: p.setServer},
 	}
 }
 
--- a/session/session.go
+++ b/session/session.go
@@ -20,9 +20,9 @@
 
 // Command is a command that a program answers.
 type Command struct {
-	Words string // that it begins with
-	Help  string
-	Do    func(w io.Writer, c runtime.Command) error
+	Prefix string // that it begins with
+	Help   string
+	Do     func(w io.Writer, c runtime.Command) error
 }
 
 // Listener serves sessions.
@@ -56,7 +56,7 @@
 // listen does so over a net; nil: sockets.
 func listen(over stream.Net, address, banner string, commands []Command) (*Listener, error) {
 	l := &Listener{banner: banner, commands: slices.Clone(commands)}
-	slices.SortFunc(l.commands, func(a, b Command) int { return strings.Compare(a.Words, b.Words) })
+	slices.SortFunc(l.commands, func(a, b Command) int { return strings.Compare(a.Prefix, b.Prefix) })
 	var err error
 	l.ln, err = stream.Listen(over, address, func(c *stream.Conn) stream.Handler {
 		if l.open.Add(1) > mostSessions {
@@ -158,7 +158,7 @@
 func (l *Listener) help(w io.Writer) {
 	fmt.Fprintf(w, "%s; the commands are:\n", l.banner)
 	for _, c := range l.commands {
-		fmt.Fprintf(w, "  %-28s: %s\n", c.Words, c.Help)
+		fmt.Fprintf(w, "  %-28s: %s\n", c.Prefix, c.Help)
 	}
 	for _, c := range [][2]string{{"help", "this text"}, {"prompt", "toggles the interactive mode"}, {"quit", "ends the session"}} {
 		fmt.Fprintf(w, "  %-28s: %s\n", c[0], c[1])
@@ -178,7 +178,7 @@
 	var best *Command
 	for i := range l.commands {
 		c := &l.commands[i]
-		if cmd.Is(strings.Fields(c.Words)...) && (best == nil || len(c.Words) > len(best.Words)) {
+		if cmd.Is(strings.Fields(c.Prefix)...) && (best == nil || len(c.Prefix) > len(best.Prefix)) {
 			best = c
 		}
 	}
