--- a/proxy/admin.go
+++ b/proxy/admin.go
@@ -57,7 +57,7 @@
 		int(time.Since(p.started).Seconds()))
 	fmt.Fprintf(w, "Pilot: %s\nRun: %d\nMessage: %d\nJoined: %t\n", t.pilot, t.run, t.number, p.orders.joined())
 	fmt.Fprintf(w, "Ops: %d\nAcked: %d\nRejected: %d\nAborted: %d\nRetried: %d\nConnections: %d\nApplied: %d\nApplied_again: %d\n", p.tally.ops.Load(),
-		p.tally.acked.Load(), p.tally.rejected.Load(), p.tally.aborted.Load(), p.tally.retried.Load(), p.pool.Open(),
+		p.tally.acked.Load(), p.tally.rejected.Load(), p.tally.aborted.Load(), p.tally.retried.Load(), p.pool.OpenConnections(),
 		p.tally.applied.Load(), p.tally.again.Load())
 	if p.More != nil {
 		p.More(w)
--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -616,7 +616,7 @@
 }
 
 // Connections is how many it has open to servers.
-func (p *Proxy) Connections() int64 { return p.pool.Open() }
+func (p *Proxy) Connections() int64 { return p.pool.OpenConnections() }
 
 // Opened is how many it has opened to servers so far.
 func (p *Proxy) Opened() int64 { return p.pool.Opened.Load() }
--- a/serve/serve_test.go
+++ b/serve/serve_test.go
@@ -242,11 +242,11 @@
 			t.Errorf("given up: %+v", f)
 		}
 	}
-	for end := late(20 * time.Second); (gone.Load() < 2 || p.Open() > 0) && time.Now().Before(end); {
+	for end := late(20 * time.Second); (gone.Load() < 2 || p.OpenConnections() > 0) && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
-	if gone.Load() < 2 || p.Open() != 0 {
-		t.Errorf("%d servers learnt of it, %d connections are left", gone.Load(), p.Open())
+	if gone.Load() < 2 || p.OpenConnections() != 0 {
+		t.Errorf("%d servers learnt of it, %d connections are left", gone.Load(), p.OpenConnections())
 	}
 	close(hang)
 }
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -61,8 +61,8 @@
 // errFull says that all connections to a server are in use.
 var errFull = errors.New("upstream: all connections in use")
 
-// Open is how many connections are open now.
-func (p *Pool) Open() int64 { return p.open.Load() }
+// OpenConnections is how many connections are open now.
+func (p *Pool) OpenConnections() int64 { return p.open.Load() }
 
 func (p *Pool) init() {
 	if p.servers != nil {
