--- a/pilot/moves.go
+++ b/pilot/moves.go
@@ -26,9 +26,9 @@
 	wake    *time.Timer
 	sending []*session // that have orders to be sent, in turn
 	moved   uint64
-	undone  uint64             // cancelled
-	last    []tenancy.End      // the newest ends, for people
-	kept    []tenancy.Sentence // limits that stood when the last run ended
+	undone  uint64               // cancelled
+	last    []tenancy.MoveResult // the newest ends, for people
+	kept    []tenancy.Sentence   // limits that stood when the last run ended
 }
 
 // bound is an order for one session of a proxy.
--- a/pilot/records.go
+++ b/pilot/records.go
@@ -306,7 +306,7 @@
 	})
 }
 
-func (r *recorder) moved(e tenancy.End) {
+func (r *recorder) moved(e tenancy.MoveResult) {
 	reason := control.Reason("cancelled")
 	if e.Moved {
 		reason = "moved"
--- a/tenancy/move.go
+++ b/tenancy/move.go
@@ -98,12 +98,12 @@
 	Known   []ProxyID // not nil: keep this in place of the proxies kept before, with the records
 	Updates []BindingUpdate
 	Refused []error
-	Ended   []End
+	Ended   []MoveResult
 	Wake    time.Duration
 }
 
-// End says how a move ended and how long writes were held for it.
-type End struct {
+// MoveResult says how a move ended and how long writes were held for it.
+type MoveResult struct {
 	Tenant string
 	Moved  bool // else it was cancelled
 	Held   time.Duration
@@ -383,7 +383,7 @@
 // settle ends a move, at the new seat or the old one. All hold by then or still let go at the old one alone, so each
 // proxy may open as it hears of it; one that does not hear goes on as it was.
 func (m *Mover) settle(t *tenant, at Placement) {
-	m.done.Ended = append(m.done.Ended, End{t.Tenant, !at.Equal(t.Placement), m.now - t.held})
+	m.done.Ended = append(m.done.Ended, MoveResult{t.Tenant, !at.Equal(t.Placement), m.now - t.held})
 	t.Phase, t.Placement, t.To, t.Waits, t.awaited = Settled, at, Placement{}, false, nil
 	delete(m.moving, t.Tenant)
 	m.tell(t)
