--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -619,4 +619,4 @@
 func (p *Proxy) Connections() int64 { return p.pool.OpenConnections() }
 
 // Opened is how many it has opened to servers so far.
-func (p *Proxy) Opened() int64 { return p.pool.Opened.Load() }
+func (p *Proxy) Opened() int64 { return p.pool.TotalOpened.Load() }
--- a/serve/serve_test.go
+++ b/serve/serve_test.go
@@ -210,8 +210,8 @@
 		}
 		a.Release()
 	}
-	if p.Opened.Load() != 1 {
-		t.Errorf("%d connections for ops one after another", p.Opened.Load())
+	if p.TotalOpened.Load() != 1 {
+		t.Errorf("%d connections for ops one after another", p.TotalOpened.Load())
 	}
 	if _, f := p.Send(&upstream.Call{}, s.Address(), req("/drop"), late(20*time.Second), false); f == nil || f.NotSent || f.Timeout {
 		t.Errorf("cut off: %+v", f)
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -37,12 +37,12 @@
 	ConnectTimeout time.Duration // 0: 250 milliseconds
 	Net            stream.Net    // nil: sockets
 
-	mu      sync.Mutex
-	servers map[string]*server
-	closed  bool
-	stop    chan struct{}
-	Opened  atomic.Int64 // connections opened so far
-	open    atomic.Int64
+	mu          sync.Mutex
+	servers     map[string]*server
+	closed      bool
+	stop        chan struct{}
+	TotalOpened atomic.Int64 // connections opened so far
+	open        atomic.Int64
 }
 
 type server struct {
@@ -284,7 +284,7 @@
 		p.mu.Unlock()
 		return nil, &Failure{NotSent: true, Err: fmt.Errorf("dial %s: %w", address, err)}
 	}
-	p.Opened.Add(1)
+	p.TotalOpened.Add(1)
 	p.open.Add(1)
 	return &conn{nc: nc, server: address, parser: http1.Responses(p.Bounds)}, nil
 }
