--- a/control/control.go
+++ b/control/control.go
@@ -63,7 +63,7 @@
 const (
 	Never     RetryPolicy = iota
 	IfUnrun               // once, after proof that the first try never ran
-	OnceMore              // once after any failure
+	RetryOnce             // once after any failure
 	TwiceMore             // twice after any failure
 )
 
--- a/files/files.go
+++ b/files/files.go
@@ -303,7 +303,7 @@
 	groups = map[string]control.Group{"": control.GroupAll, "all": control.GroupAll, "zone": control.GroupZone,
 		"pack": control.GroupPack}
 	agains = map[string]control.RetryPolicy{"": control.Never, "never": control.Never, "if-unrun": control.IfUnrun,
-		"once": control.OnceMore, "twice": control.TwiceMore}
+		"once": control.RetryOnce, "twice": control.TwiceMore}
 	measures = map[string]control.Measure{"cpu_utilization": control.Util, "inflight": control.Inflight,
 		"queue": control.Queue, "latency_ms": control.Latency, "rps_fractional": control.Rate, "eps": control.ErrorRate}
 )
--- a/proxy/again.go
+++ b/proxy/again.go
@@ -33,7 +33,7 @@
 // most tries that an order allows, the first among them.
 func most(again control.RetryPolicy) int {
 	switch again {
-	case control.IfUnrun, control.OnceMore:
+	case control.IfUnrun, control.RetryOnce:
 		return 2
 	case control.TwiceMore:
 		return 3
--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -352,7 +352,7 @@
 		}
 		state.sent()
 		until := deadline
-		if l.again >= control.OnceMore && state.made < most(l.again) && p.file.Service.TryShare > 0 {
+		if l.again >= control.RetryOnce && state.made < most(l.again) && p.file.Service.TryShare > 0 {
 			if short := begin.Add(time.Duration(p.file.Service.TryShare * float64(t.TargetLatency))); short.Before(until) {
 				until = short
 			}
--- a/proxy/proxy_test.go
+++ b/proxy/proxy_test.go
@@ -146,7 +146,7 @@
 			t.Errorf("%q was applied", bad)
 		}
 	}
-	if len(x.byType[0].lines) != 1 || x.byType[1] != x.standing || x.level(0, 0) != (level{0.5, control.OnceMore}) ||
+	if len(x.byType[0].lines) != 1 || x.byType[1] != x.standing || x.level(0, 0) != (level{0.5, control.RetryOnce}) ||
 		x.level(1, 0) != (level{0.5, control.IfUnrun}) {
 		t.Fatalf("%+v %+v", x.level(0, 0), x.level(1, 0))
 	}
@@ -216,13 +216,13 @@
 		{"unrun, by a wider order", once, false, true, control.TwiceMore, 1, 0, true},
 		{"may have run", once, true, false, control.TwiceMore, 1, 0, false},
 		{"retryable, only if unrun", free, false, false, control.IfUnrun, 1, 0, false},
-		{"retryable", free, false, false, control.OnceMore, 1, time.Hour, true},
-		{"in its group", dedup, true, false, control.OnceMore, 2, 0, true},
-		{"without a key", dedup, false, false, control.OnceMore, 2, 0, false},
-		{"outside its group", dedup, true, false, control.OnceMore, 1, 0, false},
-		{"after its window", dedup, true, false, control.OnceMore, 2, 900 * time.Millisecond, false},
-		{"unrun leaves the group", dedup, true, true, control.OnceMore, 1, time.Hour, true},
-		{"another pack", pack, true, false, control.OnceMore, 2, 0, false},
+		{"retryable", free, false, false, control.RetryOnce, 1, time.Hour, true},
+		{"in its group", dedup, true, false, control.RetryOnce, 2, 0, true},
+		{"without a key", dedup, false, false, control.RetryOnce, 2, 0, false},
+		{"outside its group", dedup, true, false, control.RetryOnce, 1, 0, false},
+		{"after its window", dedup, true, false, control.RetryOnce, 2, 900 * time.Millisecond, false},
+		{"unrun leaves the group", dedup, true, true, control.RetryOnce, 1, time.Hour, true},
+		{"another pack", pack, true, false, control.RetryOnce, 2, 0, false},
 	} {
 		x := tries{opType: c.op, keyed: c.keyed}
 		x.sent()
@@ -235,7 +235,7 @@
 	for i := range 3 {
 		x.sent()
 		x.failedAt(s.byID[0], t0, false)
-		if x.may(control.TwiceMore) != (i < 2) || i > 0 && x.may(control.OnceMore) {
+		if x.may(control.TwiceMore) != (i < 2) || i > 0 && x.may(control.RetryOnce) {
 			t.Errorf("after %d tries", i+1)
 		}
 	}
--- a/runtime/change.go
+++ b/runtime/change.go
@@ -56,7 +56,7 @@
 	Pack    int
 }
 
-var agains = [...]string{control.Never: "never", control.IfUnrun: "if-unrun", control.OnceMore: "once",
+var agains = [...]string{control.Never: "never", control.IfUnrun: "if-unrun", control.RetryOnce: "once",
 	control.TwiceMore: "twice"}
 
 // LimitOf is the change that says a tenant's limit.
