--- a/lab/check_test.go
+++ b/lab/check_test.go
@@ -244,7 +244,7 @@
 			o := Options{Log: slog.New(slog.DiscardHandler)}
 			if faulty {
 				o.wrapProxy = func(f *files.Proxy, p *proxy.Proxy) {
-					p.ApplyFor = func(m *runtime.Message) time.Duration {
+					p.ApplyDelay = func(m *runtime.Message) time.Duration {
 						kept := m.Changes[:0]
 						for _, c := range m.Changes {
 							if !c.Out && c.Verb != runtime.DelServer {
--- a/lab/fleet.go
+++ b/lab/fleet.go
@@ -334,7 +334,7 @@
 	if err != nil {
 		return err
 	}
-	p.ApplyFor = func(m *runtime.Message) time.Duration { return time.Duration(m.Lines) * 40 * time.Microsecond }
+	p.ApplyDelay = func(m *runtime.Message) time.Duration { return time.Duration(m.Lines) * 40 * time.Microsecond }
 	if f.wrapProxy != nil {
 		f.wrapProxy(&file, p)
 	}
--- a/pilot/pilot_test.go
+++ b/pilot/pilot_test.go
@@ -232,7 +232,7 @@
 	t.Helper()
 	x, err := proxy.New(f, slog.New(slog.DiscardHandler))
 	if err == nil {
-		x.ApplyFor = stall
+		x.ApplyDelay = stall
 		err = x.Start()
 	}
 	if err != nil {
--- a/proxy/apply_queued.go
+++ b/proxy/apply_queued.go
@@ -33,7 +33,7 @@
 
 // stall waits as long as a rehearsal has the proxy wait before it applies a message; false if the stream ended meanwhile.
 func (s *pilotStream) stall(m *runtime.Message) bool {
-	applyFor := s.orders.proxy.ApplyFor
+	applyFor := s.orders.proxy.ApplyDelay
 	if applyFor == nil {
 		return true
 	}
--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -61,8 +61,8 @@
 	// Net, if not nil at Start, is what connections to clients, servers and pilots run over; else sockets.
 	Net stream.Net
 
-	// ApplyFor, if not nil, is how long a message stalls the proxy before it applies; a rehearsal's way of a slow one.
-	ApplyFor func(m *runtime.Message) time.Duration
+	// ApplyDelay, if not nil, is how long a message stalls the proxy before it applies; a rehearsal's way of a slow one.
+	ApplyDelay func(m *runtime.Message) time.Duration
 }
 
 // tally counts since the start, for people.
