--- a/tenancy/move.go
+++ b/tenancy/move.go
@@ -179,8 +179,8 @@
 	return clone(t.Record), true
 }
 
-// Standing is a tenant's record with what is awaited of its move.
-type Standing struct {
+// MoveStatus is a tenant's record with what is awaited of its move.
+type MoveStatus struct {
 	Record
 	Held, Left time.Duration // how long it has been held, and how long at the most until the move ends or is cancelled
 	Awaited    []ProxyID     // that have not confirmed that they hold
@@ -188,10 +188,10 @@
 }
 
 // Moving returns the moves under way, by tenant, and how many wait for their turn.
-func (m *Mover) Moving(now time.Duration) (out []Standing, waiting int) {
+func (m *Mover) Moving(now time.Duration) (out []MoveStatus, waiting int) {
 	for _, name := range slices.Sorted(maps.Keys(m.moving)) {
 		t := m.moving[name]
-		s := Standing{Record: clone(t.Record), Held: now - t.held, Left: t.held + m.waits.Most - now, Awaited: slices.Sorted(maps.Keys(t.awaited))}
+		s := MoveStatus{Record: clone(t.Record), Held: now - t.held, Left: t.held + m.waits.Most - now, Awaited: slices.Sorted(maps.Keys(t.awaited))}
 		for _, p := range s.Awaited {
 			if !m.proxies[p] {
 				s.Away = append(s.Away, p)
