--- a/pilot/moves_test.go
+++ b/pilot/moves_test.go
@@ -72,7 +72,7 @@
 
 // seat is how a proxy has a tenant.
 func seat(p *proxy.Proxy, name string) string {
-	for line := range strings.Lines(p.Tenants(name)) {
+	for line := range strings.Lines(p.TenantInfo(name)) {
 		if strings.HasPrefix(line, "="+name+",") {
 			return strings.TrimSpace(line)
 		}
@@ -271,7 +271,7 @@
 	}
 	x := startProxy(t, r.proxyFile(1, r.p.Address()), nil)
 	r.until("a proxy is told", func() bool {
-		return strings.Contains(x.Tenants("t3"), "=t3,") && !strings.Contains(x.Tenants("t3"), "=t3,-1,")
+		return strings.Contains(x.TenantInfo("t3"), "=t3,") && !strings.Contains(x.TenantInfo("t3"), "=t3,-1,")
 	})
 }
 
--- a/proxy/admin.go
+++ b/proxy/admin.go
@@ -44,8 +44,8 @@
 	return b.String()
 }
 
-// Tenants is what show tenant prints of one.
-func (p *Proxy) Tenants(name string) string {
+// TenantInfo is what show tenant prints of one.
+func (p *Proxy) TenantInfo(name string) string {
 	var b strings.Builder
 	_ = p.showTenant(&b, runtime.Command{Words: []string{"show", "tenant", "=" + name}})
 	return b.String()
