--- a/lab/fleet.go
+++ b/lab/fleet.go
@@ -453,7 +453,7 @@
 	var all sync.WaitGroup
 	for _, instance := range f.proxies {
 		if instance.proxy != nil {
-			f.handshakes += int(instance.proxy.Opened())
+			f.handshakes += int(instance.proxy.ConnectionsOpened())
 			all.Go(instance.proxy.Kill)
 		}
 	}
--- a/lab/trouble.go
+++ b/lab/trouble.go
@@ -450,7 +450,7 @@
 	p := instance.proxy
 	instance.proxy = nil
 	if p != nil {
-		f.handshakes += int(p.Opened())
+		f.handshakes += int(p.ConnectionsOpened())
 	}
 	f.mu.Unlock()
 	if p != nil {
--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -618,5 +618,5 @@
 // Connections is how many it has open to servers.
 func (p *Proxy) Connections() int64 { return p.pool.OpenConnections() }
 
-// Opened is how many it has opened to servers so far.
-func (p *Proxy) Opened() int64 { return p.pool.TotalOpened.Load() }
+// ConnectionsOpened is how many it has opened to servers so far.
+func (p *Proxy) ConnectionsOpened() int64 { return p.pool.TotalOpened.Load() }
