--- a/lab/run.go
+++ b/lab/run.go
@@ -106,7 +106,7 @@
 		f.mu.Lock()
 		for _, instance := range f.proxies {
 			if instance.proxy != nil {
-				open += instance.proxy.Connections()
+				open += instance.proxy.OpenConnections()
 			}
 		}
 		f.mu.Unlock()
--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -615,8 +615,8 @@
 	p.server.Stop(gone)
 }
 
-// Connections is how many it has open to servers.
-func (p *Proxy) Connections() int64 { return p.pool.OpenConnections() }
+// OpenConnections is how many it has open to servers.
+func (p *Proxy) OpenConnections() int64 { return p.pool.OpenConnections() }
 
 // ConnectionsOpened is how many it has opened to servers so far.
 func (p *Proxy) ConnectionsOpened() int64 { return p.pool.TotalOpened.Load() }
