--- a/adapter/adapter_test.go
+++ b/adapter/adapter_test.go
@@ -29,7 +29,7 @@
 		want control.Event
 	}{
 		{"19 2e000000 03000000 00 074a1203 0e000000 01000000 0000000000204840 0000000000408f40 03 52b81e3f0000e04000006841",
-			control.Digest{Endpoint: 0x03124a07, Tries: 14, Failed: 1, Latency: 48250 * time.Microsecond,
+			control.EndpointStats{Endpoint: 0x03124a07, Tries: 14, Failed: 1, Latency: 48250 * time.Microsecond,
 				Window: time.Second, Load: []float64{0.6200000047683716, 7, 14.5}}},
 		{"12 08000000 03000000 4d000000", control.Ring{Label: 77}},
 		{"17 06000000 05000000 2900", control.Left{Proxy: 41}},
--- a/adapter/wire.go
+++ b/adapter/wire.go
@@ -118,7 +118,7 @@
 	case evInForce:
 		return control.InForce{Proxy: control.ProxyID(f.u16()), Checkpoint: int(f.u32()), Took: settings.Milliseconds(f.f64())}, nil
 	case evDigest:
-		e := control.Digest{Zone: int(f.u8()), Endpoint: control.EndpointID(f.u32())}
+		e := control.EndpointStats{Zone: int(f.u8()), Endpoint: control.EndpointID(f.u32())}
 		e.Tries, e.Failed = int(f.u32()), int(f.u32())
 		e.Latency, e.Window, e.Load = settings.Milliseconds(f.f64()), settings.Milliseconds(f.f64()), f.floats()
 		return e, nil
--- a/control/control.go
+++ b/control/control.go
@@ -161,8 +161,8 @@
 		Kind    ListKind
 		Entries []Entry
 	}
-	// Digest is what the joined proxies of one zone met at an endpoint.
-	Digest struct {
+	// EndpointStats is what the joined proxies of one zone met at an endpoint.
+	EndpointStats struct {
 		Zone     int
 		Endpoint EndpointID
 		Tries    int
@@ -234,19 +234,19 @@
 	ProbeOther
 )
 
-func (Start) event()       {}
-func (Listing) event()     {}
-func (Digest) event()      {}
-func (Arrivals) event()    {}
-func (SliceLoad) event()   {}
-func (Joined) event()      {}
-func (Left) event()        {}
-func (InForce) event()     {}
-func (Probed) event()      {}
-func (PeerNote) event()    {}
-func (Ring) event()        {}
-func (SliceHanded) event() {}
-func (SliceLine) event()   {}
+func (Start) event()         {}
+func (Listing) event()       {}
+func (EndpointStats) event() {}
+func (Arrivals) event()      {}
+func (SliceLoad) event()     {}
+func (Joined) event()        {}
+func (Left) event()          {}
+func (InForce) event()       {}
+func (Probed) event()        {}
+func (PeerNote) event()      {}
+func (Ring) event()          {}
+func (SliceHanded) event()   {}
+func (SliceLine) event()     {}
 
 // Order is something to be done.
 type Order interface{ order() }
--- a/pilot/desired_test.go
+++ b/pilot/desired_test.go
@@ -135,9 +135,9 @@
 	in.add(1200*time.Millisecond, 3, 1, &runtime.Sums{Window: time.Second, Servers: []runtime.ServerSum{{Endpoint: 4, Tries: 2, Failed: 2}}})
 	got := in.take(time.Second)
 	want := []control.Event{
-		control.Digest{Zone: 0, Endpoint: 4, Tries: 5, Failed: 1, Latency: 22500 * time.Microsecond, Window: 1100 * time.Millisecond, Load: []float64{0.5}},
-		control.Digest{Zone: 0, Endpoint: 5, Tries: 1, Failed: 1, Window: time.Second},
-		control.Digest{Zone: 1, Endpoint: 4, Tries: 2, Failed: 2, Window: time.Second},
+		control.EndpointStats{Zone: 0, Endpoint: 4, Tries: 5, Failed: 1, Latency: 22500 * time.Microsecond, Window: 1100 * time.Millisecond, Load: []float64{0.5}},
+		control.EndpointStats{Zone: 0, Endpoint: 5, Tries: 1, Failed: 1, Window: time.Second},
+		control.EndpointStats{Zone: 1, Endpoint: 4, Tries: 2, Failed: 2, Window: time.Second},
 	}
 	if !reflect.DeepEqual(got, want) {
 		t.Fatalf("%+v", got)
--- a/pilot/intake.go
+++ b/pilot/intake.go
@@ -98,7 +98,7 @@
 	for k, g := range in.digests {
 		lines = append(lines, waitingLine{g.from, [3]int{0, k.zone, int(k.endpoint)}, func() control.Event {
 			delete(in.digests, k)
-			d := control.Digest{Zone: k.zone, Endpoint: k.endpoint, Tries: g.n, Failed: g.bad, Window: g.to - g.from,
+			d := control.EndpointStats{Zone: k.zone, Endpoint: k.endpoint, Tries: g.n, Failed: g.bad, Window: g.to - g.from,
 				Load: g.load}
 			if g.n > g.bad {
 				d.Latency = g.good / time.Duration(g.n-g.bad)
--- a/pilot/list_test.go
+++ b/pilot/list_test.go
@@ -135,7 +135,7 @@
 	most := 0
 	r.until("the sums came", func() bool {
 		r.loop(func() { most = max(most, len(r.p.intake.digests)+len(r.p.intake.arrivals)) })
-		return count[control.Digest](r.module) >= 4 && count[control.Arrivals](r.module) >= 1
+		return count[control.EndpointStats](r.module) >= 4 && count[control.Arrivals](r.module) >= 1
 	})
 	if most > 5 {
 		t.Errorf("%d lines waited", most)
--- a/pilot/records_test.go
+++ b/pilot/records_test.go
@@ -198,7 +198,7 @@
 		now += time.Second
 		sick := rng.IntN(servers)
 		for i := range servers {
-			d := control.Digest{Endpoint: control.EndpointID(i), Tries: 50, Failed: rng.IntN(2), Latency: 50 * time.Millisecond, Window: time.Second, Load: []float64{0.5 + 0.3*rng.Float64()}}
+			d := control.EndpointStats{Endpoint: control.EndpointID(i), Tries: 50, Failed: rng.IntN(2), Latency: 50 * time.Millisecond, Window: time.Second, Load: []float64{0.5 + 0.3*rng.Float64()}}
 			if i/10 == sick/10 {
 				d.Failed, d.Load[0] = 45, 0.1
 			}
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -186,7 +186,7 @@
 	case control.InForce:
 		a.confirm(ev)
 		return a.held
-	case control.Digest:
+	case control.EndpointStats:
 		a.digest(ev)
 	case control.Arrivals:
 		a.arrivals(ev)
@@ -367,7 +367,7 @@
 }
 
 // digest takes in what proxies met at a server, and its load.
-func (a *Assigner) digest(d control.Digest) {
+func (a *Assigner) digest(d control.EndpointStats) {
 	e := a.endpoints[d.Endpoint]
 	if e == nil || d.Tries <= 0 || d.Window <= 0 {
 		return
@@ -387,7 +387,7 @@
 }
 
 // percent reads a load from a sum: the busy share if reported, else what queueing makes of how long ops took.
-func (a *Assigner) percent(d control.Digest) float64 {
+func (a *Assigner) percent(d control.EndpointStats) float64 {
 	if i := slices.Index(a.facts.Measures, control.Util); i >= 0 && i < len(d.Load) {
 		return 100 * min(max(d.Load[i], 0), 1)
 	} else if i >= 0 || d.Latency <= 0 {
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -207,7 +207,7 @@
 		var events []control.Event
 		for id := control.EndpointID(0); id < 100; id++ {
 			if h, ok := w.hears[id]; ok && h[0] > 0 {
-				events = append(events, control.Digest{Zone: w.entries[id].Zone, Endpoint: id, Tries: int(h[0]),
+				events = append(events, control.EndpointStats{Zone: w.entries[id].Zone, Endpoint: id, Tries: int(h[0]),
 					Failed: int(h[1]), Latency: time.Second / 5, Window: w.facts.ReportInterval, Load: []float64{h[2] / 100}})
 			}
 		}
