--- a/pilot/moves.go
+++ b/pilot/moves.go
@@ -59,9 +59,9 @@
 		return err
 	}
 	w := tenancy.MoveLimits{Most: f.Most.Span(), Abreast: f.Abreast}
-	w.WriteLifetime, w.Window = tenancy.Needs(p.facts.OpTypes, p.file.Service.WriteLife.Span())
+	w.WriteLifetime, w.DedupWindow = tenancy.Needs(p.facts.OpTypes, p.file.Service.WriteLife.Span())
 	if w.Most <= 0 {
-		w.Most = 10 * (w.WriteLifetime + w.Window)
+		w.Most = 10 * (w.WriteLifetime + w.DedupWindow)
 	}
 	if w.Abreast <= 0 {
 		w.Abreast = defaultAbreast
--- a/tenancy/move.go
+++ b/tenancy/move.go
@@ -18,7 +18,7 @@
 // MoveLimits are what a move must wait out, from the facts of the service, and how many go on at a time.
 type MoveLimits struct {
 	WriteLifetime time.Duration // longest that a write stays in hand at a proxy or server
-	Window        time.Duration // longest that servers of one group drop a repeat, which those of another would not
+	DedupWindow   time.Duration // longest that servers of one group drop a repeat, which those of another would not
 	Most          time.Duration // longest that a tenant is held; a move that needs more is cancelled
 	Abreast       int           // moves at a time; those beyond wait their turn. 0: any number
 }
@@ -435,7 +435,7 @@
 	}
 	wait := t.held + m.waits.Most - m.now
 	if t.Phase == Draining {
-		left := t.since + m.waits.WriteLifetime + m.waits.Window - m.now
+		left := t.since + m.waits.WriteLifetime + m.waits.DedupWindow - m.now
 		if left <= 0 && !t.Waits {
 			m.settle(t, t.To)
 			return
