--- a/pilot/moves.go
+++ b/pilot/moves.go
@@ -440,7 +440,7 @@
 		fmt.Fprintf(w, "%s,%s,%s,%s,%d,%d,%s,%s,\n", runtime.Quote("="+m.Tenant), m.Phase, m.Placement, m.To, m.Held.Milliseconds(), m.Left.Milliseconds(),
 			someIDs(m.Awaited), someIDs(m.Away))
 	}
-	joined, away := p.mover.Known()
+	joined, away := p.mover.Proxies()
 	fmt.Fprintf(w, "Moving: %d\nWaiting: %d\nMoved: %d\nCancelled: %d\nOrders_waiting: %d\nProxies_joined: %d\nProxies_away: %s\n", len(moving), waiting,
 		p.mover.moved, p.mover.undone, p.mover.waiting(), len(joined), someIDs(away))
 	if err := p.mover.disk.fault(); err != nil {
--- a/tenancy/move.go
+++ b/tenancy/move.go
@@ -210,8 +210,8 @@
 	return out
 }
 
-// Known returns the proxies that a move waits for, joined or away.
-func (m *Mover) Known() (joined, away []ProxyID) {
+// Proxies returns the proxies that a move waits for, joined or away.
+func (m *Mover) Proxies() (joined, away []ProxyID) {
 	for _, p := range slices.Sorted(maps.Keys(m.proxies)) {
 		if m.proxies[p] {
 			joined = append(joined, p)
