--- a/proxy/admin.go
+++ b/proxy/admin.go
@@ -86,7 +86,7 @@
 			l = unlimited
 		}
 		b, writes := t.bindings.of[name], "open"
-		if _, bound := t.bindings.of[name]; bound && !b.Writes(now, t.bindings.wait) {
+		if _, bound := t.bindings.of[name]; bound && !b.AllowsWrites(now, t.bindings.wait) {
 			writes = "held"
 		}
 		fmt.Fprintf(w, "%s,%g,%g,%t,%g,%s,%d,%s,\n", runtime.Quote("="+name), l.Rate, l.Hand, l.Fenced, l.Room, b.Placement, b.Number, writes)
--- a/proxy/bindings.go
+++ b/proxy/bindings.go
@@ -35,7 +35,7 @@
 		return false
 	}
 	x, bound := b.of[tenant]
-	return bound && !x.Writes(now, b.wait)
+	return bound && !x.AllowsWrites(now, b.wait)
 }
 
 // take returns the bindings after a message and those that it changed, by tenant.
@@ -81,7 +81,7 @@
 func (b *bindings) sweep(now time.Duration) (*bindings, map[string]tenancy.Binding) {
 	gone := map[string]tenancy.Binding{}
 	for name, x := range b.of {
-		if !x.Held && x.Placement.Equal(tenancy.Placement{}) && x.Writes(now, b.wait) && x.Number <= b.upTo {
+		if !x.Held && x.Placement.Equal(tenancy.Placement{}) && x.AllowsWrites(now, b.wait) && x.Number <= b.upTo {
 			gone[name] = x
 		}
 	}
--- a/tenancy/move_test.go
+++ b/tenancy/move_test.go
@@ -112,7 +112,7 @@
 	case 0:
 		w.ops = append(w.ops, &op{})
 	case 1, 2, 3: // a client tries an op, again if it is within its window
-		if len(w.ops) > 0 && p.Writes(w.now, w.alone) {
+		if len(w.ops) > 0 && p.AllowsWrites(w.now, w.alone) {
 			i := len(w.ops) - 1 - w.rng.IntN(min(3, len(w.ops)))
 			o := w.ops[i]
 			if !o.tried {
@@ -242,7 +242,7 @@
 			t.Fatalf("seed %d: no way out of %+v", seed, r)
 		}
 		for id, p := range w.proxies {
-			if !p.Writes(w.now, w.alone) || !p.Placement.Equal(r.Placement) {
+			if !p.AllowsWrites(w.now, w.alone) || !p.Placement.Equal(r.Placement) {
 				t.Fatalf("seed %d: proxy %d has %+v, the tenant is at %v", seed, id, p, r.Placement)
 			}
 		}
@@ -289,7 +289,7 @@
 				numbers[pilot]++
 				b = b.Take(w.now, alone, pilot, numbers[pilot]-rng.Uint64N(2)*2, Placement{Draw: rng.Uint32N(2)}, rng.IntN(4) == 0)
 			case 1, 2:
-				if b.Writes(w.now, alone) {
+				if b.AllowsWrites(w.now, alone) {
 					opened++
 					if rng.IntN(2) == 0 || len(w.ops) == 0 {
 						w.ops = append(w.ops, &op{first: w.now})
--- a/tenancy/seat.go
+++ b/tenancy/seat.go
@@ -147,5 +147,5 @@
 	return b
 }
 
-// Writes tells whether writes may go, at a time no earlier than the last order.
-func (b Binding) Writes(now, wait time.Duration) bool { return b.settle(now, wait).open }
+// AllowsWrites tells whether writes may go, at a time no earlier than the last order.
+func (b Binding) AllowsWrites(now, wait time.Duration) bool { return b.settle(now, wait).open }
