--- a/files/contradictions.go
+++ b/files/contradictions.go
@@ -155,7 +155,7 @@
 				return fault("/channel/message_cap", c, "0, for limits and bindings of tenants are messages of their own")
 			}
 			if m := p.Moves; m != nil && m.Most > 0 {
-				if write, window := tenancy.Needs(p.Service.Types(), p.Service.WriteLife.Span()); m.Most.Span() <= write+window {
+				if write, window := tenancy.MoveDurations(p.Service.Types(), p.Service.WriteLife.Span()); m.Most.Span() <= write+window {
 					return fault("/moves/most", m.Most, "more than %v, which each move waits out", write+window)
 				}
 			}
--- a/pilot/moves.go
+++ b/pilot/moves.go
@@ -59,7 +59,7 @@
 		return err
 	}
 	w := tenancy.MoveLimits{Most: f.Most.Span(), Abreast: f.Abreast}
-	w.WriteLifetime, w.DedupWindow = tenancy.Needs(p.facts.OpTypes, p.file.Service.WriteLife.Span())
+	w.WriteLifetime, w.DedupWindow = tenancy.MoveDurations(p.facts.OpTypes, p.file.Service.WriteLife.Span())
 	if w.Most <= 0 {
 		w.Most = 10 * (w.WriteLifetime + w.DedupWindow)
 	}
--- a/tenancy/seat.go
+++ b/tenancy/seat.go
@@ -84,10 +84,10 @@
 	return Place(tenant, pods, count)
 }
 
-// Needs returns what a move of a tenant must wait out: the longest that a write, which a proxy has taken in, may take until
+// MoveDurations returns what a move of a tenant must wait out: the longest that a write, which a proxy has taken in, may take until
 // it is finished for good or ill (life, or where that is 0 twice its op timeout), and the longest window in which a repeat
 // of a deduplicated op is dropped by some servers and not by others.
-func Needs(types []control.OpType, life time.Duration) (write, window time.Duration) {
+func MoveDurations(types []control.OpType, life time.Duration) (write, window time.Duration) {
 	for _, t := range types {
 		if t.Repeat == control.Retryable {
 			continue
