--- a/lab/tenants.go
+++ b/lab/tenants.go
@@ -273,7 +273,7 @@
 		for id := range tables.byType[opType] {
 			where := h.placements[id]
 			zone := d.Service.ZoneIndex(where.zone)
-			p := tenancy.Pod{ID: tenancy.PodOf(zone, where.pack), Zone: zone, Power: 1}
+			p := tenancy.Pod{ID: tenancy.PodOf(zone, where.pack), Zone: zone, Capacity: 1}
 			if !slices.Contains(out, p) {
 				out = append(out, p)
 			}
--- a/proxy/tenants.go
+++ b/proxy/tenants.go
@@ -216,7 +216,7 @@
 	}
 	var live []tenancy.Pod
 	for _, l := range lines {
-		p := tenancy.Pod{ID: l.server.pod(), Zone: l.server.Zone, Power: 1}
+		p := tenancy.Pod{ID: l.server.pod(), Zone: l.server.Zone, Capacity: 1}
 		if !slices.Contains(live, p) {
 			live = append(live, p)
 		}
--- a/tenancy/groups.go
+++ b/tenancy/groups.go
@@ -31,7 +31,7 @@
 	slices.Sort(s.ids)
 	s.ids = slices.Compact(s.ids)
 	for _, id := range s.ids {
-		s.pods = append(s.pods, Pod{ID: id, Zone: int(id >> 16), Power: 1})
+		s.pods = append(s.pods, Pod{ID: id, Zone: int(id >> 16), Capacity: 1})
 	}
 	return s
 }
--- a/tenancy/placement.go
+++ b/tenancy/placement.go
@@ -17,9 +17,9 @@
 
 // Pod is a pod as it stands.
 type Pod struct {
-	ID    PodID
-	Zone  int
-	Power float64 // work a second that its listed servers can do
+	ID       PodID
+	Zone     int
+	Capacity float64 // work a second that its listed servers can do
 }
 
 // Place gives a tenant its subset: count pods, drawn by rendezvous weighted by power, no zone giving a second pod before
@@ -32,7 +32,7 @@
 	}
 	all := make([]drawn, 0, len(pods))
 	for _, p := range pods {
-		if p.Power > 0 {
+		if p.Capacity > 0 {
 			all = append(all, drawn{p, score(tenant, p)})
 		}
 	}
@@ -62,7 +62,7 @@
 	_, _ = h.WriteString(tenant)
 	_, _ = h.Write([]byte{0, byte(p.ID), byte(p.ID >> 8), byte(p.ID >> 16), byte(p.ID >> 24)})
 	u := (float64(h.Sum64()>>11) + 0.5) / (1 << 53)
-	return -p.Power / math.Log(u)
+	return -p.Capacity / math.Log(u)
 }
 
 // Blast is what a tenant that ruins every pod that it reaches does to the others, by the sizes alone: the share of
--- a/tenancy/pods_test.go
+++ b/tenancy/pods_test.go
@@ -34,7 +34,7 @@
 	if pods, _ = p.After(40*time.Second, all).Draw(40 * time.Second); len(pods) != 9 {
 		t.Errorf("back: %v", pods)
 	}
-	if pods, _ = p.After(40*time.Second, []Pod{{ID: 50, Power: 1}}).Draw(40 * time.Second); len(pods) != 1 {
+	if pods, _ = p.After(40*time.Second, []Pod{{ID: 50, Capacity: 1}}).Draw(40 * time.Second); len(pods) != 1 {
 		t.Errorf("made anew: %v", pods)
 	}
 	subset := Place("delo", all, 3)
--- a/tenancy/tenancy_test.go
+++ b/tenancy/tenancy_test.go
@@ -11,7 +11,7 @@
 
 func somePods(n int) (out []Pod) {
 	for i := range n {
-		out = append(out, Pod{ID: PodID(i), Zone: i % 3, Power: 1 + float64(i%2)})
+		out = append(out, Pod{ID: PodID(i), Zone: i % 3, Capacity: 1 + float64(i%2)})
 	}
 	return out
 }
@@ -37,7 +37,7 @@
 		}
 	}
 	for i, p := range pods {
-		want := p.Power / 15 * tenants // a zone's ten pods have power 15 together
+		want := p.Capacity / 15 * tenants // a zone's ten pods have power 15 together
 		if math.Abs(got[p.ID]-want) > 6*math.Sqrt(want) {
 			t.Errorf("pod %d is in %v subsets, its power asks for %.0f", i, got[p.ID], want)
 		}
@@ -61,7 +61,7 @@
 	}
 	even := make([]Pod, 30)
 	for i := range even {
-		even[i] = Pod{ID: PodID(i), Power: 1}
+		even[i] = Pod{ID: PodID(i), Capacity: 1}
 	}
 	poisoned := Place("poisoned", even, count)
 	whole, any := 0.0, 0.0
