--- a/adapter/adapter_test.go
+++ b/adapter/adapter_test.go
@@ -74,7 +74,7 @@
 		{control.Publish{To: -1, Data: []byte("hi 7")}, "1a 0e000000 03000000 ffffffff 0400 68692037"},
 		{control.FetchList{}, "13 04000000 03000000"},
 		{control.Probe{Endpoint: 0x2c9011f2}, "1b 08000000 03000000 f211902c"},
-		{control.SetLevel{Table: 117, OpTypes: 2, Level: 0.75, Retry: control.IfUnrun},
+		{control.SetLevel{Table: 117, OpTypes: 2, Level: 0.75, RetryPolicy: control.IfUnrun},
 			"1c 0d000000 03000000 7500 0200 0000403f 01"},
 		{control.Bind{Table: 117, Proxy: 41}, "12 0a000000 03000000 7500 2900 0000"},
 		{control.PutLine{Table: 117, Endpoint: 0x2c9011f2, Weight: 0.75}, "10 0e000000 03000000 7500 f211902c 0000403f"},
--- a/adapter/wire.go
+++ b/adapter/wire.go
@@ -177,7 +177,7 @@
 	case control.SetLevel:
 		r.add(acLevel, who, func(b []byte) []byte {
 			b = le.AppendUint16(le.AppendUint16(b, uint16(o.Table)), o.OpTypes)
-			return append(number32(b, o.Level), byte(o.Retry))
+			return append(number32(b, o.Level), byte(o.RetryPolicy))
 		})
 	case control.Suspend:
 		r.add(acSuspend, who, func(b []byte) []byte { return le.AppendUint32(flag(b, o.Out), uint32(o.Endpoint)) })
--- a/control/control.go
+++ b/control/control.go
@@ -300,11 +300,11 @@
 		Why     Why
 	}
 	SetLevel struct {
-		Table   TableID
-		OpTypes uint16
-		Level   float64
-		Retry   RetryPolicy
-		Why     Why
+		Table       TableID
+		OpTypes     uint16
+		Level       float64
+		RetryPolicy RetryPolicy
+		Why         Why
 	}
 	Suspend struct {
 		Endpoint EndpointID
--- a/pilot/desired_test.go
+++ b/pilot/desired_test.go
@@ -47,7 +47,7 @@
 	step("a table nobody is on", "", control.PutLine{Table: 0, Endpoint: 5, Weight: 2}, control.PutLine{Table: 0, Endpoint: 6, Weight: 1},
 		control.Checkpoint{Number: 1})
 	step("level for all", "p1 #1 5 ?2; set level * 0 0.5 again if-unrun\np2 #42 5 ?2; set level * 0 0.5 again if-unrun",
-		control.SetLevel{Table: control.Everywhere, OpTypes: 1, Level: 0.5, Retry: control.IfUnrun}, control.Checkpoint{Number: 2})
+		control.SetLevel{Table: control.Everywhere, OpTypes: 1, Level: 0.5, RetryPolicy: control.IfUnrun}, control.Checkpoint{Number: 2})
 	step("withdrawn: of standing or unknown tables", "p1 #2 4; set server */e7 state drain\np2 #43 4; set server */e7 state drain",
 		control.Suspend{Endpoint: 7, Out: true})
 	step("withdrawn: who may hold it", "p2 #44 4; set server */e6 state drain", control.Suspend{Endpoint: 6, Out: true})
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -134,7 +134,7 @@
 					w.levels[k] = o
 				}
 			}
-			if o.Level < 0 || o.Retry != control.Never {
+			if o.Level < 0 || o.RetryPolicy != control.Never {
 				w.fail("unsafe %+v", o)
 			}
 			charge(0, true)
--- a/policy/tables.go
+++ b/policy/tables.go
@@ -223,7 +223,7 @@
 	for i := range a.ops {
 		if op, level := &a.ops[i], a.level(i); level != op.level && a.charge(softWaiting, 1, a.joined...) {
 			a.do(control.SetLevel{Table: control.Everywhere, OpTypes: 1 << i, Level: level,
-				Retry: control.Never, Why: a.whyLevel(op.level, level)})
+				RetryPolicy: control.Never, Why: a.whyLevel(op.level, level)})
 			op.level = level
 		}
 	}
