--- a/proxy/tenants.go
+++ b/proxy/tenants.go
@@ -46,7 +46,7 @@
 // account is what a tenant may spend on tries beyond the first.
 type account struct {
 	mu     sync.Mutex
-	budget tenancy.Budget
+	budget tenancy.RetryBudget
 	credit tenancy.Credit
 	lent   tenancy.Lent
 
--- a/tenancy/quarantine.go
+++ b/tenancy/quarantine.go
@@ -348,15 +348,15 @@
 	}
 }
 
-// Budget is a proxy's account of the tries that it may spend on one tenant beyond the first: a share of its ops, not a
+// RetryBudget is a proxy's account of the tries that it may spend on one tenant beyond the first: a share of its ops, not a
 // count for each, so that a tenant whose every op fails is not tried again forever.
-type Budget struct{ left float64 }
+type RetryBudget struct{ left float64 }
 
 // Op earns for an op; share is the limit's.
-func (b *Budget) Op(share float64) { b.left = min(b.left+share, max(leastTry, 20*share)) }
+func (b *RetryBudget) Op(share float64) { b.left = min(b.left+share, max(leastTry, 20*share)) }
 
 // Try spends a try; false says that there is none left.
-func (b *Budget) Try() bool {
+func (b *RetryBudget) Try() bool {
 	if b.left < 1 {
 		return false
 	}
--- a/tenancy/quarantine_test.go
+++ b/tenancy/quarantine_test.go
@@ -269,7 +269,7 @@
 
 // Tries are a share of a tenant's ops: many ops earn a burst, a tenant whose every op fails has few.
 func TestBudget(t *testing.T) {
-	var b Budget
+	var b RetryBudget
 	spent := 0
 	for range 1000 {
 		if b.Op(TryBudget); b.Try() {
@@ -289,7 +289,7 @@
 	if burst > 5 {
 		t.Errorf("a burst of %d", burst)
 	}
-	var none Budget
+	var none RetryBudget
 	if none.Op(0); none.Try() {
 		t.Error("a try without a budget")
 	}
