--- a/proxy/tenants.go
+++ b/proxy/tenants.go
@@ -113,7 +113,7 @@
 	}
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.budget.Op(l.Tries)
+	x.budget.Earn(l.Tries)
 	return x.allowance.Admit(now, l.Rate, l.Hand, rank)
 }
 
--- a/tenancy/quarantine.go
+++ b/tenancy/quarantine.go
@@ -352,8 +352,8 @@
 // count for each, so that a tenant whose every op fails is not tried again forever.
 type RetryBudget struct{ left float64 }
 
-// Op earns for an op; share is the limit's.
-func (b *RetryBudget) Op(share float64) { b.left = min(b.left+share, max(leastTry, 20*share)) }
+// Earn earns for an op; share is the limit's.
+func (b *RetryBudget) Earn(share float64) { b.left = min(b.left+share, max(leastTry, 20*share)) }
 
 // Try spends a try; false says that there is none left.
 func (b *RetryBudget) Try() bool {
--- a/tenancy/quarantine_test.go
+++ b/tenancy/quarantine_test.go
@@ -272,7 +272,7 @@
 	var b RetryBudget
 	spent := 0
 	for range 1000 {
-		if b.Op(TryBudget); b.Try() {
+		if b.Earn(TryBudget); b.Try() {
 			spent++
 		}
 	}
@@ -280,7 +280,7 @@
 		t.Errorf("%d tries for 1000 ops", spent)
 	}
 	for range 1000 {
-		b.Op(TryBudget)
+		b.Earn(TryBudget)
 	}
 	burst := 0
 	for b.Try() {
@@ -290,7 +290,7 @@
 		t.Errorf("a burst of %d", burst)
 	}
 	var none RetryBudget
-	if none.Op(0); none.Try() {
+	if none.Earn(0); none.Try() {
 		t.Error("a try without a budget")
 	}
 }
