--- a/proxy/tenants.go
+++ b/proxy/tenants.go
@@ -133,7 +133,7 @@
 	}
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return x.budget.Try()
+	return x.budget.Spend()
 }
 
 // pod is where a server stands among those that tenants share: its pack within its zone.
--- a/tenancy/quarantine.go
+++ b/tenancy/quarantine.go
@@ -355,8 +355,8 @@
 // Earn earns for an op; share is the limit's.
 func (b *RetryBudget) Earn(share float64) { b.left = min(b.left+share, max(leastTry, 20*share)) }
 
-// Try spends a try; false says that there is none left.
-func (b *RetryBudget) Try() bool {
+// Spend spends a try; false says that there is none left.
+func (b *RetryBudget) Spend() bool {
 	if b.left < 1 {
 		return false
 	}
--- a/tenancy/quarantine_test.go
+++ b/tenancy/quarantine_test.go
@@ -272,7 +272,7 @@
 	var b RetryBudget
 	spent := 0
 	for range 1000 {
-		if b.Earn(TryBudget); b.Try() {
+		if b.Earn(TryBudget); b.Spend() {
 			spent++
 		}
 	}
@@ -283,14 +283,14 @@
 		b.Earn(TryBudget)
 	}
 	burst := 0
-	for b.Try() {
+	for b.Spend() {
 		burst++
 	}
 	if burst > 5 {
 		t.Errorf("a burst of %d", burst)
 	}
 	var none RetryBudget
-	if none.Earn(0); none.Try() {
+	if none.Earn(0); none.Spend() {
 		t.Error("a try without a budget")
 	}
 }
