--- a/proxy/tenants.go
+++ b/proxy/tenants.go
@@ -48,7 +48,7 @@
 	mu     sync.Mutex
 	budget tenancy.RetryBudget
 	credit tenancy.Credit
-	lent   tenancy.Lent
+	lent   tenancy.BorrowState
 
 	allowance tenancy.Allowance
 }
--- a/tenancy/pods.go
+++ b/tenancy/pods.go
@@ -75,9 +75,9 @@
 	return 0, false
 }
 
-// Lent is where a proxy let a tenant's writes go last: its subset, or a pod that it borrowed. A write goes to the other only
+// BorrowState is where a proxy let a tenant's writes go last: its subset, or a pod that it borrowed. A write goes to the other only
 // when no repeat of the last one can follow it there; wait is the span that Needs says.
-type Lent struct {
+type BorrowState struct {
 	pod   PodID
 	away  bool
 	wrote bool
@@ -86,13 +86,15 @@
 }
 
 // At returns the borrowed pod that writes must stay with; false: they are the subset's.
-func (l Lent) At(now, wait time.Duration) (PodID, bool) { return l.pod, l.away && now-l.last < wait }
+func (l BorrowState) At(now, wait time.Duration) (PodID, bool) {
+	return l.pod, l.away && now-l.last < wait
+}
 
 // May tells whether writes that are the subset's may go to a borrowed pod now.
-func (l Lent) May(now, wait time.Duration) bool { return !l.wrote || now-l.last >= wait }
+func (l BorrowState) May(now, wait time.Duration) bool { return !l.wrote || now-l.last >= wait }
 
 // Wrote books a write.
-func (l *Lent) Wrote(now time.Duration, pod PodID, away bool) {
+func (l *BorrowState) Wrote(now time.Duration, pod PodID, away bool) {
 	if !l.away {
 		l.since = now
 	}
@@ -101,7 +103,7 @@
 
 // Long tells whether writes have been away for so long that those to come must wait rather than stay, once the subset can be
 // used again.
-func (l Lent) Long(now time.Duration) bool { return l.away && now-l.since >= Linger }
+func (l BorrowState) Long(now time.Duration) bool { return l.away && now-l.since >= Linger }
 
 // Credit is how a proxy knows a tenant whose ops usually succeed: only such a one may borrow. It has none at first, and one
 // that spoils what it borrows has soon none left.
--- a/tenancy/pods_test.go
+++ b/tenancy/pods_test.go
@@ -50,7 +50,7 @@
 // Writes go from the subset to a borrowed pod and back only once no repeat of the last one can follow.
 func TestLent(t *testing.T) {
 	const wait = 3 * time.Second
-	var l Lent
+	var l BorrowState
 	if _, away := l.At(0, wait); away || !l.May(0, wait) {
 		t.Error("never wrote")
 	}
