--- a/proxy/tenants.go
+++ b/proxy/tenants.go
@@ -279,7 +279,7 @@
 		return pick(subset), false
 	}
 	x.mu.Lock()
-	pod, away := x.lent.At(now, wait)
+	pod, away := x.lent.BorrowedPod(now, wait)
 	lends := !x.shared && !limited && x.credit.Lends() && (!writes || x.lent.May(now, wait))
 	long := x.lent.Long(now)
 	x.mu.Unlock()
--- a/tenancy/pods.go
+++ b/tenancy/pods.go
@@ -85,8 +85,8 @@
 	last  time.Duration
 }
 
-// At returns the borrowed pod that writes must stay with; false: they are the subset's.
-func (l BorrowState) At(now, wait time.Duration) (PodID, bool) {
+// BorrowedPod returns the borrowed pod that writes must stay with; false: they are the subset's.
+func (l BorrowState) BorrowedPod(now, wait time.Duration) (PodID, bool) {
 	return l.pod, l.away && now-l.last < wait
 }
 
--- a/tenancy/pods_test.go
+++ b/tenancy/pods_test.go
@@ -51,7 +51,7 @@
 func TestLent(t *testing.T) {
 	const wait = 3 * time.Second
 	var l BorrowState
-	if _, away := l.At(0, wait); away || !l.May(0, wait) {
+	if _, away := l.BorrowedPod(0, wait); away || !l.May(0, wait) {
 		t.Error("never wrote")
 	}
 	l.Wrote(10*time.Second, 0, false)
@@ -59,10 +59,10 @@
 		t.Error("borrows too early or never")
 	}
 	l.Wrote(13*time.Second, 7, true)
-	if pod, away := l.At(15*time.Second, wait); !away || pod != 7 {
+	if pod, away := l.BorrowedPod(15*time.Second, wait); !away || pod != 7 {
 		t.Error("home too early")
 	}
-	if _, away := l.At(16*time.Second, wait); away {
+	if _, away := l.BorrowedPod(16*time.Second, wait); away {
 		t.Error("never home")
 	}
 	for at := 15 * time.Second; at <= 73*time.Second; at += 2 * time.Second {
