--- a/proxy/tenants.go
+++ b/proxy/tenants.go
@@ -225,7 +225,7 @@
 	if before != nil {
 		podsBefore = before.subsets.pods
 	}
-	pods := podsBefore.After(now, live)
+	pods := podsBefore.Update(now, live)
 	return &podSubsets{pods: pods, zones: zonesOf(pods.Live())}
 }
 
--- a/tenancy/pods.go
+++ b/tenancy/pods.go
@@ -22,9 +22,9 @@
 	since time.Duration
 }
 
-// After returns the pods once the table's lines are on these. A table that was made anew, most of it with other pods, begins
+// Update returns the pods once the table's lines are on these. A table that was made anew, most of it with other pods, begins
 // without memory.
-func (p *Pods) After(now time.Duration, live []Pod) *Pods {
+func (p *Pods) Update(now time.Duration, live []Pod) *Pods {
 	n := &Pods{live: live}
 	if p == nil {
 		return n
--- a/tenancy/pods_test.go
+++ b/tenancy/pods_test.go
@@ -18,9 +18,9 @@
 // A table made anew begins without memory.
 func TestPods(t *testing.T) {
 	all := somePods(9)
-	p := (*Pods)(nil).After(0, all)
-	p = p.After(time.Second, all[1:])
-	p = p.After(31*time.Second, all[2:])
+	p := (*Pods)(nil).Update(0, all)
+	p = p.Update(time.Second, all[1:])
+	p = p.Update(31*time.Second, all[2:])
 	pods, holds := p.Draw(32 * time.Second)
 	if !slices.Equal(ids(pods), ids(all)) || holds != 29*time.Second {
 		t.Errorf("%v, %v", pods, holds)
@@ -31,10 +31,10 @@
 	if pods, _ = p.Draw(92 * time.Second); len(pods) != 7 {
 		t.Errorf("%v", pods)
 	}
-	if pods, _ = p.After(40*time.Second, all).Draw(40 * time.Second); len(pods) != 9 {
+	if pods, _ = p.Update(40*time.Second, all).Draw(40 * time.Second); len(pods) != 9 {
 		t.Errorf("back: %v", pods)
 	}
-	if pods, _ = p.After(40*time.Second, []Pod{{ID: 50, Capacity: 1}}).Draw(40 * time.Second); len(pods) != 1 {
+	if pods, _ = p.Update(40*time.Second, []Pod{{ID: 50, Capacity: 1}}).Draw(40 * time.Second); len(pods) != 1 {
 		t.Errorf("made anew: %v", pods)
 	}
 	subset := Place("delo", all, 3)
