--- a/proxy/placement.go
+++ b/proxy/placement.go
@@ -52,7 +52,7 @@
 
 // groupsFor returns the groups of a kind that a write may go to. It must not be changed.
 func (g *writeGroups) groupsFor(kind groupKind, w tenancy.Write) []tenancy.PodID {
-	if w.All() { // none is drawn
+	if w.AllGroups() { // none is drawn
 		return g.byKind[kind].Subset(w)
 	}
 	return g.subsets[kind].getOrDraw(w, g.byKind[kind].Subset)
@@ -61,7 +61,7 @@
 // draw returns the group of a write among its subset; false where there is none, or where the groups to come would draw another.
 func (g *writeGroups) draw(kind groupKind, w tenancy.Write, subset []tenancy.PodID) (tenancy.PodID, bool) {
 	groups := &g.byKind[kind]
-	if w.All() || !groups.Joint() { // no subset is drawn
+	if w.AllGroups() || !groups.Joint() { // no subset is drawn
 		return groups.Draw(w, subset)
 	}
 	return groups.DrawFrom(w, subset, g.nextSubsets[kind].getOrDraw(w, groups.NextSubset))
@@ -94,7 +94,7 @@
 	if who != nil {
 		w = p.tenants.write(kind, who, now.bindings)
 	}
-	if w.Key = string(key); w.Key == "" && w.All() {
+	if w.Key = string(key); w.Key == "" && w.AllGroups() {
 		return nil, true
 	}
 	if who != nil && now.bindings.untold {
@@ -107,7 +107,7 @@
 		subset = p.groups.groupsFor(kind, w)
 	}
 	group, known := p.groups.draw(kind, w, subset)
-	if !known || l.Fenced && !w.All() && group != subset[0] {
+	if !known || l.Fenced && !w.AllGroups() && group != subset[0] {
 		return nil, false
 	}
 	g = &placement{zone: kind.ofZones(), group: group}
--- a/tenancy/groups.go
+++ b/tenancy/groups.go
@@ -63,8 +63,10 @@
 	Key       string // by which servers know a repeat; empty: they know none
 }
 
-// All tells whether a write's tenant, if any, may use all groups.
-func (w Write) All() bool { return w.Count == 0 && w.Placement.Size == 0 && len(w.Placement.Pods) == 0 }
+// AllGroups tells whether a write's tenant, if any, may use all groups.
+func (w Write) AllGroups() bool {
+	return w.Count == 0 && w.Placement.Size == 0 && len(w.Placement.Pods) == 0
+}
 
 // Subset returns the groups that writes of a tenant may go to, by id. It must not be changed.
 func (g Groups) Subset(w Write) []PodID { return g.now.subset(w) }
