--- a/tenancy/store/store.go
+++ b/tenancy/store/store.go
@@ -216,8 +216,8 @@
 	return tx.Bucket(proxies).Put(key, b)
 }
 
-// Kept is all that a store holds.
-type Kept struct {
+// Contents is all that a store holds.
+type Contents struct {
 	Born    uint64 // microseconds since 1970 at which the store was made: below the numbers of all its orders
 	Records []tenancy.Record
 	Known   []tenancy.ProxyID
@@ -226,7 +226,7 @@
 }
 
 // Load reads all that was kept. One torn record refuses the whole: a tenant whose place is not known must not be guessed.
-func (s *Store) Load() (k Kept, err error) {
+func (s *Store) Load() (k Contents, err error) {
 	defer s.guard(&err)()
 	err = s.db.View(func(tx *bbolt.Tx) error {
 		k.Born = binary.BigEndian.Uint64(tx.Bucket(about).Get(theBirth))
@@ -247,7 +247,7 @@
 		return err
 	})
 	if err != nil {
-		return Kept{}, err
+		return Contents{}, err
 	}
 	return k, nil
 }
