--- a/lab/link/memory.go
+++ b/lab/link/memory.go
@@ -193,8 +193,8 @@
 	e.request = func() { _ = s.hooks.Request(ctx, e) }
 	e.ended = func() {
 		forget()
-		if s.hooks.Gone != nil {
-			s.hooks.Gone(ctx)
+		if s.hooks.Disconnected != nil {
+			s.hooks.Disconnected(ctx)
 		}
 	}
 	refused := e.hungUp
--- a/serve/serve.go
+++ b/serve/serve.go
@@ -57,7 +57,7 @@
 	s.conns, s.stop = map[*Conn]bool{}, make(chan struct{})
 	var err error
 	s.server, err = stream.Over(s.Net).Serve("tcp", address, stream.Hooks{Prepare: s.prepare, Request: s.request,
-		Gone: func(ctx context.Context) {
+		Disconnected: func(ctx context.Context) {
 			if c, ok := ctx.Value(key{}).(*Conn); ok { // the close callback would wait for the request under way
 				c.ended()
 			}
--- a/serve/trace_test.go
+++ b/serve/trace_test.go
@@ -104,7 +104,7 @@
 type tracedKey struct{}
 
 func (n tracedNet) Serve(network, address string, h stream.Hooks) (stream.Server, error) {
-	prepare, request, gone := h.Prepare, h.Request, h.Gone
+	prepare, request, gone := h.Prepare, h.Request, h.Disconnected
 	h.Prepare = func(nc netpoll.Connection) context.Context {
 		c := &tracedConn{remote: nc.RemoteAddr().String()}
 		n.trace.note("%s accepted", c.remote)
@@ -124,7 +124,7 @@
 		}
 		return request(ctx, nc)
 	}
-	h.Gone = func(ctx context.Context) {
+	h.Disconnected = func(ctx context.Context) {
 		n.trace.note("%s gone", ctx.Value(tracedKey{}).(*tracedConn).remote)
 		gone(ctx)
 	}
--- a/stream/net.go
+++ b/stream/net.go
@@ -20,9 +20,9 @@
 // goes to the others. Request comes whenever bytes are there, one call at a time a connection. Gone, if not nil, comes as
 // the peer goes, also while a request is under way.
 type Hooks struct {
-	Prepare func(netpoll.Connection) context.Context
-	Request func(context.Context, netpoll.Connection) error
-	Gone    func(context.Context)
+	Prepare      func(netpoll.Connection) context.Context
+	Request      func(context.Context, netpoll.Connection) error
+	Disconnected func(context.Context)
 }
 
 // Server accepts connections.
@@ -84,8 +84,8 @@
 	}
 	s := &socketServer{address: ln.Addr().String(), ln: ln.(*listener), done: make(chan struct{})}
 	options := []netpoll.Option{netpoll.WithOnPrepare(h.Prepare)}
-	if h.Gone != nil {
-		options = append(options, netpoll.WithOnDisconnect(func(ctx context.Context, _ netpoll.Connection) { h.Gone(ctx) }))
+	if h.Disconnected != nil {
+		options = append(options, netpoll.WithOnDisconnect(func(ctx context.Context, _ netpoll.Connection) { h.Disconnected(ctx) }))
 	}
 	if s.loop, err = netpoll.NewEventLoop(h.Request, options...); err != nil {
 		ln.Close()
