--- a/pilot/hello.go
+++ b/pilot/hello.go
@@ -27,7 +27,7 @@
 	}
 	delete(p.connections, c)
 	_ = c.stream.Send([]byte(runtime.Room + "\n"))
-	c.stream.End()
+	c.stream.CloseGracefully()
 }
 
 // handleHello lets a proxy join, or go on where it was.
--- a/pilot/lifecycle.go
+++ b/pilot/lifecycle.go
@@ -104,7 +104,7 @@
 		ended := make(chan struct{})
 		if p.post(func() {
 			for c := range p.connections {
-				c.stream.End()
+				c.stream.CloseGracefully()
 			}
 			close(ended)
 		}) {
--- a/pilot/peer_notes.go
+++ b/pilot/peer_notes.go
@@ -19,7 +19,7 @@
 	}
 	p.host.Event(control.PeerNote{From: n.From, Data: n.Data})
 	delete(p.connections, c)
-	c.stream.End()
+	c.stream.CloseGracefully()
 }
 
 // maxPendingNotes bounds the notes under way.
@@ -41,7 +41,7 @@
 			defer p.pendingNotes.Add(-1)
 			if c, err := stream.Dial(p.Net, peer.Address, time.Second, ignoreData{}); err == nil {
 				_ = c.Send(note)
-				c.End()
+				c.CloseGracefully()
 			}
 		})
 	}
--- a/pilot/streams.go
+++ b/pilot/streams.go
@@ -52,7 +52,7 @@
 			c.pilot.log.Warn("a proxy sent what cannot be read; its stream is closed", "remote", c.stream.Remote(), "error", err)
 			c.refused = true
 			_ = c.stream.Send(runtime.GoAway{Reason: err.Error()}.Append(nil))
-			c.stream.End()
+			c.stream.CloseGracefully()
 			return
 		}
 		if !c.pilot.post(func() { c.pilot.handleBlock(c, block) }) {
@@ -139,7 +139,7 @@
 func (p *Pilot) sendAway(c *connection, g runtime.GoAway) {
 	delete(p.connections, c)
 	_ = c.stream.Send(g.Append(nil))
-	c.stream.End()
+	c.stream.CloseGracefully()
 }
 
 // watch closes streams that say nothing and pings the others.
--- a/proxy/apply_queued.go
+++ b/proxy/apply_queued.go
@@ -88,5 +88,5 @@
 func (s *pilotStream) refuseMessage(m *runtime.Message, err error) {
 	s.orders.log.Warn("message refused", "run", m.Run, "number", m.Number, "error", err)
 	_ = s.conn.Send(runtime.Refused{Run: m.Run, Number: m.Number, Reason: err.Error()}.Append(nil))
-	s.conn.End()
+	s.conn.CloseGracefully()
 }
--- a/proxy/orders.go
+++ b/proxy/orders.go
@@ -236,7 +236,7 @@
 	if s == nil {
 		return
 	}
-	s.conn.End()
+	s.conn.CloseGracefully()
 	select {
 	case <-s.closed:
 	case <-time.After(endTimeout):
--- a/proxy/pilot_stream.go
+++ b/proxy/pilot_stream.go
@@ -98,7 +98,7 @@
 	s.orders.log.Warn("pilot sent what cannot be taken; the stream is closed", "error", err)
 	s.refused = true
 	_ = c.Send(runtime.Refused{Reason: err.Error()}.Append(nil))
-	c.End()
+	c.CloseGracefully()
 }
 
 func (s *pilotStream) handle(c *stream.Conn, cmd runtime.Command) error {
--- a/session/session.go
+++ b/session/session.go
@@ -131,7 +131,7 @@
 			s.done = true
 		}
 	}
-	c.End()
+	c.CloseGracefully()
 }
 
 // answer runs one command and returns its reply.
--- a/stream/stream.go
+++ b/stream/stream.go
@@ -190,8 +190,8 @@
 // endWithin is how long a peer has to take what was sent before the end.
 const endWithin = 5 * time.Second
 
-// End closes the connection once all that was sent is written, or the peer has not taken it in time.
-func (c *Conn) End() {
+// CloseGracefully closes the connection once all that was sent is written, or the peer has not taken it in time.
+func (c *Conn) CloseGracefully() {
 	c.mu.Lock()
 	c.ending = true
 	flushing := c.flushing
@@ -311,7 +311,7 @@
 	defer cancel()
 	l.Refuse(ctx)
 	for _, c := range l.open() {
-		c.End()
+		c.CloseGracefully()
 	}
 	for end := time.Now().Add(endWithin); len(l.open()) > 0 && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
--- a/stream/stream_test.go
+++ b/stream/stream_test.go
@@ -53,7 +53,7 @@
 	if err := c.Send(make([]byte, 16<<20)); err != nil {
 		t.Fatal(err)
 	}
-	c.End()
+	c.CloseGracefully()
 	closed.within(t, "one whose peer does not read")
 }
 
