--- a/members/members.go
+++ b/members/members.go
@@ -22,8 +22,8 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// Who is what a pilot tells of itself; the whole must stay under 512 bytes as JSON.
-type Who struct {
+// PilotStatus is what a pilot tells of itself; the whole must stay under 512 bytes as JSON.
+type PilotStatus struct {
 	Pilot   string `json:"pilot"`
 	Zone    string `json:"zone"`
 	Run     uint64 `json:"run"`
@@ -37,7 +37,7 @@
 
 // Told is a member as the gossip has it.
 type Told struct {
-	Who
+	PilotStatus
 	Address string
 	Bad     string // what it tells cannot be read, and why
 }
@@ -50,7 +50,7 @@
 	Keys   []string // base64 of 16, 24 or 32 bytes, the first one writes
 	Allow  []string // networks whose addresses are heard; empty: none but loopback
 	Log    *slog.Logger
-	Tell   func() Who // called now and then, by a goroutine of its own; must not wait
+	Tell   func() PilotStatus // called now and then, by a goroutine of its own; must not wait
 	Every  time.Duration
 }
 
@@ -240,8 +240,8 @@
 
 func (d *delegate) hear(n *memberlist.Node) {
 	t := Told{Address: n.Address()}
-	if err := json.Unmarshal(n.Meta, &t.Who); err != nil {
-		t.Who, t.Bad = Who{}, "what it tells cannot be read"
+	if err := json.Unmarshal(n.Meta, &t.PilotStatus); err != nil {
+		t.PilotStatus, t.Bad = PilotStatus{}, "what it tells cannot be read"
 	} else if t.Pilot != n.Name {
 		t.Bad = fmt.Sprintf("it tells of %.40q", t.Pilot)
 	}
--- a/members/members_test.go
+++ b/members/members_test.go
@@ -44,7 +44,7 @@
 	t.Helper()
 	var proxies atomic.Int64
 	m, err := Start(Gossip{Name: name, Bind: freePort(t), Others: others, Keys: keys, Log: quiet, Every: 20 * time.Millisecond,
-		Tell: func() Who { return Who{Pilot: name, Zone: "z", Proxies: int(proxies.Load())} }})
+		Tell: func() PilotStatus { return PilotStatus{Pilot: name, Zone: "z", Proxies: int(proxies.Load())} }})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -118,7 +118,7 @@
 
 // What cannot be is refused at the start, in a line.
 func TestRefused(t *testing.T) {
-	good := Gossip{Name: "a", Bind: "127.0.0.1:0", Keys: []string{key(1)}, Log: quiet, Tell: func() Who { return Who{} }}
+	good := Gossip{Name: "a", Bind: "127.0.0.1:0", Keys: []string{key(1)}, Log: quiet, Tell: func() PilotStatus { return PilotStatus{} }}
 	for name, change := range map[string]func(*Gossip){"no key": func(g *Gossip) { g.Keys = nil }, "a bad key": func(g *Gossip) { g.Keys = []string{"x"} },
 		"no address": func(g *Gossip) { g.Bind = "here" }, "no network": func(g *Gossip) { g.Allow = []string{"10.0.0.0"} }} {
 		g := good
--- a/pilot/fleet.go
+++ b/pilot/fleet.go
@@ -24,7 +24,7 @@
 	}
 	p.updateSelf()
 	p.members, err = members.Start(members.Gossip{Name: p.file.Name, Bind: f.Bind, Others: f.Others, Keys: keys, Allow: f.Allow, Log: p.log,
-		Tell: func() members.Who { return *p.self.Load() }})
+		Tell: func() members.PilotStatus { return *p.self.Load() }})
 	return err
 }
 
@@ -48,7 +48,7 @@
 
 // updateSelf notes what the others are to hear of this pilot; the loop's own.
 func (p *Pilot) updateSelf() {
-	w := members.Who{Pilot: p.file.Name, Zone: p.file.Zone, Run: p.run, List: p.version, From: p.fresher, Servers: len(p.list), Proxies: len(p.sessions),
+	w := members.PilotStatus{Pilot: p.file.Name, Zone: p.file.Zone, Run: p.run, List: p.version, From: p.fresher, Servers: len(p.list), Proxies: len(p.sessions),
 		Wire: runtime.Wire, At: p.file.Listen}
 	if p.ln != nil {
 		w.At = p.ln.Address()
--- a/pilot/pilot.go
+++ b/pilot/pilot.go
@@ -54,8 +54,8 @@
 	ln           *stream.Listener
 	admin        *sessions.Listener
 	probes       *upstream.Pool
-	members      *members.Members            // nil: this pilot hears of no others
-	self         atomic.Pointer[members.Who] // what the other pilots hear of this one
+	members      *members.Members                    // nil: this pilot hears of no others
+	self         atomic.Pointer[members.PilotStatus] // what the other pilots hear of this one
 	probing      atomic.Int64
 	pendingNotes atomic.Int64
 
