--- a/serve/conn.go
+++ b/serve/conn.go
@@ -153,7 +153,7 @@
 				return false
 			}
 		}
-		left := s.Slow - time.Since(started)
+		left := s.RequestTimeout - time.Since(started)
 		if left <= 0 {
 			c.refuse(408, "the request came too slowly")
 			return false
--- a/serve/serve.go
+++ b/serve/serve.go
@@ -23,13 +23,13 @@
 
 // Server answers requests. Its fields are set before Start.
 type Server struct {
-	Bounds http1.Bounds
-	Handle func(c *Conn, m *http1.Message) // answers by c.Write; m holds for the call
-	Open   func(c *Conn) bool              // optional; false refuses the connection
-	Closed func(c *Conn)                   // optional
-	Idle   time.Duration                   // a connection without a request for so long is closed; 0: a minute
-	Drain  time.Duration                   // the same while the server stops, since Stop; 0: until the end of its context
-	Slow   time.Duration                   // a request must be whole this long after its first byte; 0: ten seconds
+	Bounds         http1.Bounds
+	Handle         func(c *Conn, m *http1.Message) // answers by c.Write; m holds for the call
+	Open           func(c *Conn) bool              // optional; false refuses the connection
+	Closed         func(c *Conn)                   // optional
+	Idle           time.Duration                   // a connection without a request for so long is closed; 0: a minute
+	Drain          time.Duration                   // the same while the server stops, since Stop; 0: until the end of its context
+	RequestTimeout time.Duration                   // a request must be whole this long after its first byte; 0: ten seconds
 
 	Net stream.Net // nil: sockets
 
@@ -51,8 +51,8 @@
 	if s.Idle <= 0 {
 		s.Idle = time.Minute
 	}
-	if s.Slow <= 0 {
-		s.Slow = 10 * time.Second
+	if s.RequestTimeout <= 0 {
+		s.RequestTimeout = 10 * time.Second
 	}
 	s.conns, s.stop = map[*Conn]bool{}, make(chan struct{})
 	var err error
--- a/serve/serve_test.go
+++ b/serve/serve_test.go
@@ -52,7 +52,7 @@
 // told so; one that stands idle is closed.
 func TestPeers(t *testing.T) {
 	release := make(chan struct{})
-	s := start(t, &serve.Server{Bounds: http1.Bounds{Line: 1000, Head: 2000, Body: 1000}, Slow: 100 * time.Millisecond, Idle: 150 * time.Millisecond,
+	s := start(t, &serve.Server{Bounds: http1.Bounds{Line: 1000, Head: 2000, Body: 1000}, RequestTimeout: 100 * time.Millisecond, Idle: 150 * time.Millisecond,
 		Handle: func(c *serve.Conn, m *http1.Message) { <-release; ok(c, m) }})
 	c := dial(t, s)
 	sent := 0
