--- a/members/members.go
+++ b/members/members.go
@@ -35,8 +35,8 @@
 	At      string `json:"at"`   // where it listens
 }
 
-// Told is a member as the gossip has it.
-type Told struct {
+// Member is a member as the gossip has it.
+type Member struct {
 	PilotStatus
 	Address string
 	Bad     string // what it tells cannot be read, and why
@@ -61,7 +61,7 @@
 	ring   *memberlist.Keyring
 	mu     sync.Mutex
 	meta   []byte
-	heard  map[string]Told
+	heard  map[string]Member
 	stop   context.CancelFunc
 	done   sync.WaitGroup
 	ending sync.Once
@@ -69,7 +69,7 @@
 
 // Start joins. Others that are not there are tried again for as long as it runs.
 func Start(g Gossip) (*Members, error) {
-	m := &Members{g: g, heard: map[string]Told{}}
+	m := &Members{g: g, heard: map[string]Member{}}
 	if m.g.Every <= 0 {
 		m.g.Every = time.Second
 	}
@@ -172,7 +172,7 @@
 func (m *Members) Address() string { return m.list.LocalNode().FullAddress().Addr }
 
 // All returns the members by name, as far as they are heard.
-func (m *Members) All() (out []Told) {
+func (m *Members) All() (out []Member) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, name := range slices.Sorted(maps.Keys(m.heard)) {
@@ -239,7 +239,7 @@
 }
 
 func (d *delegate) hear(n *memberlist.Node) {
-	t := Told{Address: n.Address()}
+	t := Member{Address: n.Address()}
 	if err := json.Unmarshal(n.Meta, &t.PilotStatus); err != nil {
 		t.PilotStatus, t.Bad = PilotStatus{}, "what it tells cannot be read"
 	} else if t.Pilot != n.Name {
