--- a/members/members.go
+++ b/members/members.go
@@ -39,7 +39,7 @@
 type Member struct {
 	PilotStatus
 	Address string
-	Bad     string // what it tells cannot be read, and why
+	Invalid string // what it tells cannot be read, and why
 }
 
 // Gossip is what is needed to take part.
@@ -241,9 +241,9 @@
 func (d *delegate) hear(n *memberlist.Node) {
 	t := Member{Address: n.Address()}
 	if err := json.Unmarshal(n.Meta, &t.PilotStatus); err != nil {
-		t.PilotStatus, t.Bad = PilotStatus{}, "what it tells cannot be read"
+		t.PilotStatus, t.Invalid = PilotStatus{}, "what it tells cannot be read"
 	} else if t.Pilot != n.Name {
-		t.Bad = fmt.Sprintf("it tells of %.40q", t.Pilot)
+		t.Invalid = fmt.Sprintf("it tells of %.40q", t.Pilot)
 	}
 	t.Pilot = n.Name
 	d.mu.Lock()
--- a/members/members_test.go
+++ b/members/members_test.go
@@ -152,7 +152,7 @@
 		t.Fatal(err)
 	}
 	until(t, "heard", func() bool { return len(a.All()) == 2 })
-	if x := a.All()[1]; x.Pilot != "forged" || x.Bad == "" {
+	if x := a.All()[1]; x.Pilot != "forged" || x.Invalid == "" {
 		t.Errorf("%+v", x)
 	}
 }
--- a/pilot/fleet.go
+++ b/pilot/fleet.go
@@ -66,8 +66,8 @@
 	fmt.Fprintln(w, "# pilot,zone,at,run,wire,list,from,skew,servers,proxies,")
 	proxies, heard := 0, 0
 	for _, m := range p.members.All() {
-		if m.Bad != "" {
-			fmt.Fprintf(w, "%s,,%s,%s,\n", runtime.Quote(m.Pilot), m.Address, runtime.Quote(m.Bad))
+		if m.Invalid != "" {
+			fmt.Fprintf(w, "%s,,%s,%s,\n", runtime.Quote(m.Pilot), m.Address, runtime.Quote(m.Invalid))
 			continue
 		}
 		proxies, heard = proxies+m.Proxies, heard+1
