--- a/members/members.go
+++ b/members/members.go
@@ -42,8 +42,8 @@
 	Invalid string // what it tells cannot be read, and why
 }
 
-// Gossip is what is needed to take part.
-type Gossip struct {
+// Config is what is needed to take part.
+type Config struct {
 	Name   string // a pilot's, one each
 	Bind   string // HOST:PORT, UDP and TCP
 	Others []string
@@ -56,7 +56,7 @@
 
 // Members is a running gossip.
 type Members struct {
-	g      Gossip
+	g      Config
 	list   *memberlist.Memberlist
 	ring   *memberlist.Keyring
 	mu     sync.Mutex
@@ -68,7 +68,7 @@
 }
 
 // Start joins. Others that are not there are tried again for as long as it runs.
-func Start(g Gossip) (*Members, error) {
+func Start(g Config) (*Members, error) {
 	m := &Members{g: g, heard: map[string]Member{}}
 	if m.g.Every <= 0 {
 		m.g.Every = time.Second
--- a/members/members_test.go
+++ b/members/members_test.go
@@ -43,7 +43,7 @@
 func start(t *testing.T, name string, keys []string, others ...string) (*Members, *atomic.Int64) {
 	t.Helper()
 	var proxies atomic.Int64
-	m, err := Start(Gossip{Name: name, Bind: freePort(t), Others: others, Keys: keys, Log: quiet, Every: 20 * time.Millisecond,
+	m, err := Start(Config{Name: name, Bind: freePort(t), Others: others, Keys: keys, Log: quiet, Every: 20 * time.Millisecond,
 		Tell: func() PilotStatus { return PilotStatus{Pilot: name, Zone: "z", Proxies: int(proxies.Load())} }})
 	if err != nil {
 		t.Fatal(err)
@@ -118,9 +118,9 @@
 
 // What cannot be is refused at the start, in a line.
 func TestRefused(t *testing.T) {
-	good := Gossip{Name: "a", Bind: "127.0.0.1:0", Keys: []string{key(1)}, Log: quiet, Tell: func() PilotStatus { return PilotStatus{} }}
-	for name, change := range map[string]func(*Gossip){"no key": func(g *Gossip) { g.Keys = nil }, "a bad key": func(g *Gossip) { g.Keys = []string{"x"} },
-		"no address": func(g *Gossip) { g.Bind = "here" }, "no network": func(g *Gossip) { g.Allow = []string{"10.0.0.0"} }} {
+	good := Config{Name: "a", Bind: "127.0.0.1:0", Keys: []string{key(1)}, Log: quiet, Tell: func() PilotStatus { return PilotStatus{} }}
+	for name, change := range map[string]func(*Config){"no key": func(g *Config) { g.Keys = nil }, "a bad key": func(g *Config) { g.Keys = []string{"x"} },
+		"no address": func(g *Config) { g.Bind = "here" }, "no network": func(g *Config) { g.Allow = []string{"10.0.0.0"} }} {
 		g := good
 		change(&g)
 		if m, err := Start(g); err == nil || !strings.HasPrefix(err.Error(), "members: ") || strings.Contains(err.Error(), "\n") {
