--- a/lab/node/node.go
+++ b/lab/node/node.go
@@ -167,7 +167,7 @@
 	if n.up || n.fallen {
 		return nil
 	}
-	s := &serve.Server{Handle: n.handle, Open: n.open, Closed: n.closed, Net: n.Net, Drain: keepIdle}
+	s := &serve.Server{Handle: n.handle, Accept: n.open, Closed: n.closed, Net: n.Net, Drain: keepIdle}
 	if err := s.Start(n.address); err != nil {
 		return err
 	}
--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -129,7 +129,7 @@
 			return nil, err
 		}
 	}
-	p.server = &serve.Server{Handle: p.handle, Drain: keepIdle, Open: func(c *serve.Conn) bool { c.Data = &scratch{}; return true }}
+	p.server = &serve.Server{Handle: p.handle, Drain: keepIdle, Accept: func(c *serve.Conn) bool { c.Data = &scratch{}; return true }}
 	return p, nil
 }
 
--- a/serve/ends_test.go
+++ b/serve/ends_test.go
@@ -20,7 +20,7 @@
 	cancel()
 	for n := range servers {
 		var opened, closed atomic.Int64
-		s := &serve.Server{Handle: ok, Open: func(*serve.Conn) bool { opened.Add(1); return true }, Closed: func(*serve.Conn) { closed.Add(1) }}
+		s := &serve.Server{Handle: ok, Accept: func(*serve.Conn) bool { opened.Add(1); return true }, Closed: func(*serve.Conn) { closed.Add(1) }}
 		tr := traceServer(s)
 		if err := s.Start("127.0.0.1:0"); err != nil {
 			t.Fatal(err)
@@ -53,7 +53,7 @@
 func TestOpenedAfterTheEnd(t *testing.T) {
 	asked, ended, closed := make(chan struct{}), make(chan struct{}), make(chan struct{})
 	s := &serve.Server{Handle: ok,
-		Open:   func(*serve.Conn) bool { close(asked); <-ended; return true },
+		Accept: func(*serve.Conn) bool { close(asked); <-ended; return true },
 		Closed: func(*serve.Conn) { close(closed) }}
 	if err := s.Start("127.0.0.1:0"); err != nil {
 		t.Fatal(err)
--- a/serve/finish_test.go
+++ b/serve/finish_test.go
@@ -20,7 +20,7 @@
 func TestFinishAfterEnd(t *testing.T) {
 	opened, closed := make(chan *Conn, 2), make(chan *Conn, 2)
 	s := &Server{Handle: func(c *Conn, m *http1.Message) { _ = c.Answer(Plain(200, "well")) },
-		Open:   func(c *Conn) bool { opened <- c; return true },
+		Accept: func(c *Conn) bool { opened <- c; return true },
 		Closed: func(c *Conn) { closed <- c }}
 	if err := s.Start("127.0.0.1:0"); err != nil {
 		t.Fatal(err)
@@ -76,7 +76,7 @@
 
 // TestDroppedWhileOpening guards against a connection that is kept for good: whoever is asked whether to take it drops it.
 func TestDroppedWhileOpening(t *testing.T) {
-	s := &Server{Handle: func(*Conn, *http1.Message) {}, Open: func(c *Conn) bool { c.Drop(); return true }}
+	s := &Server{Handle: func(*Conn, *http1.Message) {}, Accept: func(c *Conn) bool { c.Drop(); return true }}
 	if err := s.Start("127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
--- a/serve/serve.go
+++ b/serve/serve.go
@@ -25,7 +25,7 @@
 type Server struct {
 	Bounds         http1.Bounds
 	Handle         func(c *Conn, m *http1.Message) // answers by c.Write; m holds for the call
-	Open           func(c *Conn) bool              // optional; false refuses the connection
+	Accept         func(c *Conn) bool              // optional; false refuses the connection
 	Closed         func(c *Conn)                   // optional
 	Idle           time.Duration                   // a connection without a request for so long is closed; 0: a minute
 	Drain          time.Duration                   // the same while the server stops, since Stop; 0: until the end of its context
@@ -75,7 +75,7 @@
 func (s *Server) prepare(nc netpoll.Connection) context.Context {
 	c := &Conn{nc: nc, server: s, parser: http1.NewRequestParser(s.Bounds), guard: stream.NewGuard(nc)}
 	c.last.Store(time.Now().UnixNano())
-	if s.ended() || s.Open != nil && !s.Open(c) {
+	if s.ended() || s.Accept != nil && !s.Accept(c) {
 		_ = nc.Close()
 		return context.Background()
 	}
