--- a/proxy/pilot_stream.go
+++ b/proxy/pilot_stream.go
@@ -43,7 +43,7 @@
 		closed:       make(chan struct{}),
 		welcomed:     make(chan struct{}),
 		queue:        make(chan *runtime.Message, queueLength),
-		scanner:      runtime.NewScanner(runtime.Orders),
+		scanner:      runtime.NewScanner(runtime.StreamBounds),
 		lastReceived: time.Now(),
 	}
 }
--- a/proxy/room_probe.go
+++ b/proxy/room_probe.go
@@ -14,7 +14,7 @@
 
 // hasRoom probes a pilot, on a stream of its own, for whether it would admit this proxy.
 func (o *orders) hasRoom(address string) bool {
-	probe := &roomProbe{scanner: runtime.NewScanner(runtime.Orders), answer: make(chan bool, 1)}
+	probe := &roomProbe{scanner: runtime.NewScanner(runtime.StreamBounds), answer: make(chan bool, 1)}
 	conn, err := stream.Dial(o.proxy.Net, address, probeTimeout, probe)
 	if err != nil {
 		return false
--- a/runtime/grammar.go
+++ b/runtime/grammar.go
@@ -18,10 +18,10 @@
 	Payload  int // bytes of a payload
 }
 
-// People are the bounds of a session with a person or a script, Orders those of a pilot's stream.
+// People are the bounds of a session with a person or a script, StreamBounds those of a pilot's stream.
 var (
-	People = Bounds{Line: 16 << 10, Words: 64, Commands: 64, Payload: 1 << 20}
-	Orders = Bounds{Line: 16 << 10, Words: 64, Commands: 1, Payload: 16 << 20}
+	People       = Bounds{Line: 16 << 10, Words: 64, Commands: 64, Payload: 1 << 20}
+	StreamBounds = Bounds{Line: 16 << 10, Words: 64, Commands: 1, Payload: 16 << 20}
 )
 
 // Command is one command: its words, and the lines of its payload if it had one.
--- a/runtime/runtime_test.go
+++ b/runtime/runtime_test.go
@@ -110,7 +110,7 @@
 // What is written is read back as it was.
 func TestMessage(t *testing.T) {
 	m := &Message{Pilot: "a b;c", Run: 1 << 60, Number: 7, At: 1234567 * time.Microsecond, Lines: 12, Checkpoint: 65535, Changes: changes()}
-	s := NewScanner(Orders)
+	s := NewScanner(StreamBounds)
 	s.Feed(m.Append(nil))
 	line, ok, err := s.Next()
 	if !ok || err != nil {
@@ -195,7 +195,7 @@
 		if (err1 == nil) != (err2 == nil) || fmt.Sprint(whole) != fmt.Sprint(pieces) {
 			t.Fatalf("whole %q %v; in pieces %q %v", whole, err1, pieces, err2)
 		}
-		s := NewScanner(Orders)
+		s := NewScanner(StreamBounds)
 		s.Feed(in)
 		for {
 			line, ok, err := s.Next()
@@ -206,7 +206,7 @@
 			if err != nil {
 				continue
 			}
-			s2 := NewScanner(Orders)
+			s2 := NewScanner(StreamBounds)
 			s2.Feed(m.Append(nil))
 			line, ok, err = s2.Next()
 			if !ok || err != nil {
--- a/runtime/split.go
+++ b/runtime/split.go
@@ -46,7 +46,7 @@
 
 // splitOne cuts a line of a pilot's stream that holds one command without a payload; ok is false if it holds something else.
 func splitOne(text string) (c Command, ok bool, err error) {
-	l, err := splitLine(text, Orders)
+	l, err := splitLine(text, StreamBounds)
 	if err != nil || len(l.commands) != 1 || l.opensPayload {
 		return Command{}, false, err
 	}
