--- a/lab/check.go
+++ b/lab/check.go
@@ -175,7 +175,7 @@
 
 // readStream adds the hello, the welcome, the messages and their confirmations in the traffic of one stream to s.
 func (e *evidence) readStream(s *observedStream, pieces []link.Passed) error {
-	blocks, scan := runtime.NewBlocks(1<<24), runtime.NewScanner(runtime.StreamBounds)
+	blocks, scan := runtime.NewBlockReader(1<<24), runtime.NewScanner(runtime.StreamBounds)
 	byNumber := map[uint64]*observedMessage{}
 	for _, p := range pieces {
 		switch {
--- a/pilot/streams.go
+++ b/pilot/streams.go
@@ -26,7 +26,7 @@
 const maxBlockBytes = 8 << 20
 
 func (p *Pilot) accept(conn *stream.Conn) stream.Handler {
-	c := &connection{pilot: p, stream: conn, blocks: runtime.NewBlocks(maxBlockBytes), opened: time.Now(), lastReceived: time.Now()}
+	c := &connection{pilot: p, stream: conn, blocks: runtime.NewBlockReader(maxBlockBytes), opened: time.Now(), lastReceived: time.Now()}
 	if !p.post(func() { p.connections[c] = true }) {
 		return nil
 	}
--- a/runtime/block.go
+++ b/runtime/block.go
@@ -17,8 +17,8 @@
 	maxBytes int // of a block
 }
 
-// NewBlocks returns a reader of blocks of at most maxBytes each.
-func NewBlocks(maxBytes int) *Blocks { return &Blocks{maxBytes: maxBytes} }
+// NewBlockReader returns a reader of blocks of at most maxBytes each.
+func NewBlockReader(maxBytes int) *Blocks { return &Blocks{maxBytes: maxBytes} }
 
 // Feed takes bytes in.
 func (r *Blocks) Feed(b []byte) { r.buf = append(r.buf, b...) }
--- a/runtime/runtime_test.go
+++ b/runtime/runtime_test.go
@@ -149,7 +149,7 @@
 	text = want[2].(InForce).Append(text)
 	text = want[3].(Refused).Append(text)
 	text = sums.Append(text)
-	r := NewBlocks(1 << 16)
+	r := NewBlockReader(1 << 16)
 	var got []any
 	for _, c := range text {
 		r.Feed([]byte{c})
@@ -174,7 +174,7 @@
 			t.Errorf("%q was taken: %+v", bad, b)
 		}
 	}
-	r = NewBlocks(10)
+	r = NewBlockReader(10)
 	r.Feed([]byte("aaaaaaaaaaaaaaaaaaaaa"))
 	if _, _, err := r.Next(); err == nil {
 		t.Error("a block without end was taken")
