--- a/members/members.go
+++ b/members/members.go
@@ -24,15 +24,15 @@
 
 // PilotStatus is what a pilot tells of itself; the whole must stay under 512 bytes as JSON.
 type PilotStatus struct {
-	Pilot   string `json:"pilot"`
-	Zone    string `json:"zone"`
-	Run     uint64 `json:"run"`
-	List    uint64 `json:"list"` // version of its list
-	From    string `json:"from"` // where that is from
-	Servers int    `json:"servers"`
-	Proxies int    `json:"proxies"`
-	Wire    int    `json:"wire"` // version of what it speaks with proxies
-	At      string `json:"at"`   // where it listens
+	Pilot         string `json:"pilot"`
+	Zone          string `json:"zone"`
+	Run           uint64 `json:"run"`
+	List          uint64 `json:"list"` // version of its list
+	From          string `json:"from"` // where that is from
+	Servers       int    `json:"servers"`
+	Proxies       int    `json:"proxies"`
+	Wire          int    `json:"wire"` // version of what it speaks with proxies
+	ListenAddress string `json:"at"`   // where it listens
 }
 
 // Member is a member as the gossip has it.
