--- a/members/members.go
+++ b/members/members.go
@@ -28,7 +28,7 @@
 	Zone          string `json:"zone"`
 	Run           uint64 `json:"run"`
 	List          uint64 `json:"list"` // version of its list
-	From          string `json:"from"` // where that is from
+	ListSource    string `json:"from"` // where that is from
 	Servers       int    `json:"servers"`
 	Proxies       int    `json:"proxies"`
 	Wire          int    `json:"wire"` // version of what it speaks with proxies
