--- a/members/members.go
+++ b/members/members.go
@@ -27,7 +27,7 @@
 	Pilot         string `json:"pilot"`
 	Zone          string `json:"zone"`
 	Run           uint64 `json:"run"`
-	List          uint64 `json:"list"` // version of its list
+	ListVersion   uint64 `json:"list"` // version of its list
 	ListSource    string `json:"from"` // where that is from
 	Servers       int    `json:"servers"`
 	Proxies       int    `json:"proxies"`
--- a/pilot/fleet.go
+++ b/pilot/fleet.go
@@ -48,7 +48,7 @@
 
 // updateSelf notes what the others are to hear of this pilot; the loop's own.
 func (p *Pilot) updateSelf() {
-	w := members.PilotStatus{Pilot: p.file.Name, Zone: p.file.Zone, Run: p.run, List: p.version, ListSource: p.fresher, Servers: len(p.list), Proxies: len(p.sessions),
+	w := members.PilotStatus{Pilot: p.file.Name, Zone: p.file.Zone, Run: p.run, ListVersion: p.version, ListSource: p.fresher, Servers: len(p.list), Proxies: len(p.sessions),
 		Wire: runtime.Wire, ListenAddress: p.file.Listen}
 	if p.ln != nil {
 		w.ListenAddress = p.ln.Address()
@@ -71,8 +71,8 @@
 			continue
 		}
 		proxies, heard = proxies+m.Proxies, heard+1
-		fmt.Fprintf(w, "%s,%s,%s,%d,%d,%d,%s,%d,%d,%d,\n", runtime.Quote(m.Pilot), runtime.Quote(m.Zone), runtime.Quote(m.ListenAddress), m.Run, m.Wire, m.List,
-			runtime.Quote(m.ListSource), int64(m.List-p.version), m.Servers, m.Proxies)
+		fmt.Fprintf(w, "%s,%s,%s,%d,%d,%d,%s,%d,%d,%d,\n", runtime.Quote(m.Pilot), runtime.Quote(m.Zone), runtime.Quote(m.ListenAddress), m.Run, m.Wire, m.ListVersion,
+			runtime.Quote(m.ListSource), int64(m.ListVersion-p.version), m.Servers, m.Proxies)
 	}
 	fmt.Fprintf(w, "Pilots: %d\nProxies: %d\n", heard, proxies)
 	return nil
