--- a/lab/roster/roster.go
+++ b/lab/roster/roster.go
@@ -145,7 +145,7 @@
 			}
 			return
 		}
-		var ask list.Ask
+		var ask list.Request
 		if json.Unmarshal(text, &ask) != nil {
 			c.Close()
 			return
@@ -154,7 +154,7 @@
 	}
 }
 
-func (w *watcher) answer(ask list.Ask) {
+func (w *watcher) answer(ask list.Request) {
 	s := w.s
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/roster/client.go
+++ b/roster/client.go
@@ -44,7 +44,7 @@
 			have := c.have
 			c.mu.Unlock()
 			c.Log.Info("list service reached", "address", c.Address, "have", have)
-			_ = conn.Send(askLine(Ask{Watch: true, Have: have}))
+			_ = conn.Send(askLine(Request{Watch: true, Have: have}))
 			c.attend(ctx, conn, s)
 			c.mu.Lock()
 			c.conn = nil
@@ -91,7 +91,7 @@
 				return
 			}
 			asked = true
-			_ = conn.Send(askLine(Ask{Fetch: true}))
+			_ = conn.Send(askLine(Request{Fetch: true}))
 		}
 	}
 }
@@ -101,12 +101,12 @@
 	c.mu.Lock()
 	conn := c.conn
 	c.mu.Unlock()
-	if conn == nil || conn.Send(askLine(Ask{Fetch: true})) != nil {
+	if conn == nil || conn.Send(askLine(Request{Fetch: true})) != nil {
 		go c.Take(&Update{Kind: "failed"})
 	}
 }
 
-func askLine(a Ask) []byte {
+func askLine(a Request) []byte {
 	b, err := json.Marshal(a)
 	if err != nil {
 		panic(err) // plain values always marshal
@@ -152,7 +152,7 @@
 		switch {
 		case gap:
 			s.client.Log.Warn("list service skipped a version; asking for the whole list", "version", u.Version)
-			_ = conn.Send(askLine(Ask{Fetch: true}))
+			_ = conn.Send(askLine(Request{Fetch: true}))
 		case !stale:
 			s.client.Take(u)
 		}
--- a/roster/wire.go
+++ b/roster/wire.go
@@ -32,8 +32,8 @@
 	Entries []Entry `json:"entries,omitempty"`
 }
 
-// Ask is a message to the list service: the whole list once, or all changes after a version from now on.
-type Ask struct {
+// Request is a message to the list service: the whole list once, or all changes after a version from now on.
+type Request struct {
 	Fetch bool   `json:"fetch,omitempty"`
 	Watch bool   `json:"watch,omitempty"`
 	Have  uint64 `json:"have,omitempty"`
