--- a/pilot/session.go
+++ b/pilot/session.go
@@ -54,7 +54,7 @@
 		p.announce(s)
 		return
 	}
-	_ = s.conn.stream.Send(runtime.Ask(unknown).Append(nil))
+	_ = s.conn.stream.Send(runtime.TableRequest(unknown).Append(nil))
 	wait := max(time.Duration(reconcileShare*float64(p.facts.DrainGrace)), time.Millisecond)
 	time.AfterFunc(wait, func() { p.post(func() { p.announce(s) }) })
 }
--- a/runtime/digest.go
+++ b/runtime/digest.go
@@ -37,11 +37,11 @@
 	return max(h.Sum64(), 1)
 }
 
-// Ask is a pilot's command that asks for the lines of tables by their digests.
-type Ask []uint64
+// TableRequest is a pilot's command that asks for the lines of tables by their digests.
+type TableRequest []uint64
 
 // Append appends the command.
-func (a Ask) Append(b []byte) []byte {
+func (a TableRequest) Append(b []byte) []byte {
 	return append(appendDigests(append(b, "send tables "...), a), '\n')
 }
 
@@ -56,7 +56,7 @@
 }
 
 // ParseAsk reads one.
-func ParseAsk(c Command) (Ask, error) {
+func ParseAsk(c Command) (TableRequest, error) {
 	w := &wordReader{words: c.Words}
 	w.expect("send")
 	w.expect("tables")
