--- a/lab/roster/roster.go
+++ b/lab/roster/roster.go
@@ -30,7 +30,7 @@
 type watcher struct {
 	s        *Server
 	conn     *stream.Conn
-	lines    list.Lines
+	lines    list.LineSplitter
 	watching bool
 }
 
--- a/roster/client.go
+++ b/roster/client.go
@@ -117,7 +117,7 @@
 // session is one connection to the service.
 type session struct {
 	client *Client
-	lines  Lines
+	lines  LineSplitter
 	busy   sync.Mutex
 	heard  atomic.Bool // since attend last looked
 	ended  chan struct{}
--- a/roster/wire.go
+++ b/roster/wire.go
@@ -41,17 +41,17 @@
 
 const mostLine = 64 << 20
 
-// Lines cuts bytes into lines.
-type Lines struct {
+// LineSplitter cuts bytes into lines.
+type LineSplitter struct {
 	buf    []byte
 	looked int
 }
 
 // Feed takes bytes in.
-func (l *Lines) Feed(b []byte) { l.buf = append(l.buf, b...) }
+func (l *LineSplitter) Feed(b []byte) { l.buf = append(l.buf, b...) }
 
 // Next returns the next whole line; ok is false until there is one.
-func (l *Lines) Next() (line []byte, ok bool, err error) {
+func (l *LineSplitter) Next() (line []byte, ok bool, err error) {
 	nl := bytes.IndexByte(l.buf[l.looked:], '\n')
 	if nl < 0 {
 		if l.looked = len(l.buf); l.looked > mostLine {
