--- a/lab/check.go
+++ b/lab/check.go
@@ -198,7 +198,7 @@
 				switch b := b.(type) {
 				case *runtime.Hello:
 					s.hello = b
-				case runtime.InForce:
+				case runtime.Confirmation:
 					if m := byNumber[b.Number]; m != nil && m.confirmed < 0 {
 						m.confirmed, m.reapplied = p.Came, b.Again
 					}
--- a/lab/check_test.go
+++ b/lab/check_test.go
@@ -84,7 +84,7 @@
 		m.Changes = append(m.Changes, x)
 	}
 	c.pass(sent, "stream 3 0", 2, link.Down, string(m.Append(nil)))
-	c.pass(confirmed, "stream 3 0", 2, link.Up, string(runtime.InForce{Run: m.Run, Number: m.Number, Checkpoint: -1}.Append(nil)))
+	c.pass(confirmed, "stream 3 0", 2, link.Up, string(runtime.Confirmation{Run: m.Run, Number: m.Number, Checkpoint: -1}.Append(nil)))
 }
 
 // try adds a try that reached a node through proxy 3.
--- a/pilot/session.go
+++ b/pilot/session.go
@@ -95,7 +95,7 @@
 	}
 }
 
-func (p *Pilot) handleInForce(s *session, f runtime.InForce) {
+func (p *Pilot) handleInForce(s *session, f runtime.Confirmation) {
 	if f.Run != p.run {
 		return
 	}
--- a/pilot/streams.go
+++ b/pilot/streams.go
@@ -100,7 +100,7 @@
 		return
 	}
 	switch b := block.(type) {
-	case runtime.InForce:
+	case runtime.Confirmation:
 		p.handleInForce(s, b)
 	case runtime.Refused:
 		p.handleRefused(s, b)
--- a/runtime/block.go
+++ b/runtime/block.go
@@ -91,15 +91,15 @@
 	return &wordReader{words: c.Words}, nil
 }
 
-// InForce confirms a message.
-type InForce struct {
+// Confirmation confirms a message.
+type Confirmation struct {
 	Run, Number uint64
 	Checkpoint  int // below 0: none
 	Again       bool
 }
 
 // Append appends the block.
-func (f InForce) Append(b []byte) []byte {
+func (f Confirmation) Append(b []byte) []byte {
 	b = fmt.Appendf(b, "in-force %d %d", f.Run, f.Number)
 	if f.Checkpoint >= 0 {
 		b = fmt.Appendf(b, " checkpoint %d", f.Checkpoint)
@@ -110,8 +110,8 @@
 	return append(b, "\n\n"...)
 }
 
-func (w *wordReader) inForce() InForce {
-	f := InForce{Run: w.uint("run", math.MaxUint64), Number: w.uint("number", math.MaxUint64), Checkpoint: -1}
+func (w *wordReader) inForce() Confirmation {
+	f := Confirmation{Run: w.uint("run", math.MaxUint64), Number: w.uint("number", math.MaxUint64), Checkpoint: -1}
 	if w.next("checkpoint") {
 		w.take()
 		f.Checkpoint = int(w.uint("checkpoint", math.MaxUint16))
--- a/runtime/runtime_test.go
+++ b/runtime/runtime_test.go
@@ -143,10 +143,10 @@
 	hello := &Hello{Proxy: 9, Token: "x y", Zone: 2, Rate: 12.5, Pilot: "-", Window: 4096, Standing: []control.EndpointID{1, 4294967295}}
 	sums := &Sums{Window: time.Second, Types: []TypeSum{{1, 20, 3}}, Servers: []ServerSum{{7, 10, 1, 45 * time.Millisecond, []float64{0.5, 3}}, {8, 1, 1, 0, nil}},
 		Tenants: []TenantSum{{"", 3, 4, 1, time.Second}, {"de lo", 1 << 31, 1, 0, 0}}}
-	want := []any{hello, InForce{5, 6, 7, true}, InForce{5, 6, -1, false}, Refused{1, 2, "not this"}, sums}
+	want := []any{hello, Confirmation{5, 6, 7, true}, Confirmation{5, 6, -1, false}, Refused{1, 2, "not this"}, sums}
 	text := hello.Append(nil)
-	text = want[1].(InForce).Append(text)
-	text = want[2].(InForce).Append(text)
+	text = want[1].(Confirmation).Append(text)
+	text = want[2].(Confirmation).Append(text)
 	text = want[3].(Refused).Append(text)
 	text = sums.Append(text)
 	r := NewBlockReader(1 << 16)
