--- a/lab/tenants.go
+++ b/lab/tenants.go
@@ -288,7 +288,7 @@
 	for p := range tablesByProxy {
 		for t := range d.Service.OpTypes {
 			pods[[2]int{p, t}] = podsOf(p, t)
-			for _, id := range (tenancy.Placement{}).Among(culprit, pods[[2]int{p, t}], c.Subset) {
+			for _, id := range (tenancy.Placement{}).SelectFrom(culprit, pods[[2]int{p, t}], c.Subset) {
 				badPods[id] = true
 			}
 		}
@@ -298,7 +298,7 @@
 			return false
 		}
 		reachable := pods[[2]int{o.proxy, o.opType}]
-		return len(reachable) > 0 && !slices.ContainsFunc((tenancy.Placement{}).Among(tenantName(o.tenant), reachable, c.Subset),
+		return len(reachable) > 0 && !slices.ContainsFunc((tenancy.Placement{}).SelectFrom(tenantName(o.tenant), reachable, c.Subset),
 			func(id tenancy.PodID) bool { return badPods[id] })
 	}
 }
--- a/proxy/placement.go
+++ b/proxy/placement.go
@@ -152,6 +152,6 @@
 	}
 	seat.Size = (count + several - 1) / several
 	return inZone.subsets[kind].getOrDraw(tenancy.Write{Tenant: x.name, Placement: seat, Count: seat.Size}, func(w tenancy.Write) []tenancy.PodID {
-		return w.Placement.Among(w.Tenant, inZone.live, w.Count)
+		return w.Placement.SelectFrom(w.Tenant, inZone.live, w.Count)
 	})
 }
--- a/proxy/tenants.go
+++ b/proxy/tenants.go
@@ -266,7 +266,7 @@
 		s.cache.clear()
 	}
 	return s.cache.getOrDraw(w, func(w tenancy.Write) []tenancy.PodID {
-		return tenancy.Placement{Draw: w.Placement.Draw, Size: w.Count, Pods: w.Placement.Pods}.Among(w.Tenant, s.candidates, w.Count)
+		return tenancy.Placement{Draw: w.Placement.Draw, Size: w.Count, Pods: w.Placement.Pods}.SelectFrom(w.Tenant, s.candidates, w.Count)
 	})
 }
 
--- a/tenancy/groups.go
+++ b/tenancy/groups.go
@@ -73,7 +73,7 @@
 
 // subset returns the groups that a write may go to.
 func (s groupSet) subset(w Write) []PodID {
-	if subset := w.Placement.Among(w.Tenant, s.pods, w.Count); subset != nil {
+	if subset := w.Placement.SelectFrom(w.Tenant, s.pods, w.Count); subset != nil {
 		return subset
 	}
 	return s.ids
--- a/tenancy/seat.go
+++ b/tenancy/seat.go
@@ -59,8 +59,8 @@
 	return b
 }
 
-// Among returns a tenant's pods among those of a table, usual of them where its seat has no size of its own; nil for all.
-func (s Placement) Among(tenant string, pods []Pod, usual int) []PodID {
+// SelectFrom returns a tenant's pods among those of a table, usual of them where its seat has no size of its own; nil for all.
+func (s Placement) SelectFrom(tenant string, pods []Pod, usual int) []PodID {
 	var named []PodID
 	for _, p := range pods {
 		if slices.Contains(s.Pods, p.ID) {
