--- a/lab/orders_test.go
+++ b/lab/orders_test.go
@@ -470,7 +470,7 @@
 		"retried after it may have run": {rule: 2, events: "tick,tick,tick,tick", alter: func(m *wire.Message) {
 			for i := range m.Changes {
 				if m.Changes[i].Verb == wire.SetLevel {
-					m.Changes[i].Again = control.RetryOnce
+					m.Changes[i].RetryPolicy = control.RetryOnce
 				}
 			}
 		}, proxyService: func(s *files.Service) { s.OpTypes[2].Repeat = "retryable" },
--- a/pilot/admin.go
+++ b/pilot/admin.go
@@ -122,7 +122,7 @@
 	for i, t := range p.file.Service.OpTypes {
 		l, ok := p.desired.all[i]
 		if !ok {
-			l = runtime.Change{Level: 1, Again: control.Never}
+			l = runtime.Change{Level: 1, RetryPolicy: control.Never}
 		}
 		fmt.Fprintf(w, "%d %s %g\n", i, t.Name, l.Level)
 	}
--- a/pilot/desired.go
+++ b/pilot/desired.go
@@ -335,7 +335,7 @@
 }
 
 func (ds *desiredState) level(o control.SetLevel, joined []*holder) {
-	c := runtime.Change{Verb: runtime.SetLevel, Table: o.Table, OpTypes: o.OpTypes, Level: o.Level, Again: o.RetryPolicy}
+	c := runtime.Change{Verb: runtime.SetLevel, Table: o.Table, OpTypes: o.OpTypes, Level: o.Level, RetryPolicy: o.RetryPolicy}
 	levels := ds.all
 	var t *sheet
 	if o.Table != control.Everywhere {
--- a/proxy/tables.go
+++ b/proxy/tables.go
@@ -295,7 +295,7 @@
 			err = each(c.OpTypes, func(int) {})
 		case runtime.SetLevel:
 			err = each(c.OpTypes, func(i int) {
-				l := level{c.Level, c.Again}
+				l := level{c.Level, c.RetryPolicy}
 				if c.Table == control.Everywhere {
 					n.levels[i] = l
 					return
--- a/runtime/change.go
+++ b/runtime/change.go
@@ -28,25 +28,25 @@
 
 // Change is one line of a pilot's message.
 type Change struct {
-	Verb     Verb
-	Table    control.TableID // control.Everywhere for all, with SetLevel
-	Endpoint control.EndpointID
-	Server   Server // AddServer
-	Weight   float64
-	Out      bool   // SetState
-	OpTypes  uint16 // a bit for each; 0: all
-	Level    float64
-	Again    control.RetryPolicy
-	Tenant   string
-	Rate     float64 // ops a second at this proxy; below 0: no limit
-	Tries    float64 // beyond the first, for each op
-	Fenced   bool    // to one pod of its subset alone
-	Hand     float64 // ops in hand at this proxy at a time; below 0: no limit
-	Room     float64 // times the pods that its subset has by itself
-	Digest   uint64
-	Number   uint64 // of a binding, among those of its pilot
-	Seat     tenancy.Placement
-	Held     bool // writes are refused with a time to come back
+	Verb        Verb
+	Table       control.TableID // control.Everywhere for all, with SetLevel
+	Endpoint    control.EndpointID
+	Server      Server // AddServer
+	Weight      float64
+	Out         bool   // SetState
+	OpTypes     uint16 // a bit for each; 0: all
+	Level       float64
+	RetryPolicy control.RetryPolicy
+	Tenant      string
+	Rate        float64 // ops a second at this proxy; below 0: no limit
+	Tries       float64 // beyond the first, for each op
+	Fenced      bool    // to one pod of its subset alone
+	Hand        float64 // ops in hand at this proxy at a time; below 0: no limit
+	Room        float64 // times the pods that its subset has by itself
+	Digest      uint64
+	Number      uint64 // of a binding, among those of its pilot
+	Seat        tenancy.Placement
+	Held        bool // writes are refused with a time to come back
 }
 
 // Server is what a proxy must know of an endpoint to send ops there and to try them again safely.
@@ -122,7 +122,7 @@
 	b = appendTable(append(b, "set level "...), c.Table)
 	b = appendTypes(append(b, ' '), c.OpTypes)
 	b = number(append(b, ' '), c.Level)
-	return append(append(b, " again "...), agains[c.Again]...)
+	return append(append(b, " again "...), agains[c.RetryPolicy]...)
 }
 
 func (c Change) appendSetTenant(b []byte) []byte {
--- a/runtime/parse_change.go
+++ b/runtime/parse_change.go
@@ -105,7 +105,7 @@
 		w.fail("level %v is below 0", c.Level)
 	}
 	w.expect("again")
-	c.Again = w.again()
+	c.RetryPolicy = w.again()
 }
 
 // again reads when a try may be repeated.
