--- a/lab/records_test.go
+++ b/lab/records_test.go
@@ -29,7 +29,7 @@
 	}
 	d.Length = files.Duration(12 * sec)
 	path := filepath.Join(t.TempDir(), "log")
-	out, err := syslog.Start(syslog.Route{Network: "file", Address: path, Buffer: 1 << 16}, slog.New(slog.DiscardHandler), 1, nil)
+	out, err := syslog.Start(syslog.Config{Network: "file", Address: path, Buffer: 1 << 16}, slog.New(slog.DiscardHandler), 1, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/pilot/records_test.go
+++ b/pilot/records_test.go
@@ -42,7 +42,7 @@
 // Each order has its record with its reason, numbered without a gap; a checkpoint's tells who confirmed it and who did not.
 func TestRecords(t *testing.T) {
 	got := receive(t)
-	out, err := syslog.Start(syslog.Route{Network: "tcp", Address: got.Address()}, slog.New(slog.DiscardHandler), 1, nil)
+	out, err := syslog.Start(syslog.Config{Network: "tcp", Address: got.Address()}, slog.New(slog.DiscardHandler), 1, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -103,7 +103,7 @@
 	var all sync.WaitGroup
 	for i := range 2 {
 		all.Go(func() {
-			out, err := syslog.Start(syslog.Route{Network: "tcp", Address: got.Address()}, slog.New(slog.DiscardHandler), 1, nil)
+			out, err := syslog.Start(syslog.Config{Network: "tcp", Address: got.Address()}, slog.New(slog.DiscardHandler), 1, nil)
 			if err != nil {
 				t.Error(err)
 				return
@@ -164,14 +164,14 @@
 	p := newPilot(b, f)
 	p.host.NewDecider = func() host.Decider { return &policy.Assigner{} }
 	if how != "off" {
-		route := syslog.Route{Network: "file", Address: filepath.Join(b.TempDir(), "log"), Buffer: 1 << 16}
+		route := syslog.Config{Network: "file", Address: filepath.Join(b.TempDir(), "log"), Buffer: 1 << 16}
 		if how == "stuck" {
 			ln, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
 				b.Fatal(err)
 			}
 			defer ln.Close()
-			route = syslog.Route{Network: "tcp", Address: ln.Addr().String(), Buffer: 1 << 12, Patient: 50 * time.Millisecond}
+			route = syslog.Config{Network: "tcp", Address: ln.Addr().String(), Buffer: 1 << 12, Patient: 50 * time.Millisecond}
 		}
 		out, err := syslog.Start(route, slog.New(slog.DiscardHandler), 1, nil)
 		if err != nil {
--- a/syslog/bench_test.go
+++ b/syslog/bench_test.go
@@ -22,7 +22,7 @@
 // given its values as text).
 func BenchmarkRecord(b *testing.B) {
 	b.Run("ours", func(b *testing.B) {
-		s, err := Start(Route{Network: "tcp", Address: "127.0.0.1:1", Buffer: 1000}, quiet, 1, nil)
+		s, err := Start(Config{Network: "tcp", Address: "127.0.0.1:1", Buffer: 1000}, quiet, 1, nil)
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/syslog/handler_test.go
+++ b/syslog/handler_test.go
@@ -15,7 +15,7 @@
 // handled is a handler into a sender whose receiver is never there: what it makes stays in the queue.
 func handled(t *testing.T, who Identity) (*Handler, func() []*receiver.Message) {
 	t.Helper()
-	s := begin(t, Route{Network: "tcp", Address: "127.0.0.1:1", Patient: time.Millisecond, Longest: 4000})
+	s := begin(t, Config{Network: "tcp", Address: "127.0.0.1:1", Patient: time.Millisecond, Longest: 4000})
 	return NewHandler(s, who), func() (out []*receiver.Message) {
 		for {
 			r, ok := s.queue.take()
--- a/syslog/sender.go
+++ b/syslog/sender.go
@@ -17,8 +17,8 @@
 	"time"
 )
 
-// Route is where records go and what may wait on the way.
-type Route struct {
+// Config is where records go and what may wait on the way.
+type Config struct {
 	Network string // udp (RFC 5426), tcp (RFC 6587, octets counted), tls (RFC 5425), unixgram, or file: a line each
 	Address string
 	Buffer  int    // records in memory; 0: 4096
@@ -61,7 +61,7 @@
 
 // Sender carries records to a receiver. Whoever logs only puts them into a bounded queue.
 type Sender struct {
-	route    Route
+	route    Config
 	log      *slog.Logger // of its own troubles; never itself
 	queue    *queue
 	spool    *spool
@@ -86,7 +86,7 @@
 
 // Start opens the spool, if there is one, and begins. seed is of the waits between dials; announce, which may be nil, is
 // told once records flow again after some were lost since it was last told.
-func Start(r Route, log *slog.Logger, seed uint64, announce func(dropped [Debug + 1]uint64, torn uint64)) (*Sender, error) {
+func Start(r Config, log *slog.Logger, seed uint64, announce func(dropped [Debug + 1]uint64, torn uint64)) (*Sender, error) {
 	switch r.Network {
 	case "udp", "tcp", "tls", "unixgram", "file":
 	default:
@@ -126,10 +126,10 @@
 	return s, nil
 }
 
-func (r *Route) datagrams() bool { return r.Network == "udp" || r.Network == "unixgram" }
+func (r *Config) datagrams() bool { return r.Network == "udp" || r.Network == "unixgram" }
 
 // framed tells whether octets are counted before each message.
-func (r *Route) framed() bool { return r.Network == "tcp" || r.Network == "tls" }
+func (r *Config) framed() bool { return r.Network == "tcp" || r.Network == "tls" }
 
 // Longest is how many bytes a message may have.
 func (s *Sender) Longest() int { return s.route.Longest }
@@ -274,7 +274,7 @@
 }
 
 // credentials reads the files anew; material tells one reading from another.
-func (r *Route) credentials() (*tls.Config, string, error) {
+func (r *Config) credentials() (*tls.Config, string, error) {
 	conf := &tls.Config{ServerName: r.Name, MinVersion: tls.VersionTLS12}
 	if conf.ServerName == "" {
 		conf.ServerName, _, _ = net.SplitHostPort(r.Address)
--- a/syslog/sender_test.go
+++ b/syslog/sender_test.go
@@ -48,7 +48,7 @@
 	return r
 }
 
-func begin(t *testing.T, r Route) *Sender {
+func begin(t *testing.T, r Config) *Sender {
 	t.Helper()
 	s, err := Start(r, quiet, 1, nil)
 	if err != nil {
@@ -106,7 +106,7 @@
 	ca := newCA(t)
 	for _, network := range []string{"udp", "tcp", "tls", "unixgram"} {
 		t.Run(network, func(t *testing.T) {
-			address, route := "127.0.0.1:0", Route{Network: network}
+			address, route := "127.0.0.1:0", Config{Network: network}
 			var conf *tls.Config
 			switch network {
 			case "unixgram":
@@ -142,7 +142,7 @@
 func TestNoReceiver(t *testing.T) {
 	address := net.JoinHostPort(loopback.Host(), "6514") // where nobody listens yet
 	told := make(chan [Debug + 1]uint64, 10)
-	s, err := Start(Route{Network: "tcp", Address: address, Buffer: 100}, quiet, 1, func(d [Debug + 1]uint64, torn uint64) { told <- d })
+	s, err := Start(Config{Network: "tcp", Address: address, Buffer: 100}, quiet, 1, func(d [Debug + 1]uint64, torn uint64) { told <- d })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -182,7 +182,7 @@
 			t.Parallel()
 			r := listen(t, "tcp", "127.0.0.1:0", nil)
 			r.Set(trouble)
-			s := begin(t, Route{Network: "tcp", Address: r.Address(), Buffer: 4000, Patient: 50 * time.Millisecond})
+			s := begin(t, Config{Network: "tcp", Address: r.Address(), Buffer: 4000, Patient: 50 * time.Millisecond})
 			began := time.Now()
 			big := strings.Repeat("x", 800)
 			for i := range 3000 {
@@ -215,7 +215,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		route := Route{Network: "tcp", Address: r.Address(), Buffer: 20 + rng.IntN(200), Patient: 20 * time.Millisecond}
+		route := Config{Network: "tcp", Address: r.Address(), Buffer: 20 + rng.IntN(200), Patient: 20 * time.Millisecond}
 		if rng.IntN(2) == 0 {
 			route.Spool, route.SpoolAt = t.TempDir(), int64(1+rng.IntN(60))<<10
 		}
@@ -268,7 +268,7 @@
 // was spooled comes first and in order once the receiver is there.
 func TestLongOutage(t *testing.T) {
 	address := net.JoinHostPort(loopback.Host(), "6514") // where nobody listens yet
-	s := begin(t, Route{Network: "tcp", Address: address, Buffer: 1000, Spool: t.TempDir(), SpoolAt: 4 << 20})
+	s := begin(t, Config{Network: "tcp", Address: address, Buffer: 1000, Spool: t.TempDir(), SpoolAt: 4 << 20})
 	const all = 600_000
 	for i := range all {
 		s.Put(Informational, numbered(i, Informational))
@@ -292,7 +292,7 @@
 // A file is written a line a record, and one that was moved away is begun anew.
 func TestFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "log")
-	s := begin(t, Route{Network: "file", Address: path})
+	s := begin(t, Config{Network: "file", Address: path})
 	lines := func(path string) int {
 		text, err := os.ReadFile(path)
 		if err != nil {
@@ -317,7 +317,7 @@
 	for cut := 1; cut <= 2*whole; cut++ {
 		r := listen(t, "tcp", "127.0.0.1:0", nil)
 		r.Set(receiver.Trouble{CutAt: cut})
-		s, err := Start(Route{Network: "tcp", Address: r.Address(), Patient: 50 * time.Millisecond}, quiet, uint64(cut), nil)
+		s, err := Start(Config{Network: "tcp", Address: r.Address(), Patient: 50 * time.Millisecond}, quiet, uint64(cut), nil)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -391,7 +391,7 @@
 	refused := func(conf *tls.Config) (*receiver.Receiver, *Sender) {
 		t.Helper()
 		r := listen(t, "tls", "127.0.0.1:0", conf)
-		s := begin(t, Route{Network: "tls", Address: r.Address(), CA: ca.file, Name: "receiver.example", Patient: 100 * time.Millisecond})
+		s := begin(t, Config{Network: "tls", Address: r.Address(), CA: ca.file, Name: "receiver.example", Patient: 100 * time.Millisecond})
 		s.Put(Error, numbered(1, Error))
 		until(t, "tried", func() bool { return s.Counts().Failures > 1 })
 		return r, s
@@ -417,10 +417,10 @@
 		t.Fatal(err)
 	}
 	until(t, "connects anew when they change", func() bool { return s.Counts().Connects > before })
-	if _, err := Start(Route{Network: "tls", Address: r.Address(), CA: filepath.Join(t.TempDir(), "none")}, quiet, 1, nil); err == nil {
+	if _, err := Start(Config{Network: "tls", Address: r.Address(), CA: filepath.Join(t.TempDir(), "none")}, quiet, 1, nil); err == nil {
 		t.Error("started without its files")
 	}
-	if _, err := Start(Route{Network: "pigeon"}, quiet, 1, nil); err == nil {
+	if _, err := Start(Config{Network: "pigeon"}, quiet, 1, nil); err == nil {
 		t.Error("started on no network")
 	}
 }
--- a/syslog/spool_test.go
+++ b/syslog/spool_test.go
@@ -138,7 +138,7 @@
 func TestNoDisk(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "spool")
 	address := net.JoinHostPort(loopback.Host(), "6514") // nobody listens there yet, so that nothing can be sent
-	s := begin(t, Route{Network: "tcp", Address: address, Buffer: 100, Spool: dir, Patient: 50 * time.Millisecond})
+	s := begin(t, Config{Network: "tcp", Address: address, Buffer: 100, Spool: dir, Patient: 50 * time.Millisecond})
 	if err := os.RemoveAll(dir); err != nil {
 		t.Fatal(err)
 	}
