--- a/lab/check.go
+++ b/lab/check.go
@@ -298,7 +298,7 @@
 				}
 			}
 		case runtime.SetState:
-			if delete(x.withdrawn, c.Endpoint); c.Out {
+			if delete(x.withdrawn, c.Endpoint); c.Drained {
 				x.withdrawn[c.Endpoint] = true
 			}
 		case runtime.ClearState:
--- a/lab/check_test.go
+++ b/lab/check_test.go
@@ -247,7 +247,7 @@
 					p.ApplyDelay = func(m *runtime.Message) time.Duration {
 						kept := m.Changes[:0]
 						for _, c := range m.Changes {
-							if !c.Out && c.Verb != runtime.DelServer {
+							if !c.Drained && c.Verb != runtime.DelServer {
 								kept = append(kept, c)
 							}
 						}
--- a/lab/records_test.go
+++ b/lab/records_test.go
@@ -81,7 +81,7 @@
 	for _, x := range h.streams {
 		for _, m := range x.messages {
 			for _, c := range m.Changes {
-				if c.Verb != runtime.SetState || !c.Out {
+				if c.Verb != runtime.SetState || !c.Drained {
 					continue
 				}
 				withdrawals++
--- a/pilot/desired.go
+++ b/pilot/desired.go
@@ -191,7 +191,7 @@
 // tell writes a proxy whether an endpoint is withdrawn, if it was sent otherwise.
 func (ds *desiredState) tell(h *holder, e control.EndpointID) {
 	if out := ds.out[e]; h.withdrawn[e] != out {
-		h.add(runtime.Change{Verb: runtime.SetState, Endpoint: e, Out: out})
+		h.add(runtime.Change{Verb: runtime.SetState, Endpoint: e, Drained: out})
 		if h.withdrawn[e] = out; !out {
 			delete(h.withdrawn, e)
 		}
--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -581,7 +581,7 @@
 		}
 	}
 	for _, c := range m.Changes {
-		if c.Verb == runtime.SetState && c.Out {
+		if c.Verb == runtime.SetState && c.Drained {
 			p.servers.mu.Lock()
 			e := p.servers.byID[c.Endpoint]
 			p.servers.mu.Unlock()
--- a/proxy/tables.go
+++ b/proxy/tables.go
@@ -272,7 +272,7 @@
 		case runtime.ClearTable:
 			lines[c.Table], levels[c.Table] = nil, map[int]level{}
 		case runtime.SetState:
-			if c.Out {
+			if c.Drained {
 				n.out[c.Endpoint] = true
 			} else {
 				delete(n.out, c.Endpoint)
--- a/runtime/change.go
+++ b/runtime/change.go
@@ -33,7 +33,7 @@
 	Endpoint    control.EndpointID
 	Server      Server // AddServer
 	Weight      float64
-	Out         bool   // SetState
+	Drained     bool   // SetState
 	OpTypes     uint16 // a bit for each; 0: all
 	Level       float64
 	RetryPolicy control.RetryPolicy
@@ -112,7 +112,7 @@
 
 func (c Change) appendSetState(b []byte) []byte {
 	b = strconv.AppendUint(append(b, "set server */e"...), uint64(c.Endpoint), 10)
-	if c.Out {
+	if c.Drained {
 		return append(b, " state drain"...)
 	}
 	return append(b, " state ready"...)
--- a/runtime/parse_change.go
+++ b/runtime/parse_change.go
@@ -91,7 +91,7 @@
 	switch state := w.take(); {
 	case state == "ready":
 	case state == "drain" && c.Verb == SetState:
-		c.Out = true
+		c.Drained = true
 	default:
 		w.fail("state %q is not drain or ready", state)
 	}
--- a/runtime/runtime_test.go
+++ b/runtime/runtime_test.go
@@ -90,7 +90,7 @@
 		{Verb: AddServer, Table: 3, Endpoint: 18, Weight: 1e-3, Server: Server{Address: netip.MustParseAddrPort("[::1]:8001")}},
 		{Verb: SetWeight, Table: 3, Endpoint: 17, Weight: 0.25},
 		{Verb: DelServer, Table: 3, Endpoint: 4294967295},
-		{Verb: SetState, Endpoint: 17, Out: true},
+		{Verb: SetState, Endpoint: 17, Drained: true},
 		{Verb: SetState, Endpoint: 17},
 		{Verb: ClearState},
 		{Verb: SetMap, Table: 3, OpTypes: 0},
