--- a/pilot/moves.go
+++ b/pilot/moves.go
@@ -99,7 +99,7 @@
 	if d.Wake >= 0 {
 		m.wake.Reset(d.Wake)
 	}
-	if len(d.Records) > 0 || d.Known != nil || len(d.Updates) > 0 {
+	if len(d.Records) > 0 || d.KnownProxies != nil || len(d.Updates) > 0 {
 		orders := make([]bound, 0, len(d.Updates))
 		for _, o := range d.Updates {
 			if s := p.sessions[control.ProxyID(o.Proxy)]; s != nil {
@@ -215,8 +215,8 @@
 	for _, r := range done.Records {
 		d.next[r.Tenant] = r
 	}
-	if done.Known != nil {
-		d.known = done.Known
+	if done.KnownProxies != nil {
+		d.known = done.KnownProxies
 	}
 	if d.bound = append(d.bound, orders...); len(d.bound) > d.look {
 		d.bound = slices.DeleteFunc(d.bound, func(b bound) bool { return !there(b) })
@@ -254,7 +254,7 @@
 		case <-d.wake:
 		}
 		d.mu.Lock()
-		next, limits, orders := tenancy.StepResult{Records: slices.Collect(maps.Values(d.next)), Known: d.known}, d.limit, d.bound
+		next, limits, orders := tenancy.StepResult{Records: slices.Collect(maps.Values(d.next)), KnownProxies: d.known}, d.limit, d.bound
 		d.next, d.known, d.limit, d.bound = map[string]tenancy.Record{}, nil, nil, nil
 		d.mu.Unlock()
 		for {
--- a/tenancy/move.go
+++ b/tenancy/move.go
@@ -94,12 +94,12 @@
 // StepResult is what one step asks for: records to be kept first, then orders to be sent, and when to step again at the latest
 // (below 0: only when something happens).
 type StepResult struct {
-	Records []Record
-	Known   []ProxyID // not nil: keep this in place of the proxies kept before, with the records
-	Updates []BindingUpdate
-	Refused []error
-	Ended   []MoveResult
-	Wake    time.Duration
+	Records      []Record
+	KnownProxies []ProxyID // not nil: keep this in place of the proxies kept before, with the records
+	Updates      []BindingUpdate
+	Refused      []error
+	Ended        []MoveResult
+	Wake         time.Duration
 }
 
 // MoveResult says how a move ended and how long writes were held for it.
@@ -282,9 +282,9 @@
 
 // know has the known proxies kept.
 func (m *Mover) know() {
-	m.done.Known = slices.Sorted(maps.Keys(m.proxies))
-	if m.done.Known == nil {
-		m.done.Known = []ProxyID{}
+	m.done.KnownProxies = slices.Sorted(maps.Keys(m.proxies))
+	if m.done.KnownProxies == nil {
+		m.done.KnownProxies = []ProxyID{}
 	}
 }
 
--- a/tenancy/move_test.go
+++ b/tenancy/move_test.go
@@ -56,8 +56,8 @@
 	for _, r := range d.Records {
 		w.kept[r.Tenant] = r
 	}
-	if d.Known != nil {
-		w.known = d.Known
+	if d.KnownProxies != nil {
+		w.known = d.KnownProxies
 	}
 	for _, e := range d.Ended {
 		if e.Moved {
@@ -353,7 +353,7 @@
 	m := NewMover(MoveLimits{WriteLifetime: tick, DedupWindow: tick, Most: 10 * tick, Abreast: 2}, 1000, nil, nil)
 	now := time.Duration(0)
 	d := m.Step(now, Event{Joined: &Joined{Proxy: 1}}, Event{Joined: &Joined{Proxy: 2}})
-	if len(d.Updates) != 2 || !d.Updates[0].Clear || !slices.Equal(d.Known, []ProxyID{1, 2}) {
+	if len(d.Updates) != 2 || !d.Updates[0].Clear || !slices.Equal(d.KnownProxies, []ProxyID{1, 2}) {
 		t.Fatalf("%+v", d)
 	}
 	ask := func(name string, draw uint32) Event {
--- a/tenancy/store/store.go
+++ b/tenancy/store/store.go
@@ -179,7 +179,7 @@
 // Limits that stand take the place of those kept before where they are not nil.
 func (s *Store) Keep(d tenancy.StepResult, limits []tenancy.Sentence) (err error) {
 	defer s.guard(&err)()
-	if len(d.Records) == 0 && d.Known == nil && limits == nil {
+	if len(d.Records) == 0 && d.KnownProxies == nil && limits == nil {
 		return nil
 	}
 	err = s.db.Update(func(tx *bbolt.Tx) error {
@@ -192,8 +192,8 @@
 				return err
 			}
 		}
-		if d.Known != nil {
-			if err := put(tx, theKnown, d.Known); err != nil {
+		if d.KnownProxies != nil {
+			if err := put(tx, theKnown, d.KnownProxies); err != nil {
 				return err
 			}
 		}
--- a/tenancy/store/store_test.go
+++ b/tenancy/store/store_test.go
@@ -33,7 +33,7 @@
 		for v := range uint64(3) {
 			r := tenancy.Record{Tenant: n, Placement: tenancy.Placement{Draw: uint32(i), Pods: []tenancy.PodID{7}}, Number: v, Phase: tenancy.Draining,
 				Queued: &tenancy.MoveRequest{Tenant: n, Waits: true}}
-			if err := s.Keep(tenancy.StepResult{Records: []tenancy.Record{r}, Known: []tenancy.ProxyID{1, 2, 3}}, []tenancy.Sentence{{Limit: tenancy.Limit{Tenant: n, Rate: 2, Fenced: true}, Fences: 3}}); err != nil {
+			if err := s.Keep(tenancy.StepResult{Records: []tenancy.Record{r}, KnownProxies: []tenancy.ProxyID{1, 2, 3}}, []tenancy.Sentence{{Limit: tenancy.Limit{Tenant: n, Rate: 2, Fenced: true}, Fences: 3}}); err != nil {
 				t.Fatal(err)
 			}
 			want[n] = r
@@ -60,7 +60,7 @@
 	made := func(name string, change func(tx *bbolt.Tx) error) string {
 		path := filepath.Join(dir, name)
 		s := open(t, path)
-		if err := s.Keep(tenancy.StepResult{Records: []tenancy.Record{{Tenant: "a"}}, Known: []tenancy.ProxyID{1}}, nil); err != nil {
+		if err := s.Keep(tenancy.StepResult{Records: []tenancy.Record{{Tenant: "a"}}, KnownProxies: []tenancy.ProxyID{1}}, nil); err != nil {
 			t.Fatal(err)
 		}
 		if err := s.db.Update(change); err != nil {
