--- a/pilot/moves.go
+++ b/pilot/moves.go
@@ -66,10 +66,10 @@
 	if w.Abreast <= 0 {
 		w.Abreast = defaultAbreast
 	}
-	p.mover = &mover{Mover: tenancy.NewMover(w, kept.Born, kept.Records, kept.Known), store: s, wake: p.host.After(0, func() { p.move() }),
+	p.mover = &mover{Mover: tenancy.NewMover(w, kept.Born, kept.Records, kept.KnownProxies), store: s, wake: p.host.After(0, func() { p.move() }),
 		kept: kept.Sentences}
 	p.mover.disk = startDisk(s, p.log, func(orders []bound) { p.post(func() { p.bindings(orders) }) })
-	p.log.Info("tenants may be moved", "store", f.Store, "moved", len(kept.Records), "proxies", len(kept.Known))
+	p.log.Info("tenants may be moved", "store", f.Store, "moved", len(kept.Records), "proxies", len(kept.KnownProxies))
 	return nil
 }
 
--- a/tenancy/store/store.go
+++ b/tenancy/store/store.go
@@ -218,9 +218,9 @@
 
 // Contents is all that a store holds.
 type Contents struct {
-	Born    uint64 // microseconds since 1970 at which the store was made: below the numbers of all its orders
-	Records []tenancy.Record
-	Known   []tenancy.ProxyID
+	Born         uint64 // microseconds since 1970 at which the store was made: below the numbers of all its orders
+	Records      []tenancy.Record
+	KnownProxies []tenancy.ProxyID
 
 	Sentences []tenancy.Sentence // limits that stand
 }
@@ -239,7 +239,7 @@
 			return nil
 		})
 		if b := tx.Bucket(proxies).Get(theKnown); err == nil && b != nil {
-			err = s.unseal("the proxies", b, &k.Known)
+			err = s.unseal("the proxies", b, &k.KnownProxies)
 		}
 		if b := tx.Bucket(proxies).Get(theLimits); err == nil && b != nil {
 			err = s.unseal("the limits", b, &k.Sentences)
--- a/tenancy/store/store_test.go
+++ b/tenancy/store/store_test.go
@@ -44,7 +44,7 @@
 	}
 	s.Close()
 	kept, err := open(t, path).Load()
-	if err != nil || len(kept.Records) != len(names) || !reflect.DeepEqual(kept.Known, []tenancy.ProxyID{1, 2, 3}) || kept.Born == 0 || len(kept.Sentences) != 1 || kept.Sentences[0].Fences != 3 {
+	if err != nil || len(kept.Records) != len(names) || !reflect.DeepEqual(kept.KnownProxies, []tenancy.ProxyID{1, 2, 3}) || kept.Born == 0 || len(kept.Sentences) != 1 || kept.Sentences[0].Fences != 3 {
 		t.Fatal(kept, err)
 	}
 	for _, r := range kept.Records {
@@ -135,7 +135,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	again := tenancy.NewMover(waits, 5, kept.Records, kept.Known)
+	again := tenancy.NewMover(waits, 5, kept.Records, kept.KnownProxies)
 	one, _ := m.Of("a")
 	two, ok := again.Of("a")
 	if !ok || fmt.Sprint(one) != fmt.Sprint(two) || two.Phase != tenancy.Holding {
