--- a/pilot/moves.go
+++ b/pilot/moves.go
@@ -58,10 +58,10 @@
 		s.Close()
 		return err
 	}
-	w := tenancy.MoveLimits{Most: f.Most.Span(), Abreast: f.Abreast}
+	w := tenancy.MoveLimits{MaxHold: f.Most.Span(), Abreast: f.Abreast}
 	w.WriteLifetime, w.DedupWindow = tenancy.MoveDurations(p.facts.OpTypes, p.file.Service.WriteLife.Span())
-	if w.Most <= 0 {
-		w.Most = 10 * (w.WriteLifetime + w.DedupWindow)
+	if w.MaxHold <= 0 {
+		w.MaxHold = 10 * (w.WriteLifetime + w.DedupWindow)
 	}
 	if w.Abreast <= 0 {
 		w.Abreast = defaultAbreast
--- a/tenancy/bench_test.go
+++ b/tenancy/bench_test.go
@@ -29,7 +29,7 @@
 func BenchmarkJoin(b *testing.B) {
 	for _, has := range []bool{false, true} {
 		b.Run(fmt.Sprintf("knows %t", has), func(b *testing.B) {
-			m := NewMover(MoveLimits{Most: time.Hour}, 1, nil, nil)
+			m := NewMover(MoveLimits{MaxHold: time.Hour}, 1, nil, nil)
 			for i := range 10_000 {
 				m.Step(0, Event{MoveRequest: &MoveRequest{Tenant: fmt.Sprint("newsroom-", i), To: Placement{Draw: 1}}})
 			}
--- a/tenancy/move.go
+++ b/tenancy/move.go
@@ -19,7 +19,7 @@
 type MoveLimits struct {
 	WriteLifetime time.Duration // longest that a write stays in hand at a proxy or server
 	DedupWindow   time.Duration // longest that servers of one group drop a repeat, which those of another would not
-	Most          time.Duration // longest that a tenant is held; a move that needs more is cancelled
+	MaxHold       time.Duration // longest that a tenant is held; a move that needs more is cancelled
 	Abreast       int           // moves at a time; those beyond wait their turn. 0: any number
 }
 
@@ -191,7 +191,7 @@
 func (m *Mover) Moving(now time.Duration) (out []MoveStatus, waiting int) {
 	for _, name := range slices.Sorted(maps.Keys(m.moving)) {
 		t := m.moving[name]
-		s := MoveStatus{Record: clone(t.Record), Held: now - t.held, Left: t.held + m.waits.Most - now, Awaited: slices.Sorted(maps.Keys(t.awaited))}
+		s := MoveStatus{Record: clone(t.Record), Held: now - t.held, Left: t.held + m.waits.MaxHold - now, Awaited: slices.Sorted(maps.Keys(t.awaited))}
 		for _, p := range s.Awaited {
 			if !m.proxies[p] {
 				s.Away = append(s.Away, p)
@@ -433,7 +433,7 @@
 		t.Phase, t.since = Draining, m.now
 		m.touched[t.Tenant] = true
 	}
-	wait := t.held + m.waits.Most - m.now
+	wait := t.held + m.waits.MaxHold - m.now
 	if t.Phase == Draining {
 		left := t.since + m.waits.WriteLifetime + m.waits.DedupWindow - m.now
 		if left <= 0 && !t.Waits {
--- a/tenancy/move_test.go
+++ b/tenancy/move_test.go
@@ -205,7 +205,7 @@
 // cancels, moves on moves; and once the streams stay up, every move ends and every proxy opens at the same seat. The pilot
 // keeps that alone, the proxies' own waits aside. The same worlds find the bugs that are planted by waiting out less.
 func TestMoves(t *testing.T) {
-	good := MoveLimits{WriteLifetime: write, DedupWindow: window, Most: 12 * tick}
+	good := MoveLimits{WriteLifetime: write, DedupWindow: window, MaxHold: 12 * tick}
 	moves := 0
 	for seed := range uint64(4000) {
 		w := newWorld(seed, good, time.Duration(seed%2)*(write+window), 3)
@@ -251,7 +251,7 @@
 	if moves < 1000 {
 		t.Errorf("only %d moves came to their end", moves)
 	}
-	for name, bad := range map[string]MoveLimits{"no window": {WriteLifetime: write, Most: 12 * tick}, "no write": {Most: 12 * tick}} {
+	for name, bad := range map[string]MoveLimits{"no window": {WriteLifetime: write, MaxHold: 12 * tick}, "no write": {MaxHold: 12 * tick}} {
 		checkFound(t, name, 4000, func(seed uint64) int {
 			w := newWorld(seed, bad, 0, 2)
 			for range 300 {
@@ -350,7 +350,7 @@
 // What is asked wrongly is refused; moves beyond the number that may go on at a time wait their turn, in order; one that a
 // proxy never confirms is cancelled and the tenant opens where it was; one that waits opens when told.
 func TestAsking(t *testing.T) {
-	m := NewMover(MoveLimits{WriteLifetime: tick, DedupWindow: tick, Most: 10 * tick, Abreast: 2}, 1000, nil, nil)
+	m := NewMover(MoveLimits{WriteLifetime: tick, DedupWindow: tick, MaxHold: 10 * tick, Abreast: 2}, 1000, nil, nil)
 	now := time.Duration(0)
 	d := m.Step(now, Event{Joined: &Joined{Proxy: 1}}, Event{Joined: &Joined{Proxy: 2}})
 	if len(d.Updates) != 2 || !d.Updates[0].Clear || !slices.Equal(d.KnownProxies, []ProxyID{1, 2}) {
@@ -413,7 +413,7 @@
 
 // Ten thousand moves at a time that begin as others end all come to their end, and a step stays short.
 func TestManyMoves(t *testing.T) {
-	m := NewMover(MoveLimits{WriteLifetime: tick, DedupWindow: tick, Most: 10 * tick, Abreast: 500}, 1, nil, nil)
+	m := NewMover(MoveLimits{WriteLifetime: tick, DedupWindow: tick, MaxHold: 10 * tick, Abreast: 500}, 1, nil, nil)
 	for p := range ProxyID(20) {
 		m.Step(0, Event{Joined: &Joined{Proxy: p}})
 	}
--- a/tenancy/store/store_test.go
+++ b/tenancy/store/store_test.go
@@ -120,7 +120,7 @@
 // A Mover that goes on from its store is where it was, step for step.
 func TestMoverFromStore(t *testing.T) {
 	s := open(t, filepath.Join(t.TempDir(), "tenants.db"))
-	waits := tenancy.MoveLimits{WriteLifetime: 1, DedupWindow: 1, Most: 1 << 40}
+	waits := tenancy.MoveLimits{WriteLifetime: 1, DedupWindow: 1, MaxHold: 1 << 40}
 	m := tenancy.NewMover(waits, 5, nil, nil)
 	for id := range tenancy.ProxyID(3) {
 		if err := s.Keep(m.Step(0, tenancy.Event{Joined: &tenancy.Joined{Proxy: id}}), nil); err != nil {
