--- a/lab/check.go
+++ b/lab/check.go
@@ -215,13 +215,13 @@
 					break
 				}
 				switch c := line[0]; {
-				case c.Is("welcome"):
+				case c.HasPrefix("welcome"):
 					w, err := runtime.ParseWelcome(c)
 					if err != nil {
 						return err
 					}
 					s.joined, s.run, s.resumed = p.Gone, w.Run, w.Resumed
-				case c.Is("apply"):
+				case c.HasPrefix("apply"):
 					m, err := runtime.ParseMessage(c)
 					if err != nil {
 						return err
--- a/lab/orders_test.go
+++ b/lab/orders_test.go
@@ -193,7 +193,7 @@
 	scan := wire.NewScanner(wire.StreamBounds)
 	scan.Feed(b)
 	for line, ok, err := scan.Next(); ok && err == nil; line, ok, err = scan.Next() {
-		if m, err := wire.ParseMessage(line[0]); err == nil && line[0].Is("apply") {
+		if m, err := wire.ParseMessage(line[0]); err == nil && line[0].HasPrefix("apply") {
 			f.variant.alter(m)
 			out = m.Append(out)
 			continue
--- a/proxy/pilot_stream.go
+++ b/proxy/pilot_stream.go
@@ -103,15 +103,15 @@
 
 func (s *pilotStream) handle(c *stream.Conn, cmd runtime.Command) error {
 	switch {
-	case cmd.Is("welcome"):
+	case cmd.HasPrefix("welcome"):
 		return s.handleWelcome(c, cmd)
-	case cmd.Is("refused"), cmd.Is("away"):
+	case cmd.HasPrefix("refused"), cmd.HasPrefix("away"):
 		return s.handleGoAway(c, cmd)
-	case cmd.Is("send", "tables"):
+	case cmd.HasPrefix("send", "tables"):
 		return s.handleAsk(c, cmd)
-	case cmd.Is("ping"):
+	case cmd.HasPrefix("ping"):
 		return nil // Data has noted that something came
-	case cmd.Is("apply"):
+	case cmd.HasPrefix("apply"):
 		return s.handleMessage(cmd)
 	case s.welcome.Wire > runtime.Wire:
 		s.orders.log.Debug("a command of a later version is passed over", "command", cmd.String())
--- a/proxy/room_probe.go
+++ b/proxy/room_probe.go
@@ -40,7 +40,7 @@
 func (r *roomProbe) Data(_ *stream.Conn, b []byte) {
 	r.scanner.Feed(b)
 	if line, ok, err := r.scanner.Next(); ok || err != nil {
-		r.report(ok && line[0].Is(runtime.Room))
+		r.report(ok && line[0].HasPrefix(runtime.Room))
 	}
 }
 
--- a/runtime/grammar.go
+++ b/runtime/grammar.go
@@ -33,8 +33,8 @@
 
 func (c Command) String() string { return strings.Join(c.Words, " ") }
 
-// Is tells whether the command begins with these words.
-func (c Command) Is(words ...string) bool {
+// HasPrefix tells whether the command begins with these words.
+func (c Command) HasPrefix(words ...string) bool {
 	if len(c.Words) < len(words) {
 		return false
 	}
--- a/runtime/handshake.go
+++ b/runtime/handshake.go
@@ -170,7 +170,7 @@
 // ParseGoAway reads one.
 func ParseGoAway(c Command) (GoAway, error) {
 	w := &wordReader{words: c.Words}
-	g := GoAway{Joined: c.Is("away")}
+	g := GoAway{Joined: c.HasPrefix("away")}
 	if w.take(); !g.Joined {
 		g.Reason = w.take()
 	}
--- a/session/session.go
+++ b/session/session.go
@@ -138,13 +138,13 @@
 func (s *conversation) answer(cmd runtime.Command) []byte {
 	var w bytes.Buffer
 	switch {
-	case cmd.Is("prompt"):
+	case cmd.HasPrefix("prompt"):
 		s.interactive = !s.interactive
 		return []byte("\n")
-	case cmd.Is("quit"):
+	case cmd.HasPrefix("quit"):
 		s.done = true
 		return []byte("\n")
-	case cmd.Is("help"):
+	case cmd.HasPrefix("help"):
 		s.l.help(&w)
 	default:
 		if err := s.l.run(&w, cmd); err != nil {
@@ -178,7 +178,7 @@
 	var best *Command
 	for i := range l.commands {
 		c := &l.commands[i]
-		if cmd.Is(strings.Fields(c.Prefix)...) && (best == nil || len(c.Prefix) > len(best.Prefix)) {
+		if cmd.HasPrefix(strings.Fields(c.Prefix)...) && (best == nil || len(c.Prefix) > len(best.Prefix)) {
 			best = c
 		}
 	}
