--- a/cmd/vetchdoor/logs.go
+++ b/cmd/vetchdoor/logs.go
@@ -38,7 +38,7 @@
 		var h *syslog.Handler
 		ready := make(chan struct{})
 		s, err := syslog.Start(syslog.Config{Network: f.Network, Address: f.Address, Buffer: f.Buffer, Spool: f.Spool, SpoolAt: f.SpoolBytes,
-			CA: f.CA, Cert: f.Cert, Key: f.Key, Name: f.Name}, slog.Default(), uint64(time.Now().UnixNano()),
+			CA: f.CA, Cert: f.Cert, Key: f.Key, ServerName: f.Name}, slog.Default(), uint64(time.Now().UnixNano()),
 			func(dropped [syslog.Debug + 1]uint64, torn uint64) {
 				<-ready
 				h.Lost(dropped, torn)
--- a/syslog/sender.go
+++ b/syslog/sender.go
@@ -19,17 +19,17 @@
 
 // Config is where records go and what may wait on the way.
 type Config struct {
-	Network string // udp (RFC 5426), tcp (RFC 6587, octets counted), tls (RFC 5425), unixgram, or file: a line each
-	Address string
-	Buffer  int    // records in memory; 0: 4096
-	Spool   string // a directory for those that memory has no room for; empty: none
-	SpoolAt int64  // bytes in it at most; 0: 64 MiB
-	Longest int    // bytes of a message; 0: 1400 over udp and unixgram, else 8192
-	CA      string // PEM files, for tls; read anew for each connection
-	Cert    string
-	Key     string
-	Name    string        // the receiver's in its certificate; empty: the address's host
-	Patient time.Duration // how long a write may take; 0: 5 s
+	Network    string // udp (RFC 5426), tcp (RFC 6587, octets counted), tls (RFC 5425), unixgram, or file: a line each
+	Address    string
+	Buffer     int    // records in memory; 0: 4096
+	Spool      string // a directory for those that memory has no room for; empty: none
+	SpoolAt    int64  // bytes in it at most; 0: 64 MiB
+	Longest    int    // bytes of a message; 0: 1400 over udp and unixgram, else 8192
+	CA         string // PEM files, for tls; read anew for each connection
+	Cert       string
+	Key        string
+	ServerName string        // the receiver's in its certificate; empty: the address's host
+	Patient    time.Duration // how long a write may take; 0: 5 s
 }
 
 // Bounds of the queue and the way back to a receiver.
@@ -275,7 +275,7 @@
 
 // credentials reads the files anew; material tells one reading from another.
 func (r *Config) credentials() (*tls.Config, string, error) {
-	conf := &tls.Config{ServerName: r.Name, MinVersion: tls.VersionTLS12}
+	conf := &tls.Config{ServerName: r.ServerName, MinVersion: tls.VersionTLS12}
 	if conf.ServerName == "" {
 		conf.ServerName, _, _ = net.SplitHostPort(r.Address)
 	}
--- a/syslog/sender_test.go
+++ b/syslog/sender_test.go
@@ -113,7 +113,7 @@
 				address = filepath.Join(t.TempDir(), "log")
 			case "tls":
 				conf = ca.server(t, "receiver.example", time.Hour)
-				route.CA, route.Name = ca.file, "receiver.example"
+				route.CA, route.ServerName = ca.file, "receiver.example"
 			}
 			r := listen(t, network, address, conf)
 			route.Address = r.Address()
@@ -391,7 +391,7 @@
 	refused := func(conf *tls.Config) (*receiver.Receiver, *Sender) {
 		t.Helper()
 		r := listen(t, "tls", "127.0.0.1:0", conf)
-		s := begin(t, Config{Network: "tls", Address: r.Address(), CA: ca.file, Name: "receiver.example", Patient: 100 * time.Millisecond})
+		s := begin(t, Config{Network: "tls", Address: r.Address(), CA: ca.file, ServerName: "receiver.example", Patient: 100 * time.Millisecond})
 		s.Put(Error, numbered(1, Error))
 		until(t, "tried", func() bool { return s.Counts().Failures > 1 })
 		return r, s
