--- a/pilot/moves.go
+++ b/pilot/moves.go
@@ -58,13 +58,13 @@
 		s.Close()
 		return err
 	}
-	w := tenancy.MoveLimits{MaxHold: f.Most.Span(), Abreast: f.Abreast}
+	w := tenancy.MoveLimits{MaxHold: f.Most.Span(), MaxConcurrent: f.Abreast}
 	w.WriteLifetime, w.DedupWindow = tenancy.MoveDurations(p.facts.OpTypes, p.file.Service.WriteLife.Span())
 	if w.MaxHold <= 0 {
 		w.MaxHold = 10 * (w.WriteLifetime + w.DedupWindow)
 	}
-	if w.Abreast <= 0 {
-		w.Abreast = defaultAbreast
+	if w.MaxConcurrent <= 0 {
+		w.MaxConcurrent = defaultAbreast
 	}
 	p.mover = &mover{Mover: tenancy.NewMover(w, kept.Born, kept.Records, kept.KnownProxies), store: s, wake: p.host.After(0, func() { p.move() }),
 		kept: kept.Sentences}
--- a/tenancy/move.go
+++ b/tenancy/move.go
@@ -20,7 +20,7 @@
 	WriteLifetime time.Duration // longest that a write stays in hand at a proxy or server
 	DedupWindow   time.Duration // longest that servers of one group drop a repeat, which those of another would not
 	MaxHold       time.Duration // longest that a tenant is held; a move that needs more is cancelled
-	Abreast       int           // moves at a time; those beyond wait their turn. 0: any number
+	MaxConcurrent int           // moves at a time; those beyond wait their turn. 0: any number
 }
 
 // Phase is how far a move is.
@@ -413,7 +413,7 @@
 	}
 	for i := 0; i < len(m.queue); {
 		t := m.queue[i]
-		if m.waits.Abreast > 0 && len(m.moving) >= m.waits.Abreast {
+		if m.waits.MaxConcurrent > 0 && len(m.moving) >= m.waits.MaxConcurrent {
 			break
 		}
 		if t.Phase != Settled { // its turn is after the one that it is in
--- a/tenancy/move_test.go
+++ b/tenancy/move_test.go
@@ -350,7 +350,7 @@
 // What is asked wrongly is refused; moves beyond the number that may go on at a time wait their turn, in order; one that a
 // proxy never confirms is cancelled and the tenant opens where it was; one that waits opens when told.
 func TestAsking(t *testing.T) {
-	m := NewMover(MoveLimits{WriteLifetime: tick, DedupWindow: tick, MaxHold: 10 * tick, Abreast: 2}, 1000, nil, nil)
+	m := NewMover(MoveLimits{WriteLifetime: tick, DedupWindow: tick, MaxHold: 10 * tick, MaxConcurrent: 2}, 1000, nil, nil)
 	now := time.Duration(0)
 	d := m.Step(now, Event{Joined: &Joined{Proxy: 1}}, Event{Joined: &Joined{Proxy: 2}})
 	if len(d.Updates) != 2 || !d.Updates[0].Clear || !slices.Equal(d.KnownProxies, []ProxyID{1, 2}) {
@@ -413,7 +413,7 @@
 
 // Ten thousand moves at a time that begin as others end all come to their end, and a step stays short.
 func TestManyMoves(t *testing.T) {
-	m := NewMover(MoveLimits{WriteLifetime: tick, DedupWindow: tick, MaxHold: 10 * tick, Abreast: 500}, 1, nil, nil)
+	m := NewMover(MoveLimits{WriteLifetime: tick, DedupWindow: tick, MaxHold: 10 * tick, MaxConcurrent: 500}, 1, nil, nil)
 	for p := range ProxyID(20) {
 		m.Step(0, Event{Joined: &Joined{Proxy: p}})
 	}
