--- a/members/members.go
+++ b/members/members.go
@@ -44,14 +44,14 @@
 
 // Config is what is needed to take part.
 type Config struct {
-	Name   string // a pilot's, one each
-	Bind   string // HOST:PORT, UDP and TCP
-	Others []string
-	Keys   []string // base64 of 16, 24 or 32 bytes, the first one writes
-	Allow  []string // networks whose addresses are heard; empty: none but loopback
-	Log    *slog.Logger
-	Tell   func() PilotStatus // called now and then, by a goroutine of its own; must not wait
-	Every  time.Duration
+	Name  string // a pilot's, one each
+	Bind  string // HOST:PORT, UDP and TCP
+	Peers []string
+	Keys  []string // base64 of 16, 24 or 32 bytes, the first one writes
+	Allow []string // networks whose addresses are heard; empty: none but loopback
+	Log   *slog.Logger
+	Tell  func() PilotStatus // called now and then, by a goroutine of its own; must not wait
+	Every time.Duration
 }
 
 // Members is a running gossip.
@@ -137,8 +137,8 @@
 	t := time.NewTicker(m.g.Every)
 	defer t.Stop()
 	for i := 0; ; i++ {
-		if i%10 == 0 && m.list.NumMembers() <= len(m.g.Others) && len(m.g.Others) > 0 {
-			if _, err := m.list.Join(m.g.Others); err != nil {
+		if i%10 == 0 && m.list.NumMembers() <= len(m.g.Peers) && len(m.g.Peers) > 0 {
+			if _, err := m.list.Join(m.g.Peers); err != nil {
 				m.g.Log.Debug("other pilots not heard", "error", err)
 			}
 		}
--- a/members/members_test.go
+++ b/members/members_test.go
@@ -43,7 +43,7 @@
 func start(t *testing.T, name string, keys []string, others ...string) (*Members, *atomic.Int64) {
 	t.Helper()
 	var proxies atomic.Int64
-	m, err := Start(Config{Name: name, Bind: freePort(t), Others: others, Keys: keys, Log: quiet, Every: 20 * time.Millisecond,
+	m, err := Start(Config{Name: name, Bind: freePort(t), Peers: others, Keys: keys, Log: quiet, Every: 20 * time.Millisecond,
 		Tell: func() PilotStatus { return PilotStatus{Pilot: name, Zone: "z", Proxies: int(proxies.Load())} }})
 	if err != nil {
 		t.Fatal(err)
--- a/pilot/fleet_test.go
+++ b/pilot/fleet_test.go
@@ -178,7 +178,7 @@
 	a.until("both", all(a, "\na,z,", "\nb,z,", "Pilots: 2"))
 	b.until("both", all(b, "\na,z,", "\nb,z,", "Pilots: 2"))
 	before := count[control.Event](module)
-	forged, err := members.Start(members.Config{Name: "zz", Bind: gossip(), Others: []string{a.p.file.Members.Bind}, Keys: []string{key},
+	forged, err := members.Start(members.Config{Name: "zz", Bind: gossip(), Peers: []string{a.p.file.Members.Bind}, Keys: []string{key},
 		Log: slog.New(slog.DiscardHandler), Tell: func() members.PilotStatus {
 			return members.PilotStatus{Pilot: "a", Proxies: 1 << 30, ListVersion: 1 << 60}
 		}})
