--- a/cmd/vetchdoor/logs.go
+++ b/cmd/vetchdoor/logs.go
@@ -41,7 +41,7 @@
 			CA: f.CA, Cert: f.Cert, Key: f.Key, ServerName: f.Name}, slog.Default(), uint64(time.Now().UnixNano()),
 			func(dropped [syslog.Debug + 1]uint64, torn uint64) {
 				<-ready
-				h.Lost(dropped, torn)
+				h.ReportLoss(dropped, torn)
 			})
 		if err != nil {
 			l.close()
--- a/syslog/handler.go
+++ b/syslog/handler.go
@@ -185,8 +185,8 @@
 	h.sender.Put(s, m.Append(make([]byte, 0, 512), h.sender.Longest()))
 }
 
-// Lost is what a Sender's announce does: a record of what was dropped, sent once records flow again.
-func (h *Handler) Lost(dropped [Debug + 1]uint64, torn uint64) {
+// ReportLoss is what a Sender's announce does: a record of what was dropped, sent once records flow again.
+func (h *Handler) ReportLoss(dropped [Debug + 1]uint64, torn uint64) {
 	params := []placed{}
 	for s, n := range dropped {
 		if n > 0 {
--- a/syslog/handler_test.go
+++ b/syslog/handler_test.go
@@ -148,7 +148,7 @@
 // What was lost is told with its counts.
 func TestLost(t *testing.T) {
 	h, take := handled(t, Identity{App: "a", Host: "h"})
-	h.Lost([Debug + 1]uint64{Error: 2, Debug: 900}, 3)
+	h.ReportLoss([Debug + 1]uint64{Error: 2, Debug: 900}, 3)
 	m := take()
 	if len(m) != 1 || m[0].ID != "lost" || m[0].Priority != int(Warning) {
 		t.Fatalf("%+v", m)
