--- a/lab/check.go
+++ b/lab/check.go
@@ -200,7 +200,7 @@
 					s.hello = b
 				case runtime.Confirmation:
 					if m := byNumber[b.Number]; m != nil && m.confirmed < 0 {
-						m.confirmed, m.reapplied = p.Came, b.Again
+						m.confirmed, m.reapplied = p.Came, b.Duplicate
 					}
 				}
 			}
--- a/proxy/apply_queued.go
+++ b/proxy/apply_queued.go
@@ -62,7 +62,7 @@
 		s.refuseMessage(m, err)
 		return
 	}
-	confirmation := runtime.Confirmation{Run: m.Run, Number: m.Number, Checkpoint: m.Checkpoint, Again: duplicate}
+	confirmation := runtime.Confirmation{Run: m.Run, Number: m.Number, Checkpoint: m.Checkpoint, Duplicate: duplicate}
 	_ = s.conn.Send(confirmation.Append(nil))
 }
 
--- a/runtime/block.go
+++ b/runtime/block.go
@@ -95,7 +95,7 @@
 type Confirmation struct {
 	Run, Number uint64
 	Checkpoint  int // below 0: none
-	Again       bool
+	Duplicate   bool
 }
 
 // Append appends the block.
@@ -104,7 +104,7 @@
 	if f.Checkpoint >= 0 {
 		b = fmt.Appendf(b, " checkpoint %d", f.Checkpoint)
 	}
-	if f.Again {
+	if f.Duplicate {
 		b = append(b, " again"...)
 	}
 	return append(b, "\n\n"...)
@@ -118,7 +118,7 @@
 	}
 	if len(w.words) > 0 {
 		w.expect("again")
-		f.Again = true
+		f.Duplicate = true
 	}
 	return f
 }
