--- a/cmd/vetchdoor/logs.go
+++ b/cmd/vetchdoor/logs.go
@@ -77,7 +77,7 @@
 			dropped += n
 		}
 		fmt.Fprintf(w, "Log_%d_made: %d\nLog_%d_sent: %d\nLog_%d_dropped: %d\nLog_%d_suppressed: %d\nLog_%d_spooled: %d\nLog_%d_waiting: %d\nLog_%d_failures: %d\n",
-			i, c.Made, i, c.Sent, i, dropped, i, c.Suppressed, i, c.Spooled, i, c.Waiting, i, c.Failures)
+			i, c.Logged, i, c.Sent, i, dropped, i, c.Suppressed, i, c.Spooled, i, c.Waiting, i, c.Failures)
 	}
 }
 
--- a/lab/records_test.go
+++ b/lab/records_test.go
@@ -40,7 +40,7 @@
 		t.Fatal(err)
 	}
 	out.Close()
-	if c := out.Counts(); c.Sent != c.Made {
+	if c := out.Counts(); c.Sent != c.Logged {
 		t.Fatalf("%+v", c)
 	}
 	f, err := os.Open(path)
--- a/syslog/handler_test.go
+++ b/syslog/handler_test.go
@@ -126,7 +126,7 @@
 	if count["flaps"] != 20 || count["another"] != 10 || count["grave"] != 10 {
 		t.Errorf("%v", count)
 	}
-	if c := h.sender.Counts(); c.Suppressed != 980 || c.Made != 980+40 {
+	if c := h.sender.Counts(); c.Suppressed != 980 || c.Logged != 980+40 {
 		t.Errorf("%+v", c)
 	}
 	now = now.Add(tellEvery)
--- a/syslog/sender.go
+++ b/syslog/sender.go
@@ -47,7 +47,7 @@
 
 // Counts are what became of all records so far. Made and Restored together are the sum of the others.
 type Counts struct {
-	Made       uint64 // by this process
+	Logged     uint64 // by this process
 	Restored   uint64 // found in the spool at its start
 	Sent       uint64
 	Dropped    [Debug + 1]uint64 // by severity
@@ -146,7 +146,7 @@
 	defer s.head.Unlock()
 	c := Counts{Restored: s.restored, Suppressed: s.suppress.Load(), Connects: s.connects.Load(), Failures: s.failures.Load()}
 	s.queue.mu.Lock()
-	c.Made, c.Dropped, c.Waiting = s.queue.made+c.Suppressed, s.queue.dropped, uint64(s.queue.count)+uint64(s.inHand.Load())
+	c.Logged, c.Dropped, c.Waiting = s.queue.made+c.Suppressed, s.queue.dropped, uint64(s.queue.count)+uint64(s.inHand.Load())
 	c.Sent = s.sent.Load()
 	s.queue.mu.Unlock()
 	if s.spool != nil {
--- a/syslog/sender_test.go
+++ b/syslog/sender_test.go
@@ -67,8 +67,8 @@
 // exact holds the books against each other.
 func exact(t *testing.T, c Counts) {
 	t.Helper()
-	if sum := c.Sent + sumOf(c.Dropped) + c.Suppressed + c.Spooled + c.Waiting + c.Torn; sum != c.Made+c.Restored {
-		t.Fatalf("%d made and %d restored, but %d in all: %+v", c.Made, c.Restored, sum, c)
+	if sum := c.Sent + sumOf(c.Dropped) + c.Suppressed + c.Spooled + c.Waiting + c.Torn; sum != c.Logged+c.Restored {
+		t.Fatalf("%d made and %d restored, but %d in all: %+v", c.Logged, c.Restored, sum, c)
 	}
 }
 
