--- a/logbook/logbook_test.go
+++ b/logbook/logbook_test.go
@@ -24,7 +24,7 @@
 	for i := 0; i < len(params); i += 2 {
 		e.Params = append(e.Params, syslog.Param{Name: params[i], Value: params[i+1]})
 	}
-	m := syslog.Message{Facility: syslog.Daemon, Severity: syslog.Notice, Time: time.UnixMicro(born).Add(at).UTC(), Host: "h", App: "vetchdoor-pilot", ID: kind,
+	m := syslog.Message{Facility: syslog.Daemon, Severity: syslog.Notice, Time: time.UnixMicro(born).Add(at).UTC(), Host: "h", App: "vetchdoor-pilot", MsgID: kind,
 		Data: []syslog.Element{e}, Text: "text"}
 	return string(m.Append(nil, 8000))
 }
@@ -160,7 +160,7 @@
 		return s
 	}
 	for range 3000 {
-		m := syslog.Message{Facility: syslog.Local0, Severity: syslog.Severity(rng.IntN(8)), Time: time.Unix(rng.Int64N(4e9), 0).UTC(), Host: "h", App: "a", ID: "kind"}
+		m := syslog.Message{Facility: syslog.Local0, Severity: syslog.Severity(rng.IntN(8)), Time: time.Unix(rng.Int64N(4e9), 0).UTC(), Host: "h", App: "a", MsgID: "kind"}
 		for i := range rng.IntN(3) {
 			e := syslog.Element{ID: fmt.Sprintf("e%d@1", i)}
 			for j := range rng.IntN(4) {
--- a/syslog/handler.go
+++ b/syslog/handler.go
@@ -172,7 +172,7 @@
 }
 
 func (h *Handler) send(at time.Time, s Severity, kind string, params []placed, text string) {
-	m := Message{Facility: h.who.Facility, Severity: s, Time: at, Host: h.who.Host, App: h.who.App, Proc: h.proc, ID: kind, Text: text}
+	m := Message{Facility: h.who.Facility, Severity: s, Time: at, Host: h.who.Host, App: h.who.App, Proc: h.proc, MsgID: kind, Text: text}
 	for _, p := range params {
 		id := p.element + "@" + Enterprise
 		i := slices.IndexFunc(m.Data, func(e Element) bool { return e.ID == id })
--- a/syslog/message.go
+++ b/syslog/message.go
@@ -58,7 +58,7 @@
 	Host     string // 255 characters at most
 	App      string // 48
 	Proc     string // 128
-	ID       string // 32
+	MsgID    string // 32
 	Data     []Element
 	Text     string
 }
@@ -84,7 +84,7 @@
 	for _, f := range [...]struct {
 		s    string
 		most int
-	}{{m.Host, 255}, {m.App, 48}, {m.Proc, 128}, {m.ID, 32}} {
+	}{{m.Host, 255}, {m.App, 48}, {m.Proc, 128}, {m.MsgID, 32}} {
 		b = appendPrintable(append(b, ' '), f.s, f.most)
 	}
 	b = append(b, ' ')
--- a/syslog/message_test.go
+++ b/syslog/message_test.go
@@ -16,13 +16,13 @@
 	event := Element{"exampleSDID@32473", []Param{{"iut", "3"}, {"eventSource", "Application"}, {"eventID", "1011"}}}
 	for want, m := range map[string]Message{
 		"<34>1 2003-10-11T22:14:15.003000Z mymachine.example.com su - ID47 - 'su root' failed for lonvick on /dev/pts/8": {Facility: 4, Severity: Critical,
-			Time: at, Host: "mymachine.example.com", App: "su", ID: "ID47", Text: "'su root' failed for lonvick on /dev/pts/8"},
+			Time: at, Host: "mymachine.example.com", App: "su", MsgID: "ID47", Text: "'su root' failed for lonvick on /dev/pts/8"},
 		"<165>1 2003-08-24T05:14:15.000003-07:00 192.0.2.1 myproc 8710 - - %% It's time to make the do-nuts.": {Facility: 20, Severity: Notice,
 			Time: time.Date(2003, 8, 24, 5, 14, 15, 3000, time.FixedZone("", -7*3600)), Host: "192.0.2.1", App: "myproc", Proc: "8710", Text: "%% It's time to make the do-nuts."},
 		`<165>1 2003-10-11T22:14:15.003000Z mymachine.example.com evntslog - ID47 [exampleSDID@32473 iut="3" eventSource="Application" eventID="1011"] An application event log entry...`: {
-			Facility: 20, Severity: Notice, Time: at, Host: "mymachine.example.com", App: "evntslog", ID: "ID47", Data: []Element{event}, Text: "An application event log entry..."},
+			Facility: 20, Severity: Notice, Time: at, Host: "mymachine.example.com", App: "evntslog", MsgID: "ID47", Data: []Element{event}, Text: "An application event log entry..."},
 		`<165>1 2003-10-11T22:14:15.003000Z mymachine.example.com evntslog - ID47 [exampleSDID@32473 iut="3" eventSource="Application" eventID="1011"][examplePriority@32473 class="high"]`: {
-			Facility: 20, Severity: Notice, Time: at, Host: "mymachine.example.com", App: "evntslog", ID: "ID47",
+			Facility: 20, Severity: Notice, Time: at, Host: "mymachine.example.com", App: "evntslog", MsgID: "ID47",
 			Data: []Element{event, {"examplePriority@32473", []Param{{"class", "high"}}}}},
 		"<0>1 - - - - - -":           {},
 		"<13>1 - - - - - - \ufefföl": {Facility: 1, Severity: Notice, Text: "öl"},
@@ -51,7 +51,7 @@
 
 func randomMessage(rng *rand.Rand) Message {
 	m := Message{Facility: Facility(rng.IntN(30)), Severity: Severity(rng.IntN(10)), Host: hostile(rng), App: hostile(rng), Proc: hostile(rng),
-		ID: hostile(rng), Text: hostile(rng)}
+		MsgID: hostile(rng), Text: hostile(rng)}
 	if rng.IntN(4) > 0 {
 		m.Time = time.Unix(rng.Int64N(4e9), rng.Int64N(1e9)).In(time.FixedZone("", (rng.IntN(24*4)-48)*900))
 	}
@@ -144,7 +144,7 @@
 func FuzzAppend(f *testing.F) {
 	f.Add("host", "id", "name", "value", "text", 700)
 	f.Fuzz(func(t *testing.T, host, id, name, value, text string, most int) {
-		m := Message{Host: host, App: name, Proc: value, ID: id, Data: []Element{{id, []Param{{name, value}, {value, text}}}, {name, nil}, {id, nil}}, Text: text}
+		m := Message{Host: host, App: name, Proc: value, MsgID: id, Data: []Element{{id, []Param{{name, value}, {value, text}}}, {name, nil}, {id, nil}}, Text: text}
 		b := m.Append(nil, most)
 		if _, err := receiver.Parse(string(b)); err != nil || len(b) > max(most, Least) {
 			t.Fatalf("%d bytes of %d: %v\n%q", len(b), most, err, b)
--- a/syslog/sender_test.go
+++ b/syslog/sender_test.go
@@ -60,7 +60,7 @@
 
 // numbered is a record that bears a number.
 func numbered(i int, severity Severity) []byte {
-	m := Message{Severity: severity, ID: fmt.Sprint(i), Text: "text"}
+	m := Message{Severity: severity, MsgID: fmt.Sprint(i), Text: "text"}
 	return m.Append(nil, 1000)
 }
 
@@ -186,7 +186,7 @@
 			began := time.Now()
 			big := strings.Repeat("x", 800)
 			for i := range 3000 {
-				m := Message{Severity: Notice, ID: fmt.Sprint(i), Text: big}
+				m := Message{Severity: Notice, MsgID: fmt.Sprint(i), Text: big}
 				s.Put(Notice, m.Append(nil, 2000))
 			}
 			if took := time.Since(began); took > 2*time.Second {
