--- a/logbook/logbook_test.go
+++ b/logbook/logbook_test.go
@@ -25,7 +25,7 @@
 		e.Params = append(e.Params, syslog.Param{Name: params[i], Value: params[i+1]})
 	}
 	m := syslog.Message{Facility: syslog.Daemon, Severity: syslog.Notice, Time: time.UnixMicro(born).Add(at).UTC(), Host: "h", App: "vetchdoor-pilot", MsgID: kind,
-		Data: []syslog.Element{e}, Text: "text"}
+		StructuredData: []syslog.Element{e}, Text: "text"}
 	return string(m.Append(nil, 8000))
 }
 
@@ -166,7 +166,7 @@
 			for j := range rng.IntN(4) {
 				e.Params = append(e.Params, syslog.Param{Name: fmt.Sprintf("p%d%d", i, j), Value: text()})
 			}
-			m.Data = append(m.Data, e)
+			m.StructuredData = append(m.StructuredData, e)
 		}
 		if rng.IntN(3) > 0 {
 			m.Text = "t" + text()
--- a/syslog/bench_test.go
+++ b/syslog/bench_test.go
@@ -58,9 +58,9 @@
 	})
 	b.Run("message alone", func(b *testing.B) {
 		m := Message{Facility: Daemon, Severity: Informational, Time: time.Now(), Host: "h", App: "vetchdoor-pilot", Proc: "1", MsgID: "line", Text: "line of a table",
-			Data: []Element{{ID: "decision@32473"}}}
+			StructuredData: []Element{{ID: "decision@32473"}}}
 		for i := range 11 {
-			m.Data[0].Params = append(m.Data[0].Params, Param{fmt.Sprint("name", i), "12345.678"})
+			m.StructuredData[0].Params = append(m.StructuredData[0].Params, Param{fmt.Sprint("name", i), "12345.678"})
 		}
 		out := make([]byte, 0, 1000)
 		b.ReportAllocs()
--- a/syslog/handler.go
+++ b/syslog/handler.go
@@ -175,12 +175,12 @@
 	m := Message{Facility: h.who.Facility, Severity: s, Time: at, Host: h.who.Host, App: h.who.App, Proc: h.proc, MsgID: kind, Text: text}
 	for _, p := range params {
 		id := p.element + "@" + Enterprise
-		i := slices.IndexFunc(m.Data, func(e Element) bool { return e.ID == id })
+		i := slices.IndexFunc(m.StructuredData, func(e Element) bool { return e.ID == id })
 		if i < 0 {
-			i = len(m.Data)
-			m.Data = append(m.Data, Element{ID: id})
+			i = len(m.StructuredData)
+			m.StructuredData = append(m.StructuredData, Element{ID: id})
 		}
-		m.Data[i].Params = append(m.Data[i].Params, p.Param)
+		m.StructuredData[i].Params = append(m.StructuredData[i].Params, p.Param)
 	}
 	h.sender.Put(s, m.Append(make([]byte, 0, 512), h.sender.Longest()))
 }
--- a/syslog/message.go
+++ b/syslog/message.go
@@ -52,15 +52,15 @@
 
 // Message is a syslog message. A field that is empty is written as nil.
 type Message struct {
-	Facility Facility
-	Severity Severity
-	Time     time.Time
-	Host     string // 255 characters at most
-	App      string // 48
-	Proc     string // 128
-	MsgID    string // 32
-	Data     []Element
-	Text     string
+	Facility       Facility
+	Severity       Severity
+	Time           time.Time
+	Host           string // 255 characters at most
+	App            string // 48
+	Proc           string // 128
+	MsgID          string // 32
+	StructuredData []Element
+	Text           string
 }
 
 // Least is the smallest bound that Append keeps to: the longest header and a little. RFC 5424, 6.1 has receivers take 480.
@@ -89,9 +89,9 @@
 	}
 	b = append(b, ' ')
 	before := len(b)
-	for i, e := range m.Data {
-		if !slices.ContainsFunc(m.Data[:i], func(x Element) bool { return sameName(x.ID, e.ID) }) {
-			b = appendElement(b, e.ID, m.Data[i:], start+most)
+	for i, e := range m.StructuredData {
+		if !slices.ContainsFunc(m.StructuredData[:i], func(x Element) bool { return sameName(x.ID, e.ID) }) {
+			b = appendElement(b, e.ID, m.StructuredData[i:], start+most)
 		}
 	}
 	if len(b) == before {
--- a/syslog/message_test.go
+++ b/syslog/message_test.go
@@ -20,10 +20,10 @@
 		"<165>1 2003-08-24T05:14:15.000003-07:00 192.0.2.1 myproc 8710 - - %% It's time to make the do-nuts.": {Facility: 20, Severity: Notice,
 			Time: time.Date(2003, 8, 24, 5, 14, 15, 3000, time.FixedZone("", -7*3600)), Host: "192.0.2.1", App: "myproc", Proc: "8710", Text: "%% It's time to make the do-nuts."},
 		`<165>1 2003-10-11T22:14:15.003000Z mymachine.example.com evntslog - ID47 [exampleSDID@32473 iut="3" eventSource="Application" eventID="1011"] An application event log entry...`: {
-			Facility: 20, Severity: Notice, Time: at, Host: "mymachine.example.com", App: "evntslog", MsgID: "ID47", Data: []Element{event}, Text: "An application event log entry..."},
+			Facility: 20, Severity: Notice, Time: at, Host: "mymachine.example.com", App: "evntslog", MsgID: "ID47", StructuredData: []Element{event}, Text: "An application event log entry..."},
 		`<165>1 2003-10-11T22:14:15.003000Z mymachine.example.com evntslog - ID47 [exampleSDID@32473 iut="3" eventSource="Application" eventID="1011"][examplePriority@32473 class="high"]`: {
 			Facility: 20, Severity: Notice, Time: at, Host: "mymachine.example.com", App: "evntslog", MsgID: "ID47",
-			Data: []Element{event, {"examplePriority@32473", []Param{{"class", "high"}}}}},
+			StructuredData: []Element{event, {"examplePriority@32473", []Param{{"class", "high"}}}}},
 		"<0>1 - - - - - -":           {},
 		"<13>1 - - - - - - \ufefföl": {Facility: 1, Severity: Notice, Text: "öl"},
 	} {
@@ -60,7 +60,7 @@
 		for range rng.IntN(4) {
 			e.Params = append(e.Params, Param{hostile(rng), hostile(rng)})
 		}
-		m.Data = append(m.Data, e)
+		m.StructuredData = append(m.StructuredData, e)
 	}
 	return m
 }
@@ -86,7 +86,7 @@
 		if !m.Time.IsZero() && !got.Time.Equal(m.Time.Truncate(time.Microsecond)) {
 			t.Fatalf("%v, not %v", got.Time, m.Time)
 		}
-		for _, e := range m.Data {
+		for _, e := range m.StructuredData {
 			for id, params := range got.Data {
 				if id != string(appendName(nil, e.ID)) {
 					continue
@@ -108,7 +108,7 @@
 
 // A message that does not fit loses its text first, then parameters from the end, and stays whole.
 func TestCut(t *testing.T) {
-	m := Message{Host: "h", Data: []Element{{"a@1", []Param{{"x", strings.Repeat("v", 500)}, {"y", strings.Repeat("w", 500)}}}, {"b@1", []Param{{"z", "1"}}}},
+	m := Message{Host: "h", StructuredData: []Element{{"a@1", []Param{{"x", strings.Repeat("v", 500)}, {"y", strings.Repeat("w", 500)}}}, {"b@1", []Param{{"z", "1"}}}},
 		Text: strings.Repeat("ö", 400)}
 	for most := Least; most < 2000; most++ {
 		got, err := receiver.Parse(string(m.Append(nil, most)))
@@ -144,7 +144,7 @@
 func FuzzAppend(f *testing.F) {
 	f.Add("host", "id", "name", "value", "text", 700)
 	f.Fuzz(func(t *testing.T, host, id, name, value, text string, most int) {
-		m := Message{Host: host, App: name, Proc: value, MsgID: id, Data: []Element{{id, []Param{{name, value}, {value, text}}}, {name, nil}, {id, nil}}, Text: text}
+		m := Message{Host: host, App: name, Proc: value, MsgID: id, StructuredData: []Element{{id, []Param{{name, value}, {value, text}}}, {name, nil}, {id, nil}}, Text: text}
 		b := m.Append(nil, most)
 		if _, err := receiver.Parse(string(b)); err != nil || len(b) > max(most, Least) {
 			t.Fatalf("%d bytes of %d: %v\n%q", len(b), most, err, b)
