--- a/cmd/vetchdoor/tools.go
+++ b/cmd/vetchdoor/tools.go
@@ -50,7 +50,7 @@
 					bad++
 				}
 				// A file of ours with a fault in it fails the check; one that is none of ours is bad input.
-				if f := new(files.Fault); err != nil && (!errors.As(err, &f) || f.Pointer == "" || f.Pointer == "/kind") {
+				if f := new(files.ValidationError); err != nil && (!errors.As(err, &f) || f.Pointer == "" || f.Pointer == "/kind") {
 					unread++
 				}
 				line := path + ": good, a file of kind " + kind
--- a/files/contradictions.go
+++ b/files/contradictions.go
@@ -12,7 +12,7 @@
 
 // A contradiction is between values that are each allowed. Each check names the later of the two places.
 
-func fault(pointer string, found any, allowed string, args ...any) *Fault {
+func fault(pointer string, found any, allowed string, args ...any) *ValidationError {
 	text := fmt.Sprint(found)
 	if s, ok := found.(string); ok {
 		text = strconv.Quote(s)
@@ -20,10 +20,10 @@
 	if d, ok := found.(Duration); ok {
 		text = time.Duration(d).String()
 	}
-	return &Fault{Pointer: pointer, Found: text, Allowed: fmt.Sprintf(allowed, args...)}
+	return &ValidationError{Pointer: pointer, Found: text, Allowed: fmt.Sprintf(allowed, args...)}
 }
 
-func (s *Service) contradictions(at string) *Fault {
+func (s *Service) contradictions(at string) *ValidationError {
 	if f := twice(at+"/zones", len(s.Zones), func(i int) string { return s.Zones[i] }); f != nil {
 		return f
 	}
@@ -52,7 +52,7 @@
 	return s.packsContradict(at)
 }
 
-func twice(at string, n int, key func(int) string) *Fault {
+func twice(at string, n int, key func(int) string) *ValidationError {
 	seen := map[string]bool{}
 	for i := range n {
 		if k := key(i); seen[k] {
@@ -64,14 +64,14 @@
 	return nil
 }
 
-func (s *Service) zone(at, zone string) *Fault {
+func (s *Service) zone(at, zone string) *ValidationError {
 	if s.ZoneIndex(zone) < 0 {
 		return fault(at, zone, "one of the zones %v", s.Zones)
 	}
 	return nil
 }
 
-func (l *Limits) contradictions(at string) *Fault {
+func (l *Limits) contradictions(at string) *ValidationError {
 	switch {
 	case l.EmptyFor <= 0:
 		return fault(at+"/empty_for", l.EmptyFor, "more than 0")
@@ -83,7 +83,7 @@
 	return nil
 }
 
-func (c *Channel) contradictions(at string, proxies, bootstrap, types int, l *Limits) *Fault {
+func (c *Channel) contradictions(at string, proxies, bootstrap, types int, l *Limits) *ValidationError {
 	// Rules 1 and 3 ask that what cannot be put off can be sent in time: a withdrawal to each proxy, and a table.
 	least := proxies * (c.MessageLines + types + 2)
 	if c.MostWaiting < least {
@@ -102,7 +102,7 @@
 	return nil
 }
 
-func first(faults ...func() *Fault) *Fault {
+func first(faults ...func() *ValidationError) *ValidationError {
 	for _, f := range faults {
 		if found := f(); found != nil {
 			return found
@@ -111,7 +111,7 @@
 	return nil
 }
 
-func logsContradict(logs []Log) *Fault {
+func logsContradict(logs []Log) *ValidationError {
 	spools := map[string]bool{}
 	for i, l := range logs {
 		here := fmt.Sprintf("/log/%d", i)
@@ -135,22 +135,22 @@
 	return nil
 }
 
-func (p *Pilot) contradictions() *Fault {
+func (p *Pilot) contradictions() *ValidationError {
 	return first(
-		func() *Fault { return logsContradict(p.Log) },
-		func() *Fault { return p.Service.contradictions("/service") },
-		func() *Fault { return p.Service.zone("/zone", p.Zone) },
-		func() *Fault { return p.Limits.contradictions("/limits") },
-		func() *Fault {
+		func() *ValidationError { return logsContradict(p.Log) },
+		func() *ValidationError { return p.Service.contradictions("/service") },
+		func() *ValidationError { return p.Service.zone("/zone", p.Zone) },
+		func() *ValidationError { return p.Limits.contradictions("/limits") },
+		func() *ValidationError {
 			return p.Channel.contradictions("/channel", p.Proxies, p.Service.Bootstrap, len(p.Service.OpTypes), &p.Limits)
 		},
-		func() *Fault {
+		func() *ValidationError {
 			if p.Instance >= max(1, p.Instances) {
 				return fault("/instance", p.Instance, "under instances, %d", max(1, p.Instances))
 			}
 			return nil
 		},
-		func() *Fault {
+		func() *ValidationError {
 			if c := p.Channel.MessageCap; c > 0 && (p.Tenants || p.Moves != nil) {
 				return fault("/channel/message_cap", c, "0, for limits and bindings of tenants are messages of their own")
 			}
@@ -167,11 +167,11 @@
 // leastSilence is how long a proxy must bear from its pilot, which pings each second.
 const leastSilence = 2 * time.Second
 
-func (p *Proxy) contradictions() *Fault {
+func (p *Proxy) contradictions() *ValidationError {
 	if f := first(
-		func() *Fault { return logsContradict(p.Log) },
-		func() *Fault { return p.Service.contradictions("/service") },
-		func() *Fault { return p.Service.zone("/zone", p.Zone) }); f != nil {
+		func() *ValidationError { return logsContradict(p.Log) },
+		func() *ValidationError { return p.Service.contradictions("/service") },
+		func() *ValidationError { return p.Service.zone("/zone", p.Zone) }); f != nil {
 		return f
 	}
 	if s := p.Silent; s > 0 && s.Span() < leastSilence {
@@ -199,7 +199,7 @@
 	return nil
 }
 
-func nodesContradict(at string, nodes []NodeAt, machines []Machine, s *Service) *Fault {
+func nodesContradict(at string, nodes []NodeAt, machines []Machine, s *Service) *ValidationError {
 	names := map[string]bool{}
 	for i, m := range machines {
 		if m.Speed[0] > m.Speed[1] {
@@ -224,15 +224,15 @@
 	return nil
 }
 
-func (n *Node) contradictions() *Fault {
+func (n *Node) contradictions() *ValidationError {
 	return first(
-		func() *Fault { return n.Service.contradictions("/service") },
-		func() *Fault { return n.Limits.contradictions("/limits") },
-		func() *Fault { return nodesContradict("", n.Nodes, n.Machines, &n.Service) },
+		func() *ValidationError { return n.Service.contradictions("/service") },
+		func() *ValidationError { return n.Limits.contradictions("/limits") },
+		func() *ValidationError { return nodesContradict("", n.Nodes, n.Machines, &n.Service) },
 	)
 }
 
-func (r *Roster) contradictions() *Fault {
+func (r *Roster) contradictions() *ValidationError {
 	s := &Service{Zones: r.Zones}
 	seen := map[uint32]bool{}
 	for i, e := range r.Entries {
@@ -251,14 +251,16 @@
 	return nil
 }
 
-func (d *Day) contradictions() *Fault {
+func (d *Day) contradictions() *ValidationError {
 	if f := first(
-		func() *Fault { return d.Service.contradictions("/service") },
-		func() *Fault { return d.Limits.contradictions("/limits") },
-		func() *Fault {
+		func() *ValidationError { return d.Service.contradictions("/service") },
+		func() *ValidationError { return d.Limits.contradictions("/limits") },
+		func() *ValidationError {
 			return d.Channel.contradictions("/channel", d.Fleet.Proxies, d.Service.Bootstrap, len(d.Service.OpTypes), &d.Limits)
 		},
-		func() *Fault { return nodesContradict("/fleet", d.Fleet.Exactly, d.Fleet.Machines, &d.Service) }); f != nil {
+		func() *ValidationError {
+			return nodesContradict("/fleet", d.Fleet.Exactly, d.Fleet.Machines, &d.Service)
+		}); f != nil {
 		return f
 	}
 	if (d.Load.OfCapacity > 0) == (d.Load.PerSecond > 0) {
--- a/files/groups.go
+++ b/files/groups.go
@@ -80,7 +80,7 @@
 }
 
 // packsContradict checks the packs that writes are drawn among.
-func (s *Service) packsContradict(at string) *Fault {
+func (s *Service) packsContradict(at string) *ValidationError {
 	if len(s.WritePacks) == 0 && len(s.WritePacksNext) > 0 {
 		return fault(at+"/write_packs_next", len(s.WritePacksNext), "none where write_packs is not given")
 	}
@@ -91,7 +91,7 @@
 }
 
 // packListsContradict checks the packs of each zone: the zone is one of the service's, and no pack stands twice.
-func (s *Service) packListsContradict(at string, byZone map[string][]int) *Fault {
+func (s *Service) packListsContradict(at string, byZone map[string][]int) *ValidationError {
 	for _, zone := range slices.Sorted(maps.Keys(byZone)) {
 		here, packs := at+"/"+zone, byZone[zone]
 		if f := s.zone(here, zone); f != nil {
--- a/files/read.go
+++ b/files/read.go
@@ -30,15 +30,15 @@
 	mostDeep  = 64
 )
 
-// Fault is what is wrong with a file.
-type Fault struct {
+// ValidationError is what is wrong with a file.
+type ValidationError struct {
 	File    string
 	Pointer string // JSON pointer; empty for the whole
 	Found   string
 	Allowed string
 }
 
-func (f *Fault) Error() string {
+func (f *ValidationError) Error() string {
 	s := f.File + ": "
 	if f.Pointer != "" {
 		s += f.Pointer + ": "
@@ -118,9 +118,9 @@
 	defer f.Close()
 	data, err := io.ReadAll(io.LimitReader(f, mostBytes+1))
 	if err == nil && len(data) > mostBytes {
-		err = &Fault{File: path, Found: "over 64 MiB", Allowed: "less"}
+		err = &ValidationError{File: path, Found: "over 64 MiB", Allowed: "less"}
 	}
-	if err != nil && !errors.As(err, new(*Fault)) {
+	if err != nil && !errors.As(err, new(*ValidationError)) {
 		err = fmt.Errorf("%s: %w", path, err)
 	}
 	return data, err
@@ -160,7 +160,7 @@
 		Kind json.RawMessage `json:"kind"`
 	}
 	if err := json.Unmarshal(data, &head); err != nil {
-		return "", &Fault{File: path, Found: "no JSON object", Allowed: "one with a \"kind\""}
+		return "", &ValidationError{File: path, Found: "no JSON object", Allowed: "one with a \"kind\""}
 	}
 	var k string
 	if json.Unmarshal(head.Kind, &k) != nil || !known(k) {
@@ -168,7 +168,7 @@
 		if len(head.Kind) > 0 {
 			found = clip(string(head.Kind))
 		}
-		return "", &Fault{File: path, Pointer: "/kind", Found: found, Allowed: "one of " + strings.Join(Kinds, ", ")}
+		return "", &ValidationError{File: path, Pointer: "/kind", Found: found, Allowed: "one of " + strings.Join(Kinds, ", ")}
 	}
 	return k, nil
 }
@@ -176,7 +176,7 @@
 // Whole looks over a file before anything is built from it: empty, torn, nested without end, a key twice.
 func Whole(path string, data []byte) error {
 	if len(bytes.TrimSpace(data)) == 0 {
-		return &Fault{File: path, Found: "an empty file", Allowed: "a JSON object"}
+		return &ValidationError{File: path, Found: "an empty file", Allowed: "a JSON object"}
 	}
 	dec := json.NewDecoder(bytes.NewReader(data))
 	dec.UseNumber()
@@ -196,12 +196,12 @@
 			if err == io.EOF || errors.Is(err, io.ErrUnexpectedEOF) {
 				what = "a file that ends in the midst"
 			}
-			return &Fault{File: path, Found: fmt.Sprintf("%s, line %d", what, line), Allowed: "one whole JSON object"}
+			return &ValidationError{File: path, Found: fmt.Sprintf("%s, line %d", what, line), Allowed: "one whole JSON object"}
 		}
 		top := len(stack) - 1
 		if s, ok := tok.(string); ok && top >= 0 && stack[top].key {
 			if stack[top].keys[s] {
-				return &Fault{File: path, Found: fmt.Sprintf("the key %q twice in one object", s), Allowed: "once"}
+				return &ValidationError{File: path, Found: fmt.Sprintf("the key %q twice in one object", s), Allowed: "once"}
 			}
 			stack[top].keys[s], stack[top].key = true, false
 			continue
@@ -213,11 +213,11 @@
 			stack = append(stack, level{})
 		case json.Delim('}'), json.Delim(']'):
 			if stack = stack[:top]; len(stack) == 0 && dec.More() {
-				return &Fault{File: path, Found: "something after the JSON object", Allowed: "nothing"}
+				return &ValidationError{File: path, Found: "something after the JSON object", Allowed: "nothing"}
 			}
 		}
 		if len(stack) > mostDeep {
-			return &Fault{File: path, Found: fmt.Sprintf("more than %d levels of nesting", mostDeep), Allowed: "fewer"}
+			return &ValidationError{File: path, Found: fmt.Sprintf("more than %d levels of nesting", mostDeep), Allowed: "fewer"}
 		}
 		if top = len(stack) - 1; top >= 0 && stack[top].keys != nil {
 			stack[top].key = true
@@ -232,7 +232,7 @@
 		return err
 	}
 	if k != kind {
-		return &Fault{File: path, Pointer: "/kind", Found: strconv.Quote(k), Allowed: strconv.Quote(kind)}
+		return &ValidationError{File: path, Pointer: "/kind", Found: strconv.Quote(k), Allowed: strconv.Quote(kind)}
 	}
 	schemas, err := compiled()
 	if err != nil {
@@ -240,7 +240,7 @@
 	}
 	doc, err := jsonschema.UnmarshalJSON(bytes.NewReader(data))
 	if err != nil {
-		return &Fault{File: path, Found: "no JSON (" + err.Error() + ")", Allowed: "a JSON object"}
+		return &ValidationError{File: path, Found: "no JSON (" + err.Error() + ")", Allowed: "a JSON object"}
 	}
 	if err := schemas[kind].Validate(doc); err != nil {
 		var v *jsonschema.ValidationError
@@ -250,9 +250,9 @@
 		return fmt.Errorf("%s: %w", path, err)
 	}
 	if err := json.Unmarshal(data, to); err != nil {
-		return &Fault{File: path, Found: clip(err.Error()), Allowed: "what vetchdoor schema " + kind + " prints"}
+		return &ValidationError{File: path, Found: clip(err.Error()), Allowed: "what vetchdoor schema " + kind + " prints"}
 	}
-	if c, ok := to.(interface{ contradictions() *Fault }); ok {
+	if c, ok := to.(interface{ contradictions() *ValidationError }); ok {
 		if f := c.contradictions(); f != nil {
 			f.File = path
 			return f
@@ -262,7 +262,7 @@
 }
 
 // faultOf picks the first leaf, in document order, of what the schema does not allow.
-func faultOf(path string, doc any, v *jsonschema.ValidationError) *Fault {
+func faultOf(path string, doc any, v *jsonschema.ValidationError) *ValidationError {
 	var leaves []*jsonschema.ValidationError
 	var walk func(*jsonschema.ValidationError)
 	walk = func(e *jsonschema.ValidationError) {
@@ -276,7 +276,7 @@
 	walk(v)
 	sort.SliceStable(leaves, func(i, j int) bool { return pointer(leaves[i]) < pointer(leaves[j]) })
 	e := leaves[0]
-	f := &Fault{File: path, Pointer: pointer(e), Found: clip(at(doc, e.InstanceLocation))}
+	f := &ValidationError{File: path, Pointer: pointer(e), Found: clip(at(doc, e.InstanceLocation))}
 	number := func(r *big.Rat) string { return strings.TrimSuffix(r.FloatString(3), ".000") }
 	switch k := e.ErrorKind.(type) {
 	case *kind.AdditionalProperties:
--- a/lab/bench.go
+++ b/lab/bench.go
@@ -152,16 +152,16 @@
 		return nil, nil, err
 	}
 	if err := json.Unmarshal(data, &b); err != nil {
-		return nil, nil, &files.Fault{File: path, Found: "a file that is not a benchmark day (" + err.Error() + ")",
+		return nil, nil, &files.ValidationError{File: path, Found: "a file that is not a benchmark day (" + err.Error() + ")",
 			Allowed: "the output of the benchmark's day generator"}
 	}
 	note := func(format string, args ...any) { notes = append(notes, fmt.Sprintf(format, args...)) }
 	switch {
 	case b.V != 1 || b.Family != "control" || len(b.Tiers) != 1 || len(b.Servers) == 0 || len(b.Classes) == 0 || len(b.Zones) == 0:
-		return nil, nil, &files.Fault{File: path, Found: "not a day of a control site with one tier",
+		return nil, nil, &files.ValidationError{File: path, Found: "not a day of a control site with one tier",
 			Allowed: "the output of the benchmark's day generator for such a site"}
 	case b.Fam.Slices > 0:
-		return nil, nil, &files.Fault{File: path, Pointer: "/fam/slices", Found: fmt.Sprint(b.Fam.Slices),
+		return nil, nil, &files.ValidationError{File: path, Pointer: "/fam/slices", Found: fmt.Sprint(b.Fam.Slices),
 			Allowed: "0: keys in slices are not supported"}
 	case shrink < 1:
 		return nil, nil, fmt.Errorf("--shrink %d: must be at least 1", shrink)
@@ -170,7 +170,7 @@
 	pilots := max(1, len(fam.Controllers))
 	proxies := len(b.Balancers) - pilots
 	if proxies < 1 {
-		return nil, nil, &files.Fault{File: path, Pointer: "/balancers", Found: fmt.Sprint(len(b.Balancers)),
+		return nil, nil, &files.ValidationError{File: path, Pointer: "/balancers", Found: fmt.Sprint(len(b.Balancers)),
 			Allowed: "proxies followed by the controllers"}
 	}
 	d := &files.Day{Kind: "day", Name: fmt.Sprintf("%s-%s", b.Site, b.Kind), Length: fromMicroseconds(b.Length),
@@ -195,7 +195,7 @@
 			TargetLatency: fromMicroseconds(c.Aim), OpTimeout: fromMicroseconds(c.Deadline), Revenue: c.Worth,
 			LateShare: c.LateWorth, Repeat: benchRepeatModes[c.Effect], Writes: c.Write}
 		if t.Repeat == "" {
-			return nil, nil, &files.Fault{File: path, Pointer: fmt.Sprintf("/classes/%d/effect", i),
+			return nil, nil, &files.ValidationError{File: path, Pointer: fmt.Sprintf("/classes/%d/effect", i),
 				Found: fmt.Sprintf("%q", c.Effect), Allowed: "safe, keyed or unsafe"}
 		}
 		if t.Repeat == "deduplicated" {
