--- a/cmd/vetchdoor/daemons.go
+++ b/cmd/vetchdoor/daemons.go
@@ -125,7 +125,7 @@
 // longestOp is the longest time in which an op must be answered.
 func longestOp(s *files.Service) (longest time.Duration) {
 	for _, t := range s.OpTypes {
-		longest = max(longest, t.OpTimeout.Span())
+		longest = max(longest, t.OpTimeout.AsDuration())
 	}
 	return longest
 }
--- a/files/contradictions.go
+++ b/files/contradictions.go
@@ -36,14 +36,14 @@
 		case t.TargetLatency <= 0:
 			return fault(here+"/target_latency", t.TargetLatency, "more than 0")
 		case t.OpTimeout < t.TargetLatency:
-			return fault(here+"/op_timeout", t.OpTimeout, "at least the target latency, %v", t.TargetLatency.Span())
+			return fault(here+"/op_timeout", t.OpTimeout, "at least the target latency, %v", t.TargetLatency.AsDuration())
 		case t.Repeat == "deduplicated" && t.DedupWindow <= 0:
 			return fault(here+"/dedup_window", t.DedupWindow, "more than 0, for the op type is deduplicated")
 		case t.Repeat != "deduplicated" && (t.DedupWindow != 0 || t.Group != ""):
 			return fault(here+"/repeat", t.Repeat, "deduplicated, where a group or a dedup_window is given")
 		}
 	}
-	if s.ReportEvery.Span() < 10*time.Millisecond {
+	if s.ReportEvery.AsDuration() < 10*time.Millisecond {
 		return fault(at+"/report_every", s.ReportEvery, "10ms or more")
 	}
 	if s.OutlierAfter > 0 && s.OutlierFor <= 0 {
@@ -89,9 +89,9 @@
 	if c.MostWaiting < least {
 		return fault(at+"/most_waiting", c.MostWaiting, "%d or more: one line to each of %d proxies", least, proxies)
 	}
-	if need := float64(least) / c.LinesPerSecond; need > l.DrainGrace.Span().Seconds() {
+	if need := float64(least) / c.LinesPerSecond; need > l.DrainGrace.AsDuration().Seconds() {
 		return fault(at+"/lines_per_second", c.LinesPerSecond, "%.0f or more: a line to each proxy within drain_grace, %v",
-			float64(least)/l.DrainGrace.Span().Seconds(), l.DrainGrace.Span())
+			float64(least)/l.DrainGrace.AsDuration().Seconds(), l.DrainGrace.AsDuration())
 	}
 	if c.MessageCap == 1 {
 		return fault(at+"/message_cap", c.MessageCap, "2 or more, for one is the pilot's own; or 0")
@@ -155,7 +155,7 @@
 				return fault("/channel/message_cap", c, "0, for limits and bindings of tenants are messages of their own")
 			}
 			if m := p.Moves; m != nil && m.Most > 0 {
-				if write, window := tenancy.MoveDurations(p.Service.Types(), p.Service.WriteLife.Span()); m.Most.Span() <= write+window {
+				if write, window := tenancy.MoveDurations(p.Service.Types(), p.Service.WriteLife.AsDuration()); m.Most.AsDuration() <= write+window {
 					return fault("/moves/most", m.Most, "more than %v, which each move waits out", write+window)
 				}
 			}
@@ -174,7 +174,7 @@
 		func() *ValidationError { return p.Service.zone("/zone", p.Zone) }); f != nil {
 		return f
 	}
-	if s := p.Silent; s > 0 && s.Span() < leastSilence {
+	if s := p.Silent; s > 0 && s.AsDuration() < leastSilence {
 		return fault("/silent_after", s, "%v or more, for a pilot speaks once a second", leastSilence)
 	}
 	for i, at := range p.Pilots {
@@ -302,7 +302,7 @@
 	}
 	for i, t := range d.Troubles {
 		if t.At > d.Length {
-			return fault(fmt.Sprintf("/troubles/%d/at", i), t.At, "at most the day's length, %v", d.Length.Span())
+			return fault(fmt.Sprintf("/troubles/%d/at", i), t.At, "at most the day's length, %v", d.Length.AsDuration())
 		}
 		if t.Zone != "" {
 			if f := d.Service.zone(fmt.Sprintf("/troubles/%d/zone", i), t.Zone); f != nil {
--- a/files/files.go
+++ b/files/files.go
@@ -14,8 +14,8 @@
 // Duration is a time.Duration written as a string such as "750ms" or "2s".
 type Duration time.Duration
 
-// Span returns it as a time.Duration.
-func (d Duration) Span() time.Duration { return time.Duration(d) }
+// AsDuration returns it as a time.Duration.
+func (d Duration) AsDuration() time.Duration { return time.Duration(d) }
 
 // MarshalJSON writes the string, in the largest unit that leaves a whole number.
 func (d Duration) MarshalJSON() ([]byte, error) {
@@ -312,8 +312,8 @@
 func (s *Service) Types() []control.OpType {
 	out := make([]control.OpType, len(s.OpTypes))
 	for i, t := range s.OpTypes {
-		out[i] = control.OpType{TargetLatency: t.TargetLatency.Span(), OpTimeout: t.OpTimeout.Span(), Revenue: t.Revenue,
-			LateShare: t.LateShare, Repeat: repeats[t.Repeat], Group: groups[t.Group], DedupWindow: t.DedupWindow.Span(),
+		out[i] = control.OpType{TargetLatency: t.TargetLatency.AsDuration(), OpTimeout: t.OpTimeout.AsDuration(), Revenue: t.Revenue,
+			LateShare: t.LateShare, Repeat: repeats[t.Repeat], Group: groups[t.Group], DedupWindow: t.DedupWindow.AsDuration(),
 			OwnZoneOnly: t.OwnZoneOnly, Writes: t.Writes}
 	}
 	return out
@@ -327,14 +327,14 @@
 	s, l, c := &p.Service, &p.Limits, &p.Channel
 	f := control.Facts{
 		Instance: p.Instance, Instances: max(1, p.Instances), Zone: s.ZoneIndex(p.Zone), Zones: len(s.Zones),
-		OpTypes: s.Types(), Tick: p.Tick.Span(), Levels: control.LevelShare,
+		OpTypes: s.Types(), Tick: p.Tick.AsDuration(), Levels: control.LevelShare,
 		AvoidAfterFailures: s.OutlierAfter, StandingTableLines: s.Bootstrap, Proxies: p.Proxies, MessageOverheadLines: float64(c.MessageLines),
 		LinesPerSecond: c.LinesPerSecond, MaxUnconfirmedLines: float64(c.MostWaiting - p.NoticeLines()),
 		MessageCap:       max(0, c.MessageCap-1), // one is the pilot's own
-		MessageCapWindow: c.MessageCapOver.Span(), MaxPushDelay: c.PushDelayMost.Span(),
-		ReportInterval: s.ReportEvery.Span(), ReportLinesPerS: c.ReportLinesPerSecond,
-		CrossZonePrice: s.CrossZone, ListedWeights: true, WarmUpTime: l.ColdFor.Span(),
-		ColdCapacityShare: l.ColdShare, DrainGrace: l.DrainGrace.Span(), AcrossCells: s.acrossCells(), PackWrites: s.packWrites(),
+		MessageCapWindow: c.MessageCapOver.AsDuration(), MaxPushDelay: c.PushDelayMost.AsDuration(),
+		ReportInterval: s.ReportEvery.AsDuration(), ReportLinesPerS: c.ReportLinesPerSecond,
+		CrossZonePrice: s.CrossZone, ListedWeights: true, WarmUpTime: l.ColdFor.AsDuration(),
+		ColdCapacityShare: l.ColdShare, DrainGrace: l.DrainGrace.AsDuration(), AcrossCells: s.acrossCells(), PackWrites: s.packWrites(),
 	}
 	for _, m := range s.Measures {
 		f.Measures = append(f.Measures, measures[m])
--- a/lab/account.go
+++ b/lab/account.go
@@ -61,7 +61,7 @@
 	var whole revenueShare
 	byType := make([]revenueShare, len(types))
 	const worstWindowLength = 10 * time.Second
-	windows := make([]revenueShare, int(d.Length.Span()/time.Second)+1)
+	windows := make([]revenueShare, int(d.Length.AsDuration()/time.Second)+1)
 	tails := make([]map[int]*tailWindow, len(types))
 	lateFailRevenue := 0.0
 	for i := range tails {
--- a/lab/check.go
+++ b/lab/check.go
@@ -337,7 +337,7 @@
 		}
 	}
 	for _, l := range last {
-		if l.mode == control.Ready && at-l.started >= e.limits.ColdFor.Span() {
+		if l.mode == control.Ready && at-l.started >= e.limits.ColdFor.AsDuration() {
 			return true
 		}
 	}
@@ -390,7 +390,7 @@
 					if emptyFor += step; !e.hasWarmEndpoint(h.listChanges[s.pilot], at) {
 						emptyFor = 0
 					}
-					if emptyFor > e.limits.EmptyFor.Span()+measurementSlack {
+					if emptyFor > e.limits.EmptyFor.AsDuration()+measurementSlack {
 						out = append(out, Violation{1, at, fmt.Sprintf("proxy %d had no endpoint for op type %s since %v", s.proxy,
 							e.service.OpTypes[i].Name, emptySince[i].Round(time.Millisecond))})
 						emptySince[i] = until // at most one violation for each period without an endpoint
@@ -541,7 +541,7 @@
 		if !known || mode == control.Ready {
 			continue
 		}
-		if elapsed := a.At - max(since, s.joined); elapsed > e.limits.DrainGrace.Span()+measurementSlack {
+		if elapsed := a.At - max(since, s.joined); elapsed > e.limits.DrainGrace.AsDuration()+measurementSlack {
 			flagged[[2]int{a.Proxy, int(a.Endpoint)}] = true
 			out = append(out, Violation{3, a.At, fmt.Sprintf("proxy %d sent to e%d %v after its pilot saw it listed as %s",
 				a.Proxy, a.Endpoint, elapsed.Round(time.Millisecond), [...]string{"gone", "draining"}[mode])})
@@ -558,7 +558,7 @@
 	for _, fall := range e.coldCrashes {
 		informedWork, totalWork := time.Duration(0), time.Duration(0)
 		for _, a := range e.arrivals {
-			if a.Endpoint != fall.Endpoint || a.At > fall.At || a.At < fall.At-e.limits.FallAfter.Span() {
+			if a.Endpoint != fall.Endpoint || a.At > fall.At || a.At < fall.At-e.limits.FallAfter.AsDuration() {
 				continue
 			}
 			totalWork += a.Work
@@ -568,7 +568,7 @@
 			}
 			listedAt := time.Duration(-1)
 			for _, l := range h.listChanges[s.pilot] {
-				if l.endpoint == fall.Endpoint && l.mode == control.Ready && l.at <= a.At && l.started > fall.At-e.limits.ColdFor.Span() {
+				if l.endpoint == fall.Endpoint && l.mode == control.Ready && l.at <= a.At && l.started > fall.At-e.limits.ColdFor.AsDuration() {
 					listedAt = l.at
 				}
 			}
@@ -581,7 +581,7 @@
 					lastDecided = m.decided
 				}
 			}
-			if lastDecided >= listedAt || a.At-listedAt > e.limits.DrainGrace.Span() {
+			if lastDecided >= listedAt || a.At-listedAt > e.limits.DrainGrace.AsDuration() {
 				informedWork += a.Work
 			}
 		}
@@ -636,9 +636,9 @@
 				times := decidedByProxy[proxy]
 				slices.Sort(times)
 				for i := c.MessageCap; i < len(times); i++ {
-					if times[i]-times[i-c.MessageCap] < c.MessageCapOver.Span()-measurementSlack {
+					if times[i]-times[i-c.MessageCap] < c.MessageCapOver.AsDuration()-measurementSlack {
 						out = append(out, Violation{5, times[i], fmt.Sprintf("proxy %d was sent more than %d messages within %v", proxy,
-							c.MessageCap, c.MessageCapOver.Span())})
+							c.MessageCap, c.MessageCapOver.AsDuration())})
 						break
 					}
 				}
--- a/lab/links_test.go
+++ b/lab/links_test.go
@@ -160,7 +160,7 @@
 			f.list.Set(e)
 			time.Sleep(100 * time.Millisecond)
 		}
-		time.Sleep(f.day.Channel.MessageCapOver.Span())
+		time.Sleep(f.day.Channel.MessageCapOver.AsDuration())
 		for _, b := range f.check() {
 			f.t.Errorf("%+v", b)
 		}
--- a/lab/load.go
+++ b/lab/load.go
@@ -75,7 +75,7 @@
 func (f *fleet) loadFactor(at time.Duration) float64 {
 	d, rate := f.day, 0.0
 	if shape := d.Load.Shape; len(shape) > 0 {
-		i := sort.Search(len(shape), func(i int) bool { return shape[i].At.Span() > at })
+		i := sort.Search(len(shape), func(i int) bool { return shape[i].At.AsDuration() > at })
 		switch {
 		case i == 0:
 			rate = shape[0].Times
@@ -83,7 +83,7 @@
 			rate = shape[i-1].Times
 		default:
 			a, b := shape[i-1], shape[i]
-			rate = a.Times + (b.Times-a.Times)*float64(at-a.At.Span())/float64(max(b.At-a.At, 1))
+			rate = a.Times + (b.Times-a.Times)*float64(at-a.At.AsDuration())/float64(max(b.At-a.At, 1))
 		}
 	} else {
 		rate = 1 + d.Load.Swing*math.Sin(2*math.Pi*float64(at)/float64(d.Length))
@@ -101,7 +101,7 @@
 	d, perSecond := f.day, f.opRate()
 	rng := rand.New(rand.NewPCG(d.Seed, 1))
 	maxRate := 0.0
-	for at := time.Duration(0); at <= d.Length.Span(); at += d.Length.Span()/1000 + 1 {
+	for at := time.Duration(0); at <= d.Length.AsDuration(); at += d.Length.AsDuration()/1000 + 1 {
 		maxRate = max(maxRate, perSecond*f.loadFactor(at)*1.01)
 	}
 	total := 0.0
@@ -118,7 +118,7 @@
 	sharesValidUntil := time.Duration(-1)
 	for at := time.Duration(0); ; {
 		at += time.Duration(rng.ExpFloat64() / maxRate * float64(time.Second))
-		if at >= d.Length.Span() {
+		if at >= d.Length.AsDuration() {
 			return ops
 		}
 		if rng.Float64()*maxRate > perSecond*f.loadFactor(at) {
@@ -234,7 +234,7 @@
 		o.tries++
 		answer, fail := s.pool.Send(&upstream.Call{}, s.targets[proxy], req, tryDeadline, false)
 		o.outcome = opAborted
-		refused, wait := false, settings.Backoff.Span()
+		refused, wait := false, settings.Backoff.AsDuration()
 		if fail == nil {
 			s.checkSignature(o, answer)
 			switch {
--- a/lab/node/node.go
+++ b/lab/node/node.go
@@ -275,7 +275,7 @@
 		return false
 	}
 	n.conns++
-	if d := n.machine.Handshake.Span(); d > 0 {
+	if d := n.machine.Handshake.AsDuration(); d > 0 {
 		if x := n.trouble.Handshake; x > 0 {
 			d = time.Duration(float64(d) * x)
 		}
@@ -430,7 +430,7 @@
 		return false
 	}
 	n.budget = append(n.budget, spent{now, work})
-	span := n.limits.FallAfter.Span()
+	span := n.limits.FallAfter.AsDuration()
 	for len(n.budget) > 0 && now.Sub(n.budget[0].at) > span {
 		n.budget = n.budget[1:]
 	}
@@ -565,7 +565,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := time.Now()
-	every := max(n.machine.Report.Span(), 10*time.Millisecond)
+	every := max(n.machine.Report.AsDuration(), 10*time.Millisecond)
 	if span := now.Sub(n.load.since); span >= every || n.load.reported == nil {
 		n.count(now)
 		l := &n.load
--- a/lab/orders_test.go
+++ b/lab/orders_test.go
@@ -57,7 +57,7 @@
 		f.pilots[0].Kill()
 		f.startPilot(0)
 	},
-	"tick": func(f *simFleet) { time.Sleep(f.day.Service.ReportEvery.Span()) },
+	"tick": func(f *simFleet) { time.Sleep(f.day.Service.ReportEvery.AsDuration()) },
 }
 
 var eventNames = []string{"news", "drain", "cold", "late", "broken", "rejoin", "restart", "tick"}
--- a/lab/packs.go
+++ b/lab/packs.go
@@ -33,14 +33,14 @@
 // deduplication window, another one with the new packs alone. Both restarts and the wait between them take t.Length.
 func (f *fleet) changePacks(t *files.Trouble) {
 	down := time.Duration(max(t.Extra, 0.2) * float64(time.Second))
-	write, window := tenancy.MoveDurations(f.day.Service.Types(), f.day.Service.WriteLife.Span())
-	roll := max(0, (t.Length.Span()-write-window)/2-down)
+	write, window := tenancy.MoveDurations(f.day.Service.Types(), f.day.Service.WriteLife.AsDuration())
+	roll := max(0, (t.Length.AsDuration()-write-window)/2-down)
 	all := packsByZone(slices.Concat(f.nodes, f.spare))
-	second := t.At.Span() + roll + down + write + window
+	second := t.At.AsDuration() + roll + down + write + window
 	for i, instance := range f.proxies {
 		offset := roll * time.Duration(i) / time.Duration(len(f.proxies))
-		f.schedule(t.At.Span()+offset, func() { f.killProxy(i) })
-		f.schedule(t.At.Span()+offset+down, func() {
+		f.schedule(t.At.AsDuration()+offset, func() { f.killProxy(i) })
+		f.schedule(t.At.AsDuration()+offset+down, func() {
 			instance.file.Service.WritePacksNext = all
 			f.restartProxy(i)
 		})
--- a/lab/tenants.go
+++ b/lab/tenants.go
@@ -34,7 +34,7 @@
 		return ops
 	}
 	rng := rand.New(rand.NewPCG(f.day.Seed, 5))
-	from, to := c.BadAt.Span(), c.BadAt.Span()+c.BadLength.Span()
+	from, to := c.BadAt.AsDuration(), c.BadAt.AsDuration()+c.BadLength.AsDuration()
 	for at := from; c.BadRate > 0; {
 		if at += time.Duration(rng.ExpFloat64() / c.BadRate * float64(time.Second)); at >= to {
 			break
@@ -135,7 +135,7 @@
 
 // restartPoisoned restarts a node that was crashed by a poison request, after a delay.
 func (f *fleet) restartPoisoned(n *node.Node) {
-	f.announce(f.day.List.Notice.Span(), n, "gone")
+	f.announce(f.day.List.Notice.AsDuration(), n, "gone")
 	f.schedule(2*time.Second, func() { f.restartNode(n) })
 }
 
@@ -144,14 +144,14 @@
 	count, size := f.day.Load.Tenants.Count, max(t.Size, 0.1)
 	rng := rand.New(rand.NewPCG(f.day.Seed, 6))
 	draws := map[int]int{}
-	for at := time.Duration(0); at < t.Length.Span(); at += time.Duration(float64(time.Second) / size) {
+	for at := time.Duration(0); at < t.Length.AsDuration(); at += time.Duration(float64(time.Second) / size) {
 		tenant := 1 + rng.IntN(max(1, count))
 		if t.Part > 0 { // only the tenants with the most traffic, t.Part of all
 			tenant = 1 + rng.IntN(max(1, int(t.Part*float64(count))))
 		}
 		draws[tenant]++
 		line := fmt.Sprintf("move tenant %s draw %d", tenantName(tenant), draws[tenant])
-		f.schedule(t.At.Span()+at, func() {
+		f.schedule(t.At.AsDuration()+at, func() {
 			for _, p := range f.pilots {
 				f.mu.Lock()
 				running := p.pilot
@@ -190,9 +190,9 @@
 		return nil
 	}
 	types := d.Service.Types()
-	from, to := time.Duration(0), d.Length.Span()
+	from, to := time.Duration(0), d.Length.AsDuration()
 	if c.Bad > 0 {
-		from, to = c.BadAt.Span(), c.BadAt.Span()+c.BadLength.Span()
+		from, to = c.BadAt.AsDuration(), c.BadAt.AsDuration()+c.BadLength.AsDuration()
 	}
 	byTenant := map[int]*revenueShare{}
 	var others, bad, outside, inside revenueShare
@@ -245,7 +245,7 @@
 // the tables in force in the middle of the misbehaviour.
 func (e *evidence) outsideBadPods(h *history, d *files.Day, start time.Duration) func(*op) bool {
 	c := &d.Load.Tenants
-	at := start + c.BadAt.Span() + c.BadLength.Span()/2
+	at := start + c.BadAt.AsDuration() + c.BadLength.AsDuration()/2
 	tablesByProxy := map[int]*proxyTables{}
 	for _, s := range h.streams {
 		if s.hello == nil || s.joined < 0 || s.joined > at {
--- a/lab/trouble.go
+++ b/lab/trouble.go
@@ -28,7 +28,7 @@
 		for _, n := range f.pickNodes(t) {
 			f.during(t, func() {
 				n.Set(func(x *node.Trouble) { x.Silent = true })
-				f.announce(f.day.List.SilentNotice.Span(), n, "gone")
+				f.announce(f.day.List.SilentNotice.AsDuration(), n, "gone")
 			}, func() { f.restartNode(n) })
 		}
 	},
@@ -49,14 +49,14 @@
 		const steps = 10
 		for _, n := range f.pickNodes(t) {
 			for i := range steps {
-				f.schedule(t.At.Span()+t.Length.Span()*time.Duration(i)/steps, func() {
+				f.schedule(t.At.AsDuration()+t.Length.AsDuration()*time.Duration(i)/steps, func() {
 					n.Set(func(x *node.Trouble) { x.Slow = 1 + (max(t.Size, 1)-1)*float64(i+1)/steps })
 				})
 			}
-			end := t.At.Span() + t.Length.Span()
+			end := t.At.AsDuration() + t.Length.AsDuration()
 			f.schedule(end, func() {
 				n.Stop()
-				f.announce(f.day.List.Notice.Span(), n, "gone")
+				f.announce(f.day.List.Notice.AsDuration(), n, "gone")
 			})
 			f.schedule(end+time.Duration(t.Extra*float64(time.Second)), func() { f.restartNode(n) })
 		}
@@ -65,8 +65,8 @@
 		period := max(time.Duration(t.Extra*float64(time.Second)), 200*time.Millisecond)
 		for _, n := range f.pickNodes(t) {
 			offset := time.Duration(f.rng.Float64() * float64(period))
-			for at := offset; at < t.Length.Span(); at += period {
-				f.schedule(t.At.Span()+at, func() { n.Pause(time.Duration(t.Size * float64(time.Millisecond))) })
+			for at := offset; at < t.Length.AsDuration(); at += period {
+				f.schedule(t.At.AsDuration()+at, func() { n.Pause(time.Duration(t.Size * float64(time.Millisecond))) })
 			}
 		}
 	},
@@ -75,13 +75,13 @@
 	"flapping":     (*fleet).flap,
 	"grow": func(f *fleet, t *files.Trouble) { // spare nodes start cold, and the traffic grows with them
 		for i, n := range f.spare {
-			f.schedule(t.At.Span()+t.Length.Span()*time.Duration(i)/time.Duration(len(f.spare)), func() {
+			f.schedule(t.At.AsDuration()+t.Length.AsDuration()*time.Duration(i)/time.Duration(len(f.spare)), func() {
 				if n.Start(true) == nil {
-					f.announce(f.day.List.Add.Span(), n, "ready")
+					f.announce(f.day.List.Add.AsDuration(), n, "ready")
 				}
 			})
 		}
-		f.growth = append(f.growth, trafficShift{from: t.At.Span(), to: t.At.Span() + t.Length.Span(),
+		f.growth = append(f.growth, trafficShift{from: t.At.AsDuration(), to: t.At.AsDuration() + t.Length.AsDuration(),
 			fraction: float64(len(f.spare)) / float64(len(f.nodes)) * t.Extra})
 	},
 	"zone_loss": (*fleet).loseZone,
@@ -106,12 +106,12 @@
 	},
 	"pilot_pause": func(f *fleet, t *files.Trouble) { // a pilot process is suspended and continues
 		for _, p := range f.pickPilots(t) {
-			f.schedule(t.At.Span(), func() {
+			f.schedule(t.At.AsDuration(), func() {
 				f.mu.Lock()
 				running := p.pilot
 				f.mu.Unlock()
 				if running != nil {
-					running.Pause(t.Length.Span())
+					running.Pause(t.Length.AsDuration())
 				}
 			})
 		}
@@ -131,7 +131,7 @@
 	"reconnect": func(f *fleet, t *files.Trouble) {
 		for _, i := range pick(f, len(f.proxies), t.Size, nil) {
 			offset := time.Duration(f.rng.Float64() * float64(t.Length))
-			f.schedule(t.At.Span()+offset, func() {
+			f.schedule(t.At.AsDuration()+offset, func() {
 				for _, p := range f.pilots {
 					p.links[i].Break()
 				}
@@ -143,7 +143,7 @@
 		if part <= 0 {
 			part = 0.02
 		}
-		f.hotCallers = append(f.hotCallers, trafficShift{from: t.At.Span(), to: t.At.Span() + t.Length.Span(),
+		f.hotCallers = append(f.hotCallers, trafficShift{from: t.At.AsDuration(), to: t.At.AsDuration() + t.Length.AsDuration(),
 			ramp: time.Duration(t.Extra * float64(time.Second)), fraction: t.Size, proxies: pick(f, len(f.proxies), part, t.On)})
 	},
 	"shift": func(f *fleet, t *files.Trouble) { // traffic moves to a zone for good, within t.Length
@@ -154,7 +154,7 @@
 				zoneProxies = append(zoneProxies, i)
 			}
 		}
-		f.zoneShifts = append(f.zoneShifts, trafficShift{from: t.At.Span(), to: t.At.Span() + t.Length.Span(), ramp: t.Length.Span(),
+		f.zoneShifts = append(f.zoneShifts, trafficShift{from: t.At.AsDuration(), to: t.At.AsDuration() + t.Length.AsDuration(), ramp: t.Length.AsDuration(),
 			fraction: t.Size, proxies: zoneProxies, permanent: true})
 	},
 	"slow_link": func(f *fleet, t *files.Trouble) { // slow links between a zone and all others, or one other zone
@@ -162,9 +162,9 @@
 		if t.How == "pair" {
 			other = (zone + 1) % len(f.day.Service.Zones)
 		}
-		shortestTarget := f.day.Service.OpTypes[0].TargetLatency.Span()
+		shortestTarget := f.day.Service.OpTypes[0].TargetLatency.AsDuration()
 		for _, x := range f.day.Service.OpTypes {
-			shortestTarget = min(shortestTarget, x.TargetLatency.Span())
+			shortestTarget = min(shortestTarget, x.TargetLatency.AsDuration())
 		}
 		roundTripDelay := time.Duration(2 * t.Size * float64(shortestTarget)) // round trip
 		for _, n := range f.nodes {
@@ -205,8 +205,8 @@
 
 // during schedules begin at the start of a trouble and end at its end.
 func (f *fleet) during(t *files.Trouble, begin, end func()) {
-	f.schedule(t.At.Span(), begin)
-	f.schedule(t.At.Span()+t.Length.Span(), end)
+	f.schedule(t.At.AsDuration(), begin)
+	f.schedule(t.At.AsDuration()+t.Length.AsDuration(), end)
 }
 
 // pick returns the named indexes below n, or, if none are named, a random part of 0 to n-1 with at least one index.
@@ -274,7 +274,7 @@
 func (f *fleet) restartNode(n *node.Node) {
 	n.Stop()
 	if n.Start(true) == nil && n.Up() {
-		f.announce(f.day.List.Add.Span(), n, "ready")
+		f.announce(f.day.List.Add.AsDuration(), n, "ready")
 	}
 }
 
@@ -285,8 +285,8 @@
 	batches := (len(chosen) + batch - 1) / batch
 	drain := time.Duration(max(t.Extra, 0.5) * float64(time.Second))
 	for i, n := range chosen {
-		at := t.At.Span() + t.Length.Span()*time.Duration(i/batch)/time.Duration(max(batches, 1))
-		f.announce(at+f.day.List.Add.Span(), n, "draining")
+		at := t.At.AsDuration() + t.Length.AsDuration()*time.Duration(i/batch)/time.Duration(max(batches, 1))
+		f.announce(at+f.day.List.Add.AsDuration(), n, "draining")
 		f.schedule(at+drain, func() { n.Set(func(x *node.Trouble) { x.Draining = true }) })
 		f.schedule(at+drain+time.Second, func() { f.restartNode(n) })
 	}
@@ -299,8 +299,8 @@
 	down := time.Duration(min(max(t.Extra, 0.1), 0.9) * float64(period))
 	for _, n := range f.pickNodes(t) {
 		offset := time.Duration(f.rng.Float64() * float64(period))
-		for at := offset; at < t.Length.Span(); at += period {
-			begin, end := t.At.Span()+at, t.At.Span()+at+down
+		for at := offset; at < t.Length.AsDuration(); at += period {
+			begin, end := t.At.AsDuration()+at, t.At.AsDuration()+at+down
 			switch t.How {
 			case "hang":
 				f.schedule(begin, func() { n.Set(func(x *node.Trouble) { x.Hang = true }) })
@@ -311,13 +311,13 @@
 			case "silence":
 				f.schedule(begin, func() {
 					n.Set(func(x *node.Trouble) { x.Silent = true })
-					f.announce(f.day.List.SilentNotice.Span(), n, "gone")
+					f.announce(f.day.List.SilentNotice.AsDuration(), n, "gone")
 				})
 				f.schedule(end, func() { f.restartNode(n) })
 			default: // crash
 				f.schedule(begin, func() {
 					n.Stop()
-					f.announce(f.day.List.Notice.Span(), n, "gone")
+					f.announce(f.day.List.Notice.AsDuration(), n, "gone")
 				})
 				f.schedule(end, func() { f.restartNode(n) })
 			}
@@ -336,11 +336,11 @@
 		f.during(t, func() {
 			if t.Extra > 0.5 {
 				n.Set(func(x *node.Trouble) { x.Silent = true })
-				f.announce(f.day.List.SilentNotice.Span(), n, "gone")
+				f.announce(f.day.List.SilentNotice.AsDuration(), n, "gone")
 				return
 			}
 			n.Stop()
-			f.announce(f.day.List.Notice.Span(), n, "gone")
+			f.announce(f.day.List.Notice.AsDuration(), n, "gone")
 		}, func() { f.restartNode(n) })
 	}
 	if t.Size <= 0.5 {
@@ -381,7 +381,7 @@
 	down := time.Duration(max(t.Extra, 0.2) * float64(time.Second))
 	if t.How == "pilots" || t.How == "pilots-in-order" {
 		for i, instance := range f.pilots {
-			startAt := t.At.Span() + t.Length.Span()*time.Duration(i)/time.Duration(len(f.pilots))
+			startAt := t.At.AsDuration() + t.Length.AsDuration()*time.Duration(i)/time.Duration(len(f.pilots))
 			if t.How == "pilots" {
 				f.schedule(startAt, func() { f.killPilot(instance) })
 			} else {
@@ -395,7 +395,7 @@
 	batch := max(1, int(math.Round(t.Size*float64(len(f.proxies)))))
 	batches := (len(chosen) + batch - 1) / batch
 	for k, i := range chosen {
-		startAt := t.At.Span() + t.Length.Span()*time.Duration(k/batch)/time.Duration(max(batches, 1))
+		startAt := t.At.AsDuration() + t.Length.AsDuration()*time.Duration(k/batch)/time.Duration(max(batches, 1))
 		f.schedule(startAt, func() { f.killProxy(i) })
 		f.schedule(startAt+down, func() { f.restartProxy(i) })
 	}
--- a/pilot/lifecycle.go
+++ b/pilot/lifecycle.go
@@ -124,7 +124,7 @@
 
 // leave sends the proxies to other pilots, evenly, within the time that the file gives.
 func (p *Pilot) leave() {
-	all := p.file.LeaveWithin.Span()
+	all := p.file.LeaveWithin.AsDuration()
 	if all <= 0 {
 		all = usualLeave
 	}
--- a/pilot/moves.go
+++ b/pilot/moves.go
@@ -58,8 +58,8 @@
 		s.Close()
 		return err
 	}
-	w := tenancy.MoveLimits{MaxHold: f.Most.Span(), MaxConcurrent: f.Abreast}
-	w.WriteLifetime, w.DedupWindow = tenancy.MoveDurations(p.facts.OpTypes, p.file.Service.WriteLife.Span())
+	w := tenancy.MoveLimits{MaxHold: f.Most.AsDuration(), MaxConcurrent: f.Abreast}
+	w.WriteLifetime, w.DedupWindow = tenancy.MoveDurations(p.facts.OpTypes, p.file.Service.WriteLife.AsDuration())
 	if w.MaxHold <= 0 {
 		w.MaxHold = 10 * (w.WriteLifetime + w.DedupWindow)
 	}
--- a/proxy/orders.go
+++ b/proxy/orders.go
@@ -53,8 +53,8 @@
 
 // spanOr is a time of the settings, or the fallback where none is given.
 func spanOr(d files.Duration, fallback time.Duration) time.Duration {
-	if d.Span() > 0 {
-		return d.Span()
+	if d.AsDuration() > 0 {
+		return d.AsDuration()
 	}
 	return fallback
 }
--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -104,8 +104,8 @@
 		}
 	}
 	pool := file.Pool
-	p.pool = &upstream.Pool{PerServer: pool.PerServer, IdleTimeout: pool.IdleClose.Span(),
-		ConnectTimeout: pool.ConnectTimeout.Span()}
+	p.pool = &upstream.Pool{PerServer: pool.PerServer, IdleTimeout: pool.IdleClose.AsDuration(),
+		ConnectTimeout: pool.ConnectTimeout.AsDuration()}
 	for i := range p.types {
 		p.types[i].rank = rank(types, i)
 	}
@@ -124,7 +124,7 @@
 			return nil, err
 		}
 		p.tenants.groups = p.groups
-		write, window := tenancy.MoveDurations(types, file.Service.WriteLife.Span())
+		write, window := tenancy.MoveDurations(types, file.Service.WriteLife.AsDuration())
 		if p.now.Load().bindings, p.keeper, err = openBindings(file.Tenants.Bindings, write+window, 0, p.log); err != nil {
 			return nil, err
 		}
@@ -378,7 +378,7 @@
 				c.CloseAfter()
 				return
 			}
-			e.met(false, took, nil, p.file.Service.OutlierAfter, p.file.Service.OutlierFor.Span())
+			e.met(false, took, nil, p.file.Service.OutlierAfter, p.file.Service.OutlierFor.AsDuration())
 			state.failedAt(e, begin, fail.NotSent)
 		}
 		last = fail
@@ -439,7 +439,7 @@
 func (p *Proxy) passOn(c *serve.Conn, s *scratch, a *upstream.Response, e *server, took time.Duration, state *tries,
 	begin time.Time, again control.RetryPolicy, deadline time.Time, head bool) bool {
 	good := a.Status < 500
-	e.met(good, took, p.load(a.Get(http1.LoadHeader)), p.file.Service.OutlierAfter, p.file.Service.OutlierFor.Span())
+	e.met(good, took, p.load(a.Get(http1.LoadHeader)), p.file.Service.OutlierAfter, p.file.Service.OutlierFor.AsDuration())
 	if !good {
 		state.failedAt(e, begin, a.Status == 503 && len(a.Get(http1.UnrunHeader)) > 0)
 		if state.may(again) && time.Now().Before(deadline) {
@@ -459,7 +459,7 @@
 }
 
 func (p *Proxy) retryAfter() time.Duration {
-	if d := p.file.RetryAfter.Span(); d > 0 {
+	if d := p.file.RetryAfter.AsDuration(); d > 0 {
 		return d
 	}
 	return time.Second
@@ -508,7 +508,7 @@
 
 // pushSums sends what was met to the pilot, each period.
 func (p *Proxy) pushSums(ctx context.Context) {
-	t := time.NewTicker(p.file.Service.ReportEvery.Span())
+	t := time.NewTicker(p.file.Service.ReportEvery.AsDuration())
 	defer t.Stop()
 	for {
 		select {
