--- a/files/read.go
+++ b/files/read.go
@@ -153,7 +153,7 @@
 }
 
 func kindOf(path string, data []byte) (string, error) {
-	if err := Whole(path, data); err != nil {
+	if err := CheckSyntax(path, data); err != nil {
 		return "", err
 	}
 	var head struct {
@@ -173,8 +173,8 @@
 	return k, nil
 }
 
-// Whole looks over a file before anything is built from it: empty, torn, nested without end, a key twice.
-func Whole(path string, data []byte) error {
+// CheckSyntax looks over a file before anything is built from it: empty, torn, nested without end, a key twice.
+func CheckSyntax(path string, data []byte) error {
 	if len(bytes.TrimSpace(data)) == 0 {
 		return &ValidationError{File: path, Found: "an empty file", Allowed: "a JSON object"}
 	}
--- a/lab/bench.go
+++ b/lab/bench.go
@@ -148,7 +148,7 @@
 // supported day.
 func ImportBenchDay(path string, data []byte, shrink int) (day *files.Day, notes []string, err error) {
 	var b benchDay
-	if err := files.Whole(path, data); err != nil {
+	if err := files.CheckSyntax(path, data); err != nil {
 		return nil, nil, err
 	}
 	if err := json.Unmarshal(data, &b); err != nil {
