--- a/pilot/desired_test.go
+++ b/pilot/desired_test.go
@@ -170,7 +170,7 @@
 	if s := text(got); !strings.HasSuffix(s, "p3 #1 5 ?2; set tenant =delo rate 2.6666666666666665 tries 0 fence on hand 2 room 1") {
 		t.Error(s)
 	}
-	limit.Rate, limit.Hand, limit.Fenced, limit.Tries = -1, -1, false, 0.2
+	limit.Rate, limit.Hand, limit.Fenced, limit.RetriesPerOp = -1, -1, false, 0.2
 	if got := told(limit); strings.Count(got, "set tenant =delo rate * tries 0.2 fence off hand * room 1") != 3 {
 		t.Error(got)
 	}
--- a/runtime/change.go
+++ b/runtime/change.go
@@ -28,25 +28,25 @@
 
 // Change is one line of a pilot's message.
 type Change struct {
-	Verb        Verb
-	Table       control.TableID // control.Everywhere for all, with SetLevel
-	Endpoint    control.EndpointID
-	Server      Server // AddServer
-	Weight      float64
-	Drained     bool   // SetState
-	OpTypes     uint16 // a bit for each; 0: all
-	Level       float64
-	RetryPolicy control.RetryPolicy
-	Tenant      string
-	Rate        float64 // ops a second at this proxy; below 0: no limit
-	Tries       float64 // beyond the first, for each op
-	Fenced      bool    // to one pod of its subset alone
-	Hand        float64 // ops in hand at this proxy at a time; below 0: no limit
-	Room        float64 // times the pods that its subset has by itself
-	Digest      uint64
-	Number      uint64 // of a binding, among those of its pilot
-	Seat        tenancy.Placement
-	Held        bool // writes are refused with a time to come back
+	Verb         Verb
+	Table        control.TableID // control.Everywhere for all, with SetLevel
+	Endpoint     control.EndpointID
+	Server       Server // AddServer
+	Weight       float64
+	Drained      bool   // SetState
+	OpTypes      uint16 // a bit for each; 0: all
+	Level        float64
+	RetryPolicy  control.RetryPolicy
+	Tenant       string
+	Rate         float64 // ops a second at this proxy; below 0: no limit
+	RetriesPerOp float64 // beyond the first, for each op
+	Fenced       bool    // to one pod of its subset alone
+	Hand         float64 // ops in hand at this proxy at a time; below 0: no limit
+	Room         float64 // times the pods that its subset has by itself
+	Digest       uint64
+	Number       uint64 // of a binding, among those of its pilot
+	Seat         tenancy.Placement
+	Held         bool // writes are refused with a time to come back
 }
 
 // Server is what a proxy must know of an endpoint to send ops there and to try them again safely.
@@ -61,12 +61,12 @@
 
 // LimitOf is the change that says a tenant's limit.
 func LimitOf(l tenancy.Limit) Change {
-	return Change{Verb: SetTenant, Tenant: l.Tenant, Rate: l.Rate, Tries: l.Tries, Hand: l.Hand, Fenced: l.Fenced, Room: l.Room}
+	return Change{Verb: SetTenant, Tenant: l.Tenant, Rate: l.Rate, RetriesPerOp: l.Tries, Hand: l.Hand, Fenced: l.Fenced, Room: l.Room}
 }
 
 // Limit is what a SetTenant says.
 func (c Change) Limit() tenancy.Limit {
-	return tenancy.Limit{Tenant: c.Tenant, Rate: c.Rate, Tries: c.Tries, Hand: c.Hand, Fenced: c.Fenced, Room: c.Room}
+	return tenancy.Limit{Tenant: c.Tenant, Rate: c.Rate, Tries: c.RetriesPerOp, Hand: c.Hand, Fenced: c.Fenced, Room: c.Room}
 }
 
 // Append appends the change as a line, without its end.
@@ -128,7 +128,7 @@
 func (c Change) appendSetTenant(b []byte) []byte {
 	b = appendTenant(append(b, "set tenant "...), c.Tenant)
 	b = appendLimit(append(b, " rate "...), c.Rate)
-	b = number(append(b, " tries "...), c.Tries)
+	b = number(append(b, " tries "...), c.RetriesPerOp)
 	b = appendOnOff(append(b, " fence "...), c.Fenced)
 	b = appendLimit(append(b, " hand "...), c.Hand)
 	return number(append(b, " room "...), c.Room)
--- a/runtime/parse_change.go
+++ b/runtime/parse_change.go
@@ -125,8 +125,8 @@
 	c.Tenant = w.tenant()
 	c.Rate = w.limit("rate")
 	w.expect("tries")
-	if c.Tries = w.float("tries"); c.Tries < 0 {
-		w.fail("tries %v are below 0", c.Tries)
+	if c.RetriesPerOp = w.float("tries"); c.RetriesPerOp < 0 {
+		w.fail("tries %v are below 0", c.RetriesPerOp)
 	}
 	c.Fenced = w.onOff("fence")
 	c.Hand = w.limit("hand")
--- a/runtime/runtime_test.go
+++ b/runtime/runtime_test.go
@@ -98,7 +98,7 @@
 		{Verb: ClearTable, Table: 0},
 		{Verb: SetLevel, Table: control.Everywhere, OpTypes: 2, Level: 0.86, RetryPolicy: control.IfUnrun},
 		{Verb: SetLevel, Table: 9, Level: 0, RetryPolicy: control.TwiceMore},
-		{Verb: SetTenant, Tenant: "a b;", Rate: -1, Tries: 0.2, Hand: -1, Room: 1},
+		{Verb: SetTenant, Tenant: "a b;", Rate: -1, RetriesPerOp: 0.2, Hand: -1, Room: 1},
 		{Verb: SetTenant, Tenant: "", Rate: 0.5, Fenced: true, Hand: 2.5, Room: 1.5},
 		{Verb: SetBinding, Tenant: "a <<", Number: 1 << 63, Seat: tenancy.Placement{Draw: 3, Size: 2, Pods: []tenancy.PodID{1<<16 | 7, 9}}, Held: true},
 		{Verb: SetBinding, Tenant: "", Number: 1},
