--- a/files/files.go
+++ b/files/files.go
@@ -351,8 +351,8 @@
 	return max(p.Channel.MostWaiting/noticeShare, p.Channel.MessageLines+len(p.Service.OpTypes))
 }
 
-// ModeOf reads a mode as the list has it; an empty one is ready.
-func ModeOf(s string) (control.Mode, error) {
+// ParseMode reads a mode as the list has it; an empty one is ready.
+func ParseMode(s string) (control.Mode, error) {
 	switch s {
 	case "", "ready":
 		return control.Ready, nil
--- a/lab/check.go
+++ b/lab/check.go
@@ -148,7 +148,7 @@
 			}
 			inUpdate := map[control.EndpointID]bool{}
 			for _, entry := range update.Entries {
-				mode, err := files.ModeOf(entry.Mode)
+				mode, err := files.ParseMode(entry.Mode)
 				if err != nil {
 					return changes, err
 				}
--- a/pilot/list.go
+++ b/pilot/list.go
@@ -103,7 +103,7 @@
 func (p *Pilot) entries(list []roster.Entry) []control.Entry {
 	out := make([]control.Entry, len(list))
 	for i, e := range list {
-		mode, _ := files.ModeOf(e.Mode) // checked as it was read
+		mode, _ := files.ParseMode(e.Mode) // checked as it was read
 		out[i] = control.Entry{Endpoint: e.Endpoint, Weight: e.Weight, Mode: mode, Started: control.LongAgo,
 			Machine: e.Machine, Zone: p.file.Service.ZoneIndex(e.Zone), Pack: e.Pack}
 		if e.Started > 0 {
--- a/roster/wire.go
+++ b/roster/wire.go
@@ -80,7 +80,7 @@
 func checkEntries(entries []Entry) error {
 	for i := range entries {
 		e := &entries[i]
-		if _, err := files.ModeOf(e.Mode); err != nil {
+		if _, err := files.ParseMode(e.Mode); err != nil {
 			return fmt.Errorf("roster: entry %d: %w", i, err)
 		}
 		if e.Mode != "gone" && !e.Address.IsValid() {
