--- a/lab/check.go
+++ b/lab/check.go
@@ -227,7 +227,7 @@
 						return err
 					}
 					seen := &observedMessage{Message: m, sent: p.Came, received: p.Gone, confirmed: -1}
-					seen.decided = time.UnixMicro(int64(m.Run)).Sub(e.start) + m.At
+					seen.decided = time.UnixMicro(int64(m.Run)).Sub(e.start) + m.CreatedAt
 					byNumber[m.Number] = seen
 					s.messages = append(s.messages, seen)
 				}
--- a/lab/check_test.go
+++ b/lab/check_test.go
@@ -75,7 +75,7 @@
 // message adds a message that was decided, sent and confirmed at the given times.
 func (c *scenario) message(ordered, sent, confirmed time.Duration, lines int, changes ...string) {
 	c.number++
-	m := runtime.Message{Pilot: "p", Run: uint64(c.start.UnixMicro()), Number: c.number, At: ordered, Lines: lines, Checkpoint: -1}
+	m := runtime.Message{Pilot: "p", Run: uint64(c.start.UnixMicro()), Number: c.number, CreatedAt: ordered, Lines: lines, Checkpoint: -1}
 	for _, line := range changes {
 		x, err := runtime.ParseChange(strings.Fields(line))
 		if err != nil {
--- a/pilot/pilot.go
+++ b/pilot/pilot.go
@@ -189,7 +189,7 @@
 		if s == nil {
 			continue
 		}
-		m.Pilot, m.Run, m.At = p.file.Name, p.run, now
+		m.Pilot, m.Run, m.CreatedAt = p.file.Name, p.run, now
 		if !p.channel.push(m) {
 			p.overflows++
 			p.log.Error("the channel is full; a proxy joins anew", "proxy", s.id, "lines", m.Lines, "waiting", p.channel.waiting)
--- a/pilot/session.go
+++ b/pilot/session.go
@@ -90,8 +90,8 @@
 	p.desired.confirmed(m)
 	p.placed(s, m)
 	if m.Checkpoint >= 0 {
-		p.records.inForce(s.id, m.Checkpoint, p.host.Now()-m.At)
-		p.host.Event(control.InForce{Proxy: s.id, Checkpoint: m.Checkpoint, Took: p.host.Now() - m.At})
+		p.records.inForce(s.id, m.Checkpoint, p.host.Now()-m.CreatedAt)
+		p.host.Event(control.InForce{Proxy: s.id, Checkpoint: m.Checkpoint, Took: p.host.Now() - m.CreatedAt})
 	}
 }
 
--- a/runtime/message.go
+++ b/runtime/message.go
@@ -13,7 +13,7 @@
 	Pilot      string
 	Run        uint64 // of the pilot; a later start has a higher one
 	Number     uint64 // within the run and the proxy's session, from 1 up
-	At         time.Duration
+	CreatedAt  time.Duration
 	Lines      int // what it costs the channel, its head included
 	Checkpoint int // below 0: none
 	Changes    []Change
@@ -24,7 +24,7 @@
 	b = append(append(b, "apply "...), Quote(m.Pilot)...)
 	b = strconv.AppendUint(append(b, ' '), m.Run, 10)
 	b = strconv.AppendUint(append(b, ' '), m.Number, 10)
-	b = strconv.AppendInt(append(b, " at "...), m.At.Microseconds(), 10)
+	b = strconv.AppendInt(append(b, " at "...), m.CreatedAt.Microseconds(), 10)
 	b = strconv.AppendInt(append(b, " lines "...), int64(m.Lines), 10)
 	if m.Checkpoint >= 0 {
 		b = strconv.AppendInt(append(b, " checkpoint "...), int64(m.Checkpoint), 10)
@@ -48,7 +48,7 @@
 	m := &Message{Pilot: w.take(), Checkpoint: -1}
 	m.Run, m.Number = w.uint("run", math.MaxUint64), w.uint("number", math.MaxUint64)
 	w.expect("at")
-	m.At = time.Duration(w.uint("time", math.MaxInt64/1000)) * time.Microsecond
+	m.CreatedAt = time.Duration(w.uint("time", math.MaxInt64/1000)) * time.Microsecond
 	w.expect("lines")
 	m.Lines = int(w.uint("lines", math.MaxInt32))
 	if len(w.words) > 0 {
--- a/runtime/runtime_test.go
+++ b/runtime/runtime_test.go
@@ -109,7 +109,7 @@
 
 // What is written is read back as it was.
 func TestMessage(t *testing.T) {
-	m := &Message{Pilot: "a b;c", Run: 1 << 60, Number: 7, At: 1234567 * time.Microsecond, Lines: 12, Checkpoint: 65535, Changes: changes()}
+	m := &Message{Pilot: "a b;c", Run: 1 << 60, Number: 7, CreatedAt: 1234567 * time.Microsecond, Lines: 12, Checkpoint: 65535, Changes: changes()}
 	s := NewScanner(StreamBounds)
 	s.Feed(m.Append(nil))
 	line, ok, err := s.Next()
