--- a/files/files.go
+++ b/files/files.go
@@ -319,8 +319,8 @@
 	return out
 }
 
-// Again returns how tries are repeated where no level says.
-func (s *Service) Again() control.RetryPolicy { return agains[s.UsualAgain] }
+// DefaultRetryPolicy returns how tries are repeated where no level says.
+func (s *Service) DefaultRetryPolicy() control.RetryPolicy { return agains[s.UsualAgain] }
 
 // Facts are what the pilot's module is told at its start.
 func (p *Pilot) Facts() control.Facts {
--- a/proxy/admin.go
+++ b/proxy/admin.go
@@ -161,7 +161,7 @@
 func (p *Proxy) showLevels(w io.Writer, c runtime.Command) error {
 	t := p.now.Load()
 	for i := range p.types {
-		l := t.level(i, p.file.Service.Again())
+		l := t.level(i, p.file.Service.DefaultRetryPolicy())
 		fmt.Fprintf(w, "%d %s %g %d\n", i, p.types[i].name, l.share, l.again)
 	}
 	return nil
--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -296,7 +296,7 @@
 	t.ops.Add(1)
 	p.tally.ops.Add(1)
 	now := p.now.Load()
-	l := now.level(i, p.file.Service.Again())
+	l := now.level(i, p.file.Service.DefaultRetryPolicy())
 	if !t.admit(l.share) {
 		p.refuse(c, s, "not let in")
 		return
@@ -388,7 +388,7 @@
 		}
 		p.tally.retried.Add(1)
 		now = p.now.Load() // withdrawals since the first try bind this one
-		l = now.level(i, p.file.Service.Again())
+		l = now.level(i, p.file.Service.DefaultRetryPolicy())
 		if whose != nil && now.bindings.holds(whose.name, &t.OpType, time.Since(p.started)) {
 			break // its tenant is being moved since
 		}
