--- a/files/files.go
+++ b/files/files.go
@@ -64,17 +64,17 @@
 
 // Service is what is served: the zones and op types, and how proxies work.
 type Service struct {
-	Zones        []string `json:"zones"`
-	OpTypes      []OpType `json:"op_types"`
-	Measures     []string `json:"measures,omitempty"` // of load reports, by their ORCA names
-	ReportEvery  Duration `json:"report_every"`
-	TryShare     float64  `json:"try_share,omitempty"`     // a try that may be followed waits this share of the target latency
-	OutlierAfter int      `json:"outlier_after,omitempty"` // own failures in a row after which a proxy avoids a server; 0: never
-	OutlierFor   Duration `json:"outlier_for,omitempty"`
-	Bootstrap    int      `json:"bootstrap"` // servers of a standing table, at most
-	UsualAgain   string   `json:"usual_again,omitempty"`
-	WriteLife    Duration `json:"write_life,omitempty"` // a write that a proxy took in is finished, for good or ill, within this; 0: twice its op timeout
-	CrossZone    float64  `json:"cross_zone_price,omitempty"`
+	Zones          []string `json:"zones"`
+	OpTypes        []OpType `json:"op_types"`
+	Measures       []string `json:"measures,omitempty"` // of load reports, by their ORCA names
+	ReportEvery    Duration `json:"report_every"`
+	TryShare       float64  `json:"try_share,omitempty"`     // a try that may be followed waits this share of the target latency
+	OutlierAfter   int      `json:"outlier_after,omitempty"` // own failures in a row after which a proxy avoids a server; 0: never
+	OutlierFor     Duration `json:"outlier_for,omitempty"`
+	Bootstrap      int      `json:"bootstrap"` // servers of a standing table, at most
+	DefaultRetries string   `json:"usual_again,omitempty"`
+	WriteLife      Duration `json:"write_life,omitempty"` // a write that a proxy took in is finished, for good or ill, within this; 0: twice its op timeout
+	CrossZone      float64  `json:"cross_zone_price,omitempty"`
 
 	// WritePacks are the packs that writes which are deduplicated by pack are drawn among, by zone; the zones of it are those for
 	// writes deduplicated by zone, or all zones where it is empty. All proxies must have the same at any time. It is changed in two
@@ -320,7 +320,7 @@
 }
 
 // DefaultRetryPolicy returns how tries are repeated where no level says.
-func (s *Service) DefaultRetryPolicy() control.RetryPolicy { return agains[s.UsualAgain] }
+func (s *Service) DefaultRetryPolicy() control.RetryPolicy { return agains[s.DefaultRetries] }
 
 // Facts are what the pilot's module is told at its start.
 func (p *Pilot) Facts() control.Facts {
--- a/lab/bench.go
+++ b/lab/bench.go
@@ -179,7 +179,7 @@
 		OutlierAfter: fam.Ejects, OutlierFor: fromMicroseconds(fam.Eject), Bootstrap: max(1, fam.Standing),
 		CrossZone: b.Prices.CrossZone}
 	if fam.UsualHow >= 0 && fam.UsualHow < len(benchRetryModes) {
-		d.Service.UsualAgain = benchRetryModes[fam.UsualHow]
+		d.Service.DefaultRetries = benchRetryModes[fam.UsualHow]
 	}
 	if tier.ReportHow == "answers" {
 		for _, m := range tier.ReportFields {
--- a/proxy/proxy_test.go
+++ b/proxy/proxy_test.go
@@ -257,7 +257,7 @@
 func proxyFile(origins ...string) *files.Proxy {
 	ms := func(n int) files.Duration { return files.Duration(time.Duration(n) * time.Millisecond) }
 	f := &files.Proxy{Kind: "proxy", ID: 7, Zone: "z", Listen: "127.0.0.1:0", Pilots: []files.PilotAddress{{Address: "127.0.0.1:1", Zone: "z"}},
-		Service: files.Service{Zones: []string{"z"}, Bootstrap: 9, ReportEvery: ms(1000), UsualAgain: "once", OpTypes: []files.OpType{
+		Service: files.Service{Zones: []string{"z"}, Bootstrap: 9, ReportEvery: ms(1000), DefaultRetries: "once", OpTypes: []files.OpType{
 			{Name: "head", Match: files.Match{Method: "HEAD"}, TargetLatency: ms(200), OpTimeout: ms(400), Repeat: "retryable"},
 			{Name: "read", Match: files.Match{Method: "GET"}, TargetLatency: ms(200), OpTimeout: ms(400), Repeat: "retryable"},
 			{Name: "post", Match: files.Match{Method: "POST"}, TargetLatency: ms(200), OpTimeout: ms(400), Repeat: "once-only"}}}}
@@ -423,13 +423,13 @@
 		w.Header().Set(http1.UnrunHeader, "1")
 		w.WriteHeader(503)
 	})
-	q := start(t, func(f *files.Proxy) { f.Service.UsualAgain = "if-unrun" }, refuses, fine, "127.0.0.1:1")
+	q := start(t, func(f *files.Proxy) { f.Service.DefaultRetries = "if-unrun" }, refuses, fine, "127.0.0.1:1")
 	for range 20 {
 		if r, _ := ask(t, q, "POST / HTTP/1.1\r\nHost: h\r\n\r\n"); r.StatusCode != 200 && r.StatusCode != 503 && r.StatusCode != 502 {
 			t.Errorf("refused unrun: %d", r.StatusCode)
 		}
 	}
-	z1 := start(t, func(f *files.Proxy) { f.Service.UsualAgain = "if-unrun" }, refuses)
+	z1 := start(t, func(f *files.Proxy) { f.Service.DefaultRetries = "if-unrun" }, refuses)
 	if r, _ := ask(t, z1, "POST / HTTP/1.1\r\nHost: h\r\n\r\n"); r.StatusCode != 503 || r.Header.Get("Retry-After") == "" {
 		t.Errorf("nobody took it: %d", r.StatusCode)
 	}
