--- a/files/contradictions.go
+++ b/files/contradictions.go
@@ -155,7 +155,7 @@
 				return fault("/channel/message_cap", c, "0, for limits and bindings of tenants are messages of their own")
 			}
 			if m := p.Moves; m != nil && m.Most > 0 {
-				if write, window := tenancy.MoveDurations(p.Service.Types(), p.Service.WriteLife.AsDuration()); m.Most.AsDuration() <= write+window {
+				if write, window := tenancy.MoveDurations(p.Service.Types(), p.Service.WriteLifetime.AsDuration()); m.Most.AsDuration() <= write+window {
 					return fault("/moves/most", m.Most, "more than %v, which each move waits out", write+window)
 				}
 			}
--- a/files/files.go
+++ b/files/files.go
@@ -73,7 +73,7 @@
 	OutlierFor     Duration `json:"outlier_for,omitempty"`
 	Bootstrap      int      `json:"bootstrap"` // servers of a standing table, at most
 	DefaultRetries string   `json:"usual_again,omitempty"`
-	WriteLife      Duration `json:"write_life,omitempty"` // a write that a proxy took in is finished, for good or ill, within this; 0: twice its op timeout
+	WriteLifetime  Duration `json:"write_life,omitempty"` // a write that a proxy took in is finished, for good or ill, within this; 0: twice its op timeout
 	CrossZone      float64  `json:"cross_zone_price,omitempty"`
 
 	// WritePacks are the packs that writes which are deduplicated by pack are drawn among, by zone; the zones of it are those for
--- a/lab/packs.go
+++ b/lab/packs.go
@@ -33,7 +33,7 @@
 // deduplication window, another one with the new packs alone. Both restarts and the wait between them take t.Length.
 func (f *fleet) changePacks(t *files.Trouble) {
 	down := time.Duration(max(t.Extra, 0.2) * float64(time.Second))
-	write, window := tenancy.MoveDurations(f.day.Service.Types(), f.day.Service.WriteLife.AsDuration())
+	write, window := tenancy.MoveDurations(f.day.Service.Types(), f.day.Service.WriteLifetime.AsDuration())
 	roll := max(0, (t.Length.AsDuration()-write-window)/2-down)
 	all := packsByZone(slices.Concat(f.nodes, f.spare))
 	second := t.At.AsDuration() + roll + down + write + window
--- a/lab/tenants_test.go
+++ b/lab/tenants_test.go
@@ -23,7 +23,7 @@
 	d.Load.Tenants.Count = 30
 	d.Clients.Retries, d.Clients.Backoff, d.Clients.Honour = 4, ms(30), 0
 	d.Service.OpTypes[1].OpTimeout, d.Service.OpTypes[1].DedupWindow = ms(600), ms(2000)
-	d.Service.WriteLife = ms(1000)
+	d.Service.WriteLifetime = ms(1000)
 	d.Net.Push, d.Net.Hears = ms(5), ms(5)
 	d.Load.Works[1].Share = 2
 	d.Troubles = []files.Trouble{{Kind: "move_tenants", At: ms(300), Length: ms(5000), Size: 30},
@@ -48,7 +48,7 @@
 			o := Options{Log: slog.New(slog.DiscardHandler)}
 			if planted {
 				o.configure = func(x *files.Service) {
-					x.WriteLife, x.OpTypes[1].DedupWindow = files.Duration(time.Millisecond), files.Duration(time.Millisecond)
+					x.WriteLifetime, x.OpTypes[1].DedupWindow = files.Duration(time.Millisecond), files.Duration(time.Millisecond)
 				}
 			}
 			r, err := playDay(t, movingDay(t), o)
--- a/pilot/moves.go
+++ b/pilot/moves.go
@@ -59,7 +59,7 @@
 		return err
 	}
 	w := tenancy.MoveLimits{MaxHold: f.Most.AsDuration(), MaxConcurrent: f.Abreast}
-	w.WriteLifetime, w.DedupWindow = tenancy.MoveDurations(p.facts.OpTypes, p.file.Service.WriteLife.AsDuration())
+	w.WriteLifetime, w.DedupWindow = tenancy.MoveDurations(p.facts.OpTypes, p.file.Service.WriteLifetime.AsDuration())
 	if w.MaxHold <= 0 {
 		w.MaxHold = 10 * (w.WriteLifetime + w.DedupWindow)
 	}
--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -124,7 +124,7 @@
 			return nil, err
 		}
 		p.tenants.groups = p.groups
-		write, window := tenancy.MoveDurations(types, file.Service.WriteLife.AsDuration())
+		write, window := tenancy.MoveDurations(types, file.Service.WriteLifetime.AsDuration())
 		if p.now.Load().bindings, p.keeper, err = openBindings(file.Tenants.Bindings, write+window, 0, p.log); err != nil {
 			return nil, err
 		}
--- a/proxy/proxy_test.go
+++ b/proxy/proxy_test.go
@@ -621,7 +621,7 @@
 	}
 	p := start(t, func(f *files.Proxy) {
 		f.Tenants = &files.Tenants{Header: "Newsroom", Subset: 1}
-		f.Service.WriteLife = files.Duration(300 * time.Millisecond)
+		f.Service.WriteLifetime = files.Duration(300 * time.Millisecond)
 		for i := range f.Servers {
 			f.Servers[i].Pack = i
 		}
