--- a/files/files.go
+++ b/files/files.go
@@ -74,7 +74,7 @@
 	Bootstrap      int      `json:"bootstrap"` // servers of a standing table, at most
 	DefaultRetries string   `json:"usual_again,omitempty"`
 	WriteLifetime  Duration `json:"write_life,omitempty"` // a write that a proxy took in is finished, for good or ill, within this; 0: twice its op timeout
-	CrossZone      float64  `json:"cross_zone_price,omitempty"`
+	CrossZonePrice float64  `json:"cross_zone_price,omitempty"`
 
 	// WritePacks are the packs that writes which are deduplicated by pack are drawn among, by zone; the zones of it are those for
 	// writes deduplicated by zone, or all zones where it is empty. All proxies must have the same at any time. It is changed in two
@@ -333,7 +333,7 @@
 		MessageCap:       max(0, c.MessageCap-1), // one is the pilot's own
 		MessageCapWindow: c.MessageCapOver.AsDuration(), MaxPushDelay: c.PushDelayMost.AsDuration(),
 		ReportInterval: s.ReportEvery.AsDuration(), ReportLinesPerS: c.ReportLinesPerSecond,
-		CrossZonePrice: s.CrossZone, ListedWeights: true, WarmUpTime: l.ColdFor.AsDuration(),
+		CrossZonePrice: s.CrossZonePrice, ListedWeights: true, WarmUpTime: l.ColdFor.AsDuration(),
 		ColdCapacityShare: l.ColdShare, DrainGrace: l.DrainGrace.AsDuration(), AcrossCells: s.acrossCells(), PackWrites: s.packWrites(),
 	}
 	for _, m := range s.Measures {
--- a/lab/bench.go
+++ b/lab/bench.go
@@ -177,7 +177,7 @@
 		Seed: b.Noise % (1 << 50)}
 	d.Service = files.Service{Zones: b.Zones, ReportEvery: fromMicroseconds(fam.Period), TryShare: fam.TryAims,
 		OutlierAfter: fam.Ejects, OutlierFor: fromMicroseconds(fam.Eject), Bootstrap: max(1, fam.Standing),
-		CrossZone: b.Prices.CrossZone}
+		CrossZonePrice: b.Prices.CrossZone}
 	if fam.UsualHow >= 0 && fam.UsualHow < len(benchRetryModes) {
 		d.Service.DefaultRetries = benchRetryModes[fam.UsualHow]
 	}
--- a/lab/orders_test.go
+++ b/lab/orders_test.go
@@ -106,7 +106,7 @@
 func simDay() *files.Day {
 	ms := func(n int) files.Duration { return files.Duration(time.Duration(n) * time.Millisecond) }
 	return &files.Day{Service: files.Service{Zones: []string{"a", "b"}, Measures: []string{"cpu_utilization"},
-		ReportEvery: ms(500), TryShare: 0.8, OutlierAfter: 3, OutlierFor: ms(3000), Bootstrap: 2, CrossZone: 0.08,
+		ReportEvery: ms(500), TryShare: 0.8, OutlierAfter: 3, OutlierFor: ms(3000), Bootstrap: 2, CrossZonePrice: 0.08,
 		OpTypes: []files.OpType{
 			{Name: "read", Match: files.Match{PathPrefix: "/read"}, TargetLatency: ms(300), OpTimeout: ms(900), Revenue: 1,
 				Repeat: "retryable"},
--- a/lab/repeats_test.go
+++ b/lab/repeats_test.go
@@ -68,7 +68,7 @@
 // play sends all first tries, whose responses are lost, and then all repeats, and counts the outcome in seen.
 func (c repeatCase) play(t *testing.T, seen *repeatOutcome) {
 	withSimFleet(t, variant{servers: c.servers, unlisted: c.unlisted, tenants: c.tenants, day: func(d *files.Day) {
-		d.Service.CrossZone = c.crossZone
+		d.Service.CrossZonePrice = c.crossZone
 		d.Service.OpTypes[tallyType].Group, d.Service.OpTypes[tallyType].DedupWindow = c.group, files.Duration(repeatWindow)
 	}}, func(f *simFleet) {
 		routes := [2]*link.Road{}
