--- a/files/files.go
+++ b/files/files.go
@@ -106,22 +106,22 @@
 
 // Pilot is the file of a pilot.
 type Pilot struct {
-	Kind      string   `json:"kind"`
-	Name      string   `json:"name"`
-	Zone      string   `json:"zone"`
-	Instance  int      `json:"instance,omitempty"`
-	Instances int      `json:"instances,omitempty"`
-	Proxies   int      `json:"proxies"` // of all pilots
-	Listen    string   `json:"listen"`  // for proxies
-	Admin     string   `json:"admin,omitempty"`
-	Roster    string   `json:"roster"`
-	Cache     string   `json:"cache,omitempty"` // the last list
-	Tick      Duration `json:"tick,omitempty"`
-	Silent    Duration `json:"silent_after,omitempty"` // a stream without a word for so long is broken
-	Resume    Duration `json:"resume_within,omitempty"`
-	Seed      uint64   `json:"seed,omitempty"`
-	Tenants   bool     `json:"tenants,omitempty"` // limit tenants that harm others, by what proxies met of them
-	Moves     *Moves   `json:"moves,omitempty"`   // tenants may be moved
+	Kind           string   `json:"kind"`
+	Name           string   `json:"name"`
+	Zone           string   `json:"zone"`
+	Instance       int      `json:"instance,omitempty"`
+	Instances      int      `json:"instances,omitempty"`
+	Proxies        int      `json:"proxies"` // of all pilots
+	Listen         string   `json:"listen"`  // for proxies
+	Admin          string   `json:"admin,omitempty"`
+	Roster         string   `json:"roster"`
+	Cache          string   `json:"cache,omitempty"` // the last list
+	Tick           Duration `json:"tick,omitempty"`
+	SilenceTimeout Duration `json:"silent_after,omitempty"` // a stream without a word for so long is broken
+	Resume         Duration `json:"resume_within,omitempty"`
+	Seed           uint64   `json:"seed,omitempty"`
+	Tenants        bool     `json:"tenants,omitempty"` // limit tenants that harm others, by what proxies met of them
+	Moves          *Moves   `json:"moves,omitempty"`   // tenants may be moved
 
 	Members *Members `json:"members,omitempty"` // gossip among pilots, for people
 
--- a/lab/fleet.go
+++ b/lab/fleet.go
@@ -249,7 +249,7 @@
 			Instances: d.Fleet.Pilots, Proxies: d.Fleet.Proxies, Listen: listen[i], Roster: instance.list.Address(),
 			Cache: filepath.Join(f.dir, fmt.Sprintf("list-%d.json", i)), Seed: d.Seed*100 + uint64(i) + 1,
 			LeaveWithin: files.Duration(time.Second), Service: f.configured, Limits: d.Limits, Channel: d.Channel,
-			Silent: files.Duration(3 * time.Second), Tenants: d.Load.Tenants.Limits}
+			SilenceTimeout: files.Duration(3 * time.Second), Tenants: d.Load.Tenants.Limits}
 		for j, other := range listen {
 			if i != j {
 				instance.file.Peers = append(instance.file.Peers, files.Peer{Instance: j, Address: other})
--- a/pilot/fleet_test.go
+++ b/pilot/fleet_test.go
@@ -230,7 +230,7 @@
 func newStuck(t *testing.T) (p *Pilot, release hanging, noticed chan time.Time) {
 	t.Helper()
 	f := pilotFile("127.0.0.1:1")
-	f.Silent = files.Duration(200 * time.Millisecond)
+	f.SilenceTimeout = files.Duration(200 * time.Millisecond)
 	p, release, noticed = newPilot(t, f), make(hanging), make(chan time.Time, 1)
 	p.Stuck = func() { noticed <- time.Now() }
 	return p, release, noticed
