--- a/files/contradictions.go
+++ b/files/contradictions.go
@@ -174,7 +174,7 @@
 		func() *ValidationError { return p.Service.zone("/zone", p.Zone) }); f != nil {
 		return f
 	}
-	if s := p.Silent; s > 0 && s.AsDuration() < leastSilence {
+	if s := p.SilenceTimeout; s > 0 && s.AsDuration() < leastSilence {
 		return fault("/silent_after", s, "%v or more, for a pilot speaks once a second", leastSilence)
 	}
 	for i, at := range p.Pilots {
--- a/files/files.go
+++ b/files/files.go
@@ -189,22 +189,22 @@
 
 // Proxy is the file of a proxy.
 type Proxy struct {
-	Kind       string           `json:"kind"`
-	ID         uint16           `json:"id"`
-	Zone       string           `json:"zone"`
-	Listen     string           `json:"listen"`
-	Admin      string           `json:"admin,omitempty"`
-	Pilots     []PilotAddress   `json:"pilots"`
-	Redial     Duration         `json:"redial,omitempty"` // mean wait between dials
-	Silent     Duration         `json:"silent_after,omitempty"`
-	Servers    []StandingServer `json:"servers,omitempty"`
-	Rate       float64          `json:"rate"` // ops a second it usually gets
-	RetryAfter Duration         `json:"retry_after,omitempty"`
-	Seed       uint64           `json:"seed,omitempty"`
-	Pool       Pool             `json:"pool,omitzero"`
-	Tenants    *Tenants         `json:"tenants,omitempty"`
-	Log        []Log            `json:"log,omitempty"` // beside standard error
-	Service    Service          `json:"service"`
+	Kind           string           `json:"kind"`
+	ID             uint16           `json:"id"`
+	Zone           string           `json:"zone"`
+	Listen         string           `json:"listen"`
+	Admin          string           `json:"admin,omitempty"`
+	Pilots         []PilotAddress   `json:"pilots"`
+	Redial         Duration         `json:"redial,omitempty"` // mean wait between dials
+	SilenceTimeout Duration         `json:"silent_after,omitempty"`
+	Servers        []StandingServer `json:"servers,omitempty"`
+	Rate           float64          `json:"rate"` // ops a second it usually gets
+	RetryAfter     Duration         `json:"retry_after,omitempty"`
+	Seed           uint64           `json:"seed,omitempty"`
+	Pool           Pool             `json:"pool,omitzero"`
+	Tenants        *Tenants         `json:"tenants,omitempty"`
+	Log            []Log            `json:"log,omitempty"` // beside standard error
+	Service        Service          `json:"service"`
 }
 
 // Log is where records go, by RFC 5424.
--- a/lab/fleet.go
+++ b/lab/fleet.go
@@ -283,7 +283,7 @@
 		f.proxies = append(f.proxies, instance)
 		instance.file = &files.Proxy{Kind: "proxy", ID: uint16(i), Zone: d.Service.Zones[zone], Listen: net.JoinHostPort(f.host, "0"),
 			Rate: f.trafficShares[i] * perSecond, Service: f.configured, Redial: files.Duration(400 * time.Millisecond),
-			Silent: files.Duration(4 * time.Second)}
+			SilenceTimeout: files.Duration(4 * time.Second)}
 		if c := &d.Load.Tenants; c.Count > 0 {
 			instance.file.Tenants = &files.Tenants{Header: tenantHeader, Subset: c.Subset}
 			for n := 1; c.Known && n <= c.Count; n++ {
--- a/lab/orders_test.go
+++ b/lab/orders_test.go
@@ -253,7 +253,7 @@
 	d := f.day
 	file := &files.Proxy{Kind: "proxy", ID: uint16(i), Zone: d.Service.Zones[i%2], Listen: fmt.Sprintf("10.0.1.%d:80", i+1),
 		Rate: 12, Service: f.proxyService(), Redial: files.Duration(100 * time.Millisecond),
-		Silent: files.Duration(4 * time.Second), Seed: uint64(i + 1), Tenants: f.variant.tenants}
+		SilenceTimeout: files.Duration(4 * time.Second), Seed: uint64(i + 1), Tenants: f.variant.tenants}
 	for j := range 2 {
 		file.Pilots = append(file.Pilots, files.PilotAddress{Address: fmt.Sprintf("stream-%d-%d", i, j), Zone: d.Service.Zones[j]})
 	}
--- a/pilot/fleet_test.go
+++ b/pilot/fleet_test.go
@@ -72,7 +72,7 @@
 	x.t.Helper()
 	for id := range n {
 		f := proxyFile(uint16(id), x.files[0].Listen, x.files[1].Listen)
-		f.Silent = files.Duration(4 * time.Second)
+		f.SilenceTimeout = files.Duration(4 * time.Second)
 		out = append(out, startProxy(x.t, f, nil))
 	}
 	return out
--- a/pilot/pilot_test.go
+++ b/pilot/pilot_test.go
@@ -220,7 +220,7 @@
 
 func proxyFile(id uint16, pilots ...string) *files.Proxy {
 	f := &files.Proxy{Kind: "proxy", ID: id, Zone: "z", Listen: "127.0.0.1:0", Redial: files.Duration(10 * time.Millisecond), Service: service(),
-		Silent: files.Duration(20 * time.Second)}
+		SilenceTimeout: files.Duration(20 * time.Second)}
 	for _, at := range pilots {
 		f.Pilots = append(f.Pilots, files.PilotAddress{Address: at, Zone: "z"})
 	}
--- a/pilot/push_bench_test.go
+++ b/pilot/push_bench_test.go
@@ -28,7 +28,7 @@
 	b.Cleanup(p.Stop)
 	for i := range proxies {
 		f := proxyFile(uint16(i), p.Address())
-		f.Redial, f.Silent = 0, 0
+		f.Redial, f.SilenceTimeout = 0, 0
 		startProxy(b, f, nil)
 	}
 	wait := func(what string, ok func() bool) {
--- a/proxy/orders.go
+++ b/proxy/orders.go
@@ -47,7 +47,7 @@
 		proxy:       p,
 		log:         p.log,
 		selector:    fleet.NewSelector(strconv.Itoa(int(p.file.ID)), p.file.Zone, pilots, redial, rng),
-		silentAfter: spanOr(p.file.Silent, defaultSilence),
+		silentAfter: spanOr(p.file.SilenceTimeout, defaultSilence),
 	}
 }
 
