--- a/files/files.go
+++ b/files/files.go
@@ -118,7 +118,7 @@
 	Cache          string   `json:"cache,omitempty"` // the last list
 	Tick           Duration `json:"tick,omitempty"`
 	SilenceTimeout Duration `json:"silent_after,omitempty"` // a stream without a word for so long is broken
-	Resume         Duration `json:"resume_within,omitempty"`
+	ResumeWindow   Duration `json:"resume_within,omitempty"`
 	Seed           uint64   `json:"seed,omitempty"`
 	Tenants        bool     `json:"tenants,omitempty"` // limit tenants that harm others, by what proxies met of them
 	Moves          *Moves   `json:"moves,omitempty"`   // tenants may be moved
--- a/lab/orders_test.go
+++ b/lab/orders_test.go
@@ -221,7 +221,7 @@
 	file := &files.Pilot{Kind: "pilot", Name: fmt.Sprintf("pilot-%d", j), Zone: d.Service.Zones[j], Instance: j, Instances: 2,
 		Proxies: 3, Listen: fmt.Sprintf("10.0.2.%d:80", j+1), Roster: fmt.Sprintf("list-%d", j), Seed: uint64(j + 1),
 		Service: d.Service, Limits: d.Limits, Channel: d.Channel,
-		SilenceTimeout: files.Duration(3 * time.Second), Resume: files.Duration(time.Second),
+		SilenceTimeout: files.Duration(3 * time.Second), ResumeWindow: files.Duration(time.Second),
 		LeaveWithin: files.Duration(time.Second),
 		Peers:       []files.Peer{{Instance: 1 - j, Address: fmt.Sprintf("10.0.2.%d:80", 2-j)}}}
 	if f.variant.pilotConfig != nil {
--- a/pilot/moves_test.go
+++ b/pilot/moves_test.go
@@ -30,7 +30,7 @@
 	r := &movesRig{dir: t.TempDir()}
 	r.rig = newRigOf(t, func(f *files.Pilot) {
 		f.Service = movesService()
-		f.Resume = files.Duration(20 * time.Millisecond)
+		f.ResumeWindow = files.Duration(20 * time.Millisecond)
 		f.Moves = &files.Moves{Store: filepath.Join(r.dir, "tenants.db"), Most: files.Duration(time.Minute)}
 		if change != nil {
 			change(f)
--- a/pilot/pilot.go
+++ b/pilot/pilot.go
@@ -103,7 +103,7 @@
 	p := &Pilot{file: file, log: log.With("pilot", file.Name),
 		list: map[control.EndpointID]roster.Entry{}, goneAt: map[control.EndpointID]time.Duration{}, keep: keepFor,
 		connections: map[*connection]bool{},
-		silent:      file.SilenceTimeout.AsDuration(), resumeWithin: file.Resume.AsDuration(), probes: &upstream.Pool{}}
+		silent:      file.SilenceTimeout.AsDuration(), resumeWithin: file.ResumeWindow.AsDuration(), probes: &upstream.Pool{}}
 	p.host = host.New(file.Facts(), seed, p.log)
 	p.host.Front, p.facts = p, p.host.Facts
 	if p.silent <= 0 {
