--- a/files/contradictions.go
+++ b/files/contradictions.go
@@ -154,9 +154,9 @@
 			if c := p.Channel.MessageCap; c > 0 && (p.Tenants || p.Moves != nil) {
 				return fault("/channel/message_cap", c, "0, for limits and bindings of tenants are messages of their own")
 			}
-			if m := p.Moves; m != nil && m.Most > 0 {
-				if write, window := tenancy.MoveDurations(p.Service.Types(), p.Service.WriteLifetime.AsDuration()); m.Most.AsDuration() <= write+window {
-					return fault("/moves/most", m.Most, "more than %v, which each move waits out", write+window)
+			if m := p.Moves; m != nil && m.MaxHold > 0 {
+				if write, window := tenancy.MoveDurations(p.Service.Types(), p.Service.WriteLifetime.AsDuration()); m.MaxHold.AsDuration() <= write+window {
+					return fault("/moves/most", m.MaxHold, "more than %v, which each move waits out", write+window)
 				}
 			}
 			return nil
--- a/lab/fleet.go
+++ b/lab/fleet.go
@@ -257,7 +257,7 @@
 		}
 		if d.Load.Tenants.Moves {
 			instance.file.Moves = &files.Moves{Store: filepath.Join(f.dir, fmt.Sprintf("tenants-%d.db", i)), Abreast: 512,
-				Most: files.Duration(time.Minute)}
+				MaxHold: files.Duration(time.Minute)}
 			instance.file.Admin = "127.0.0.1:0"
 		}
 		if instance.pilot, err = pilot.New(instance.file, f.log); err != nil {
--- a/pilot/moves_test.go
+++ b/pilot/moves_test.go
@@ -31,7 +31,7 @@
 	r.rig = newRigOf(t, func(f *files.Pilot) {
 		f.Service = movesService()
 		f.ResumeWindow = files.Duration(20 * time.Millisecond)
-		f.Moves = &files.Moves{Store: filepath.Join(r.dir, "tenants.db"), Most: files.Duration(time.Minute)}
+		f.Moves = &files.Moves{Store: filepath.Join(r.dir, "tenants.db"), MaxHold: files.Duration(time.Minute)}
 		if change != nil {
 			change(f)
 		}
@@ -211,7 +211,7 @@
 
 // A move that takes longer than a tenant may be held is cancelled by itself.
 func TestMoveTakesTooLong(t *testing.T) {
-	r := newMovesRig(t, func(f *files.Pilot) { f.Moves.Most = files.Duration(300 * time.Millisecond) })
+	r := newMovesRig(t, func(f *files.Pilot) { f.Moves.MaxHold = files.Duration(300 * time.Millisecond) })
 	x, _, stall := r.two()
 	stall(time.Hour)
 	r.ask("move tenant delo")
