--- a/files/files.go
+++ b/files/files.go
@@ -136,9 +136,9 @@
 
 // Moves are how tenants are moved between subsets.
 type Moves struct {
-	Store   string   `json:"store"`             // a file that outlives the pilot
-	MaxHold Duration `json:"most,omitempty"`    // longest that a tenant's writes are held; 0: ten times what must be waited out
-	Abreast int      `json:"abreast,omitempty"` // moves at a time; 0: 64
+	Store         string   `json:"store"`             // a file that outlives the pilot
+	MaxHold       Duration `json:"most,omitempty"`    // longest that a tenant's writes are held; 0: ten times what must be waited out
+	MaxConcurrent int      `json:"abreast,omitempty"` // moves at a time; 0: 64
 }
 
 // Members is how a pilot hears of others, for people.
--- a/lab/fleet.go
+++ b/lab/fleet.go
@@ -256,7 +256,7 @@
 			}
 		}
 		if d.Load.Tenants.Moves {
-			instance.file.Moves = &files.Moves{Store: filepath.Join(f.dir, fmt.Sprintf("tenants-%d.db", i)), Abreast: 512,
+			instance.file.Moves = &files.Moves{Store: filepath.Join(f.dir, fmt.Sprintf("tenants-%d.db", i)), MaxConcurrent: 512,
 				MaxHold: files.Duration(time.Minute)}
 			instance.file.Admin = "127.0.0.1:0"
 		}
--- a/pilot/moves.go
+++ b/pilot/moves.go
@@ -58,7 +58,7 @@
 		s.Close()
 		return err
 	}
-	w := tenancy.MoveLimits{MaxHold: f.MaxHold.AsDuration(), MaxConcurrent: f.Abreast}
+	w := tenancy.MoveLimits{MaxHold: f.MaxHold.AsDuration(), MaxConcurrent: f.MaxConcurrent}
 	w.WriteLifetime, w.DedupWindow = tenancy.MoveDurations(p.facts.OpTypes, p.file.Service.WriteLifetime.AsDuration())
 	if w.MaxHold <= 0 {
 		w.MaxHold = 10 * (w.WriteLifetime + w.DedupWindow)
