--- a/files/files.go
+++ b/files/files.go
@@ -143,10 +143,10 @@
 
 // Members is how a pilot hears of others, for people.
 type Members struct {
-	Bind   string   `json:"bind"`             // IP:PORT, UDP and TCP
-	Others []string `json:"others,omitempty"` // where others are to be found at the start
-	Keys   string   `json:"keys"`             // a file: the base64 of 32 bytes a line, the first one writes
-	Allow  []string `json:"allow,omitempty"`  // networks that are heard; empty: loopback
+	Bind          string   `json:"bind"`             // IP:PORT, UDP and TCP
+	SeedAddresses []string `json:"others,omitempty"` // where others are to be found at the start
+	Keys          string   `json:"keys"`             // a file: the base64 of 32 bytes a line, the first one writes
+	Allow         []string `json:"allow,omitempty"`  // networks that are heard; empty: loopback
 }
 
 // Peer is another pilot: its place among the instances, and where it listens.
--- a/pilot/fleet.go
+++ b/pilot/fleet.go
@@ -23,7 +23,7 @@
 		return err
 	}
 	p.updateSelf()
-	p.members, err = members.Start(members.Config{Name: p.file.Name, Bind: f.Bind, Peers: f.Others, Keys: keys, Allow: f.Allow, Log: p.log,
+	p.members, err = members.Start(members.Config{Name: p.file.Name, Bind: f.Bind, Peers: f.SeedAddresses, Keys: keys, Allow: f.Allow, Log: p.log,
 		Tell: func() members.PilotStatus { return *p.self.Load() }})
 	return err
 }
