--- a/files/files.go
+++ b/files/files.go
@@ -145,7 +145,7 @@
 type Members struct {
 	Bind          string   `json:"bind"`             // IP:PORT, UDP and TCP
 	SeedAddresses []string `json:"others,omitempty"` // where others are to be found at the start
-	Keys          string   `json:"keys"`             // a file: the base64 of 32 bytes a line, the first one writes
+	KeyFile       string   `json:"keys"`             // a file: the base64 of 32 bytes a line, the first one writes
 	Allow         []string `json:"allow,omitempty"`  // networks that are heard; empty: loopback
 }
 
--- a/pilot/fleet.go
+++ b/pilot/fleet.go
@@ -18,7 +18,7 @@
 	if f == nil {
 		return nil
 	}
-	keys, err := readKeys(f.Keys)
+	keys, err := readKeys(f.KeyFile)
 	if err != nil {
 		return err
 	}
--- a/pilot/fleet_test.go
+++ b/pilot/fleet_test.go
@@ -161,7 +161,7 @@
 	module := &script{}
 	start := func(name string, others ...string) *rig {
 		f := pilotFile("127.0.0.1:1")
-		f.Name, f.Members = name, &files.Members{Bind: gossip(), SeedAddresses: others, Keys: keys}
+		f.Name, f.Members = name, &files.Members{Bind: gossip(), SeedAddresses: others, KeyFile: keys}
 		r := &rig{t: t, module: module}
 		r.start(f)
 		t.Cleanup(r.p.Kill)
--- a/pilot/start_test.go
+++ b/pilot/start_test.go
@@ -33,13 +33,13 @@
 		"listen":            func(f *files.Pilot) { f.Listen = taken.Address() },
 		"admin":             func(f *files.Pilot) { f.Admin = taken.Address() },
 		"admin not allowed": func(f *files.Pilot) { f.Admin = "192.0.2.1:1" },
-		"keys":              func(f *files.Pilot) { f.Members = &files.Members{Bind: net.JoinHostPort(at, "7003"), Keys: "none"} },
+		"keys":              func(f *files.Pilot) { f.Members = &files.Members{Bind: net.JoinHostPort(at, "7003"), KeyFile: "none"} },
 		"members": func(f *files.Pilot) {
 			keys := filepath.Join(t.TempDir(), "keys")
 			if err := os.WriteFile(keys, []byte("MTIzNDU2Nzg5MDEyMzQ1Njc4OTAxMjM0NTY3ODkwMTI=\n"), 0o600); err != nil {
 				t.Fatal(err)
 			}
-			f.Members = &files.Members{Bind: taken.Address(), Keys: keys}
+			f.Members = &files.Members{Bind: taken.Address(), KeyFile: keys}
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
