--- a/files/contradictions.go
+++ b/files/contradictions.go
@@ -86,8 +86,8 @@
 func (c *Channel) contradictions(at string, proxies, bootstrap, types int, l *Limits) *ValidationError {
 	// Rules 1 and 3 ask that what cannot be put off can be sent in time: a withdrawal to each proxy, and a table.
 	least := proxies * (c.MessageLines + types + 2)
-	if c.MostWaiting < least {
-		return fault(at+"/most_waiting", c.MostWaiting, "%d or more: one line to each of %d proxies", least, proxies)
+	if c.MaxWaitingLines < least {
+		return fault(at+"/most_waiting", c.MaxWaitingLines, "%d or more: one line to each of %d proxies", least, proxies)
 	}
 	if need := float64(least) / c.LinesPerSecond; need > l.DrainGrace.AsDuration().Seconds() {
 		return fault(at+"/lines_per_second", c.LinesPerSecond, "%.0f or more: a line to each proxy within drain_grace, %v",
--- a/files/files.go
+++ b/files/files.go
@@ -97,7 +97,7 @@
 type Channel struct {
 	LinesPerSecond       float64  `json:"lines_per_second"`
 	MessageLines         int      `json:"message_lines"`
-	MostWaiting          int      `json:"most_waiting"`
+	MaxWaitingLines      int      `json:"most_waiting"`
 	MessageCap           int      `json:"message_cap,omitempty"`
 	MessageCapOver       Duration `json:"message_cap_over,omitempty"`
 	PushDelayMost        Duration `json:"push_delay_most,omitempty"`
@@ -329,7 +329,7 @@
 		Instance: p.Instance, Instances: max(1, p.Instances), Zone: s.ZoneIndex(p.Zone), Zones: len(s.Zones),
 		OpTypes: s.Types(), Tick: p.Tick.AsDuration(), Levels: control.LevelShare,
 		AvoidAfterFailures: s.OutlierAfter, StandingTableLines: s.Bootstrap, Proxies: p.Proxies, MessageOverheadLines: float64(c.MessageLines),
-		LinesPerSecond: c.LinesPerSecond, MaxUnconfirmedLines: float64(c.MostWaiting - p.NoticeLines()),
+		LinesPerSecond: c.LinesPerSecond, MaxUnconfirmedLines: float64(c.MaxWaitingLines - p.NoticeLines()),
 		MessageCap:       max(0, c.MessageCap-1), // one is the pilot's own
 		MessageCapWindow: c.MessageCapOver.AsDuration(), MaxPushDelay: c.PushDelayMost.AsDuration(),
 		ReportInterval: s.ReportEvery.AsDuration(), ReportLinesPerS: c.ReportLinesPerSecond,
@@ -348,7 +348,7 @@
 
 // NoticeLines is how many lines of its own a pilot may have written and not had confirmed: enough for one message at least.
 func (p *Pilot) NoticeLines() int {
-	return max(p.Channel.MostWaiting/noticeShare, p.Channel.MessageLines+len(p.Service.OpTypes))
+	return max(p.Channel.MaxWaitingLines/noticeShare, p.Channel.MessageLines+len(p.Service.OpTypes))
 }
 
 // ParseMode reads a mode as the list has it; an empty one is ready.
--- a/lab/bench.go
+++ b/lab/bench.go
@@ -212,7 +212,7 @@
 	d.Limits = files.Limits{EmptyFor: fromMicroseconds(fam.Bare), DrainGrace: fromMicroseconds(b.DrainGrace),
 		ColdFor: fromMicroseconds(tier.StatedCold), ColdShare: tier.StatedFrom, OverloadFactor: b.FallMultiple,
 		FallAfter: fromMicroseconds(b.FallFor)}
-	d.Channel = files.Channel{LinesPerSecond: fam.Rate, MessageLines: int(fam.Head), MostWaiting: int(fam.Backlog),
+	d.Channel = files.Channel{LinesPerSecond: fam.Rate, MessageLines: int(fam.Head), MaxWaitingLines: int(fam.Backlog),
 		MessageCap: fam.MessagesMost, MessageCapOver: fromMicroseconds(fam.MessagesOver),
 		PushDelayMost: fromMicroseconds(2.5 * fam.Late), ReportLinesPerSecond: fam.Intake}
 	if d.Channel.MessageCap > 0 && d.Channel.MessageCapOver == 0 {
--- a/lab/check.go
+++ b/lab/check.go
@@ -620,9 +620,9 @@
 		})
 		waiting := 0
 		for _, x := range queueChanges {
-			if waiting += x.lines; waiting > e.channel.MostWaiting {
+			if waiting += x.lines; waiting > e.channel.MaxWaitingLines {
 				out = append(out, Violation{5, x.at, fmt.Sprintf("pilot %d had %d lines queued, the limit is %d", p, waiting,
-					e.channel.MostWaiting)})
+					e.channel.MaxWaitingLines)})
 				break
 			}
 		}
--- a/lab/check_test.go
+++ b/lab/check_test.go
@@ -200,7 +200,7 @@
 			for i := range time.Duration(20) {
 				c.message(sec*3/2+i, sec*3/2+i, sec*3/2+i, 480, one, two, mapAll)
 			}
-			c.channel.MostWaiting = 1 << 20
+			c.channel.MaxWaitingLines = 1 << 20
 		}},
 		{"more messages than the cap", "5", func(c *scenario) {
 			c.channel.MessageCap, c.channel.MessageCapOver = 3, files.Duration(10*sec)
--- a/lab/orders_test.go
+++ b/lab/orders_test.go
@@ -117,7 +117,7 @@
 		}},
 		Limits: files.Limits{EmptyFor: ms(1500), DrainGrace: ms(2000), ColdFor: ms(6000), ColdShare: 0.2, OverloadFactor: 4,
 			FallAfter: ms(2000)},
-		Channel: files.Channel{LinesPerSecond: 2000, MessageLines: 3, MostWaiting: 120, MessageCap: 30, MessageCapOver: ms(10000),
+		Channel: files.Channel{LinesPerSecond: 2000, MessageLines: 3, MaxWaitingLines: 120, MessageCap: 30, MessageCapOver: ms(10000),
 			PushDelayMost: ms(100), ReportLinesPerSecond: 300}}
 }
 
@@ -459,7 +459,7 @@
 		return func(d *files.Day) { change(&d.Channel) }
 	}
 	fastChannel := func(f *files.Pilot) {
-		f.Channel = files.Channel{LinesPerSecond: 50000, MessageLines: 3, MostWaiting: 5000, ReportLinesPerSecond: 300}
+		f.Channel = files.Channel{LinesPerSecond: 50000, MessageLines: 3, MaxWaitingLines: 5000, ReportLinesPerSecond: 300}
 	}
 	for name, b := range map[string]variant{
 		"tables without a server": {rule: 1, events: "tick,cold,tick,tick", alter: func(m *wire.Message) {
@@ -483,8 +483,8 @@
 				d.Service.OpTypes[1].Group = "all" // so that only the cell of the cold server sends load to it
 			}, pilotConfig: func(f *files.Pilot) { f.Limits = simDay().Limits; f.Limits.ColdFor = 0 }},
 		"more lines queued than allowed": {rule: 5, events: "tick,tick,tick,tick", pilotConfig: func(f *files.Pilot) {
-			f.Channel.LinesPerSecond, f.Channel.MostWaiting = 100, 500
-		}, day: channel(func(c *files.Channel) { c.MostWaiting = 5 })},
+			f.Channel.LinesPerSecond, f.Channel.MaxWaitingLines = 100, 500
+		}, day: channel(func(c *files.Channel) { c.MaxWaitingLines = 5 })},
 		"more messages than the cap": {rule: 5, events: "news,drain,cold,tick", pilotConfig: fastChannel,
 			day: channel(func(c *files.Channel) { c.MessageCap = 2 })},
 		"lines faster than the limit": {rule: 5, events: "rejoin,restart,cold,tick", pilotConfig: fastChannel,
--- a/pilot/pilot.go
+++ b/pilot/pilot.go
@@ -126,7 +126,7 @@
 	if p.desired.budget.most = p.file.NoticeLines(); p.facts.MessageCap > 0 {
 		p.desired.budget.gap = p.facts.MessageCapWindow
 	}
-	p.channel = newChannel(p.facts.LinesPerSecond, float64(p.file.Channel.MostWaiting))
+	p.channel = newChannel(p.facts.LinesPerSecond, float64(p.file.Channel.MaxWaitingLines))
 	p.intake = newIntake(p.facts.ReportLinesPerS, len(p.facts.Measures))
 	p.intake.types = len(p.facts.OpTypes)
 	p.intake.known = func(id control.EndpointID) bool { _, ok := p.list[id]; return ok }
--- a/pilot/pilot_test.go
+++ b/pilot/pilot_test.go
@@ -107,7 +107,7 @@
 func pilotFile(listAt string) *files.Pilot {
 	return &files.Pilot{Kind: "pilot", Name: "p", Zone: "z", Proxies: 2, Listen: "127.0.0.1:0", Admin: "127.0.0.1:0", Tick: files.Duration(200 * time.Microsecond), Roster: listAt,
 		Seed: 1, Service: service(), ResumeWindow: files.Duration(5 * time.Second), SilenceTimeout: files.Duration(20 * time.Second),
-		Limits: files.Limits{EmptyFor: 1, DrainGrace: 1}, Channel: files.Channel{LinesPerSecond: 1e6, MessageLines: 3, MostWaiting: 8000, ReportLinesPerSecond: 1000}}
+		Limits: files.Limits{EmptyFor: 1, DrainGrace: 1}, Channel: files.Channel{LinesPerSecond: 1e6, MessageLines: 3, MaxWaitingLines: 8000, ReportLinesPerSecond: 1000}}
 }
 
 // newRig is a rig with the relay before its pilot.
--- a/pilot/push_bench_test.go
+++ b/pilot/push_bench_test.go
@@ -19,7 +19,7 @@
 	module := &script{}
 	f := pilotFile("127.0.0.1:1")
 	f.Proxies = proxies
-	f.Channel.LinesPerSecond, f.Channel.MostWaiting = 1e9, 1<<30
+	f.Channel.LinesPerSecond, f.Channel.MaxWaitingLines = 1e9, 1<<30
 	p := newPilot(b, f)
 	for i := range control.EndpointID(servers) {
 		p.list[i] = roster.Entry{Endpoint: i, Address: netip.MustParseAddrPort(fmt.Sprintf("127.0.0.1:%d", 10000+i)), Zone: "z", Weight: 1, Mode: "ready"}
--- a/pilot/records_test.go
+++ b/pilot/records_test.go
@@ -159,7 +159,7 @@
 // beats has the module look at so many beats and reports how long each took.
 func beats(b *testing.B, how string, servers, proxies int) {
 	f := pilotFile("127.0.0.1:1")
-	f.Proxies, f.Service.Measures, f.Channel.MostWaiting = proxies, []string{"cpu_utilization"}, 1e6
+	f.Proxies, f.Service.Measures, f.Channel.MaxWaitingLines = proxies, []string{"cpu_utilization"}, 1e6
 	f.Service.ReportEvery, f.Service.Bootstrap = files.Duration(time.Second), 8
 	p := newPilot(b, f)
 	p.host.NewDecider = func() host.Decider { return &policy.Assigner{} }
