--- a/files/contradictions.go
+++ b/files/contradictions.go
@@ -96,8 +96,8 @@
 	if c.MessageCap == 1 {
 		return fault(at+"/message_cap", c.MessageCap, "2 or more, for one is the pilot's own; or 0")
 	}
-	if c.MessageCap > 0 && c.MessageCapOver <= 0 {
-		return fault(at+"/message_cap_over", c.MessageCapOver, "more than 0, for message_cap is given")
+	if c.MessageCap > 0 && c.MessageCapPeriod <= 0 {
+		return fault(at+"/message_cap_over", c.MessageCapPeriod, "more than 0, for message_cap is given")
 	}
 	return nil
 }
--- a/lab/bench.go
+++ b/lab/bench.go
@@ -213,10 +213,10 @@
 		ColdFor: fromMicroseconds(tier.StatedCold), ColdShare: tier.StatedFrom, OverloadFactor: b.FallMultiple,
 		FallAfter: fromMicroseconds(b.FallFor)}
 	d.Channel = files.Channel{LinesPerSecond: fam.Rate, MessageLines: int(fam.Head), MaxWaitingLines: int(fam.Backlog),
-		MessageCap: fam.MessagesMost, MessageCapOver: fromMicroseconds(fam.MessagesOver),
+		MessageCap: fam.MessagesMost, MessageCapPeriod: fromMicroseconds(fam.MessagesOver),
 		PushDelayMost: fromMicroseconds(2.5 * fam.Late), ReportLinesPerSecond: fam.Intake}
-	if d.Channel.MessageCap > 0 && d.Channel.MessageCapOver == 0 {
-		d.Channel.MessageCapOver = files.Duration(10 * time.Second)
+	if d.Channel.MessageCap > 0 && d.Channel.MessageCapPeriod == 0 {
+		d.Channel.MessageCapPeriod = files.Duration(10 * time.Second)
 	}
 	d.Net = files.Net{Same: fromMicroseconds(b.Net.Same), Cross: fromMicroseconds(b.Net.Cross),
 		Push: fromMicroseconds(fam.Late), Hears: fromMicroseconds(fam.HeardLate)}
--- a/lab/check.go
+++ b/lab/check.go
@@ -636,9 +636,9 @@
 				times := decidedByProxy[proxy]
 				slices.Sort(times)
 				for i := c.MessageCap; i < len(times); i++ {
-					if times[i]-times[i-c.MessageCap] < c.MessageCapOver.AsDuration()-measurementSlack {
+					if times[i]-times[i-c.MessageCap] < c.MessageCapPeriod.AsDuration()-measurementSlack {
 						out = append(out, Violation{5, times[i], fmt.Sprintf("proxy %d was sent more than %d messages within %v", proxy,
-							c.MessageCap, c.MessageCapOver.AsDuration())})
+							c.MessageCap, c.MessageCapPeriod.AsDuration())})
 						break
 					}
 				}
--- a/lab/check_test.go
+++ b/lab/check_test.go
@@ -203,7 +203,7 @@
 			c.channel.MaxWaitingLines = 1 << 20
 		}},
 		{"more messages than the cap", "5", func(c *scenario) {
-			c.channel.MessageCap, c.channel.MessageCapOver = 3, files.Duration(10*sec)
+			c.channel.MessageCap, c.channel.MessageCapPeriod = 3, files.Duration(10*sec)
 			c.join(sec)
 			for i := range time.Duration(4) {
 				c.message(2*sec*(i+1), 2*sec*(i+1), 2*sec*(i+1), 5, one, two, mapAll)
--- a/lab/links_test.go
+++ b/lab/links_test.go
@@ -160,7 +160,7 @@
 			f.list.Set(e)
 			time.Sleep(100 * time.Millisecond)
 		}
-		time.Sleep(f.day.Channel.MessageCapOver.AsDuration())
+		time.Sleep(f.day.Channel.MessageCapPeriod.AsDuration())
 		for _, b := range f.check() {
 			f.t.Errorf("%+v", b)
 		}
