--- a/files/files.go
+++ b/files/files.go
@@ -100,7 +100,7 @@
 	MaxWaitingLines      int      `json:"most_waiting"`
 	MessageCap           int      `json:"message_cap,omitempty"`
 	MessageCapPeriod     Duration `json:"message_cap_over,omitempty"`
-	PushDelayMost        Duration `json:"push_delay_most,omitempty"`
+	MaxPushDelay         Duration `json:"push_delay_most,omitempty"`
 	ReportLinesPerSecond float64  `json:"report_lines_per_second"`
 }
 
@@ -331,7 +331,7 @@
 		AvoidAfterFailures: s.OutlierAfter, StandingTableLines: s.Bootstrap, Proxies: p.Proxies, MessageOverheadLines: float64(c.MessageLines),
 		LinesPerSecond: c.LinesPerSecond, MaxUnconfirmedLines: float64(c.MaxWaitingLines - p.NoticeLines()),
 		MessageCap:       max(0, c.MessageCap-1), // one is the pilot's own
-		MessageCapWindow: c.MessageCapPeriod.AsDuration(), MaxPushDelay: c.PushDelayMost.AsDuration(),
+		MessageCapWindow: c.MessageCapPeriod.AsDuration(), MaxPushDelay: c.MaxPushDelay.AsDuration(),
 		ReportInterval: s.ReportEvery.AsDuration(), ReportLinesPerS: c.ReportLinesPerSecond,
 		CrossZonePrice: s.CrossZonePrice, ListedWeights: true, WarmUpTime: l.ColdFor.AsDuration(),
 		ColdCapacityShare: l.ColdShare, DrainGrace: l.DrainGrace.AsDuration(), AcrossCells: s.acrossCells(), PackWrites: s.packWrites(),
--- a/lab/bench.go
+++ b/lab/bench.go
@@ -214,7 +214,7 @@
 		FallAfter: fromMicroseconds(b.FallFor)}
 	d.Channel = files.Channel{LinesPerSecond: fam.Rate, MessageLines: int(fam.Head), MaxWaitingLines: int(fam.Backlog),
 		MessageCap: fam.MessagesMost, MessageCapPeriod: fromMicroseconds(fam.MessagesOver),
-		PushDelayMost: fromMicroseconds(2.5 * fam.Late), ReportLinesPerSecond: fam.Intake}
+		MaxPushDelay: fromMicroseconds(2.5 * fam.Late), ReportLinesPerSecond: fam.Intake}
 	if d.Channel.MessageCap > 0 && d.Channel.MessageCapPeriod == 0 {
 		d.Channel.MessageCapPeriod = files.Duration(10 * time.Second)
 	}
--- a/lab/orders_test.go
+++ b/lab/orders_test.go
@@ -118,7 +118,7 @@
 		Limits: files.Limits{EmptyFor: ms(1500), DrainGrace: ms(2000), ColdFor: ms(6000), ColdShare: 0.2, OverloadFactor: 4,
 			FallAfter: ms(2000)},
 		Channel: files.Channel{LinesPerSecond: 2000, MessageLines: 3, MaxWaitingLines: 120, MessageCap: 30, MessageCapPeriod: ms(10000),
-			PushDelayMost: ms(100), ReportLinesPerSecond: 300}}
+			MaxPushDelay: ms(100), ReportLinesPerSecond: 300}}
 }
 
 // newSimFleet builds and starts a simFleet, without load.
