--- a/files/files.go
+++ b/files/files.go
@@ -237,7 +237,7 @@
 	ColdShare   float64    `json:"cold_share"`
 	ColdFor     Duration   `json:"cold_for"`
 	ErrorRate   float64    `json:"error_rate,omitempty"`
-	Report      Duration   `json:"report_every,omitempty"`
+	ReportEvery Duration   `json:"report_every,omitempty"`
 	Cancels     bool       `json:"cancels,omitempty"` // work stops when its op is given up
 
 	// Past SlowsAt ops in hand it loses efficiency, SlowsBy more of it with each further SlowsAt; a full table of
--- a/lab/bench.go
+++ b/lab/bench.go
@@ -244,7 +244,7 @@
 		d.Fleet.Machines = append(d.Fleet.Machines, files.Machine{Name: k.Name, Cores: k.Cores, Speed: [2]float64{1, 1},
 			Slots: max(1, k.Slots), Queue: k.Queue, Connections: max(1, int(tier.ConnCap*float64(k.Cores))),
 			Handshake: fromMicroseconds(tier.HandshakeWork), ColdShare: k.ColdFrom, ColdFor: fromMicroseconds(k.Cold),
-			ErrorRate: k.ErrorRate, Report: fromMicroseconds(tier.ReportPeriod),
+			ErrorRate: k.ErrorRate, ReportEvery: fromMicroseconds(tier.ReportPeriod),
 			Cancels: k.Cancel == "all", SlowsAt: k.Knee, SlowsBy: k.Thrash, ConnectionTax: tier.FullTax})
 	}
 	importFleet(&b, d, proxies, pilots, shrink)
--- a/lab/node/node.go
+++ b/lab/node/node.go
@@ -565,7 +565,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := time.Now()
-	every := max(n.machine.Report.AsDuration(), 10*time.Millisecond)
+	every := max(n.machine.ReportEvery.AsDuration(), 10*time.Millisecond)
 	if span := now.Sub(n.load.since); span >= every || n.load.reported == nil {
 		n.count(now)
 		l := &n.load
--- a/lab/orders_test.go
+++ b/lab/orders_test.go
@@ -131,7 +131,7 @@
 	f.tap = link.NewTap(f.ledger.From())
 	f.net = link.NewMemory(f.tap)
 	m := files.Machine{Name: "m", Cores: 1, Speed: [2]float64{1, 1}, Slots: 4, Queue: 20, Connections: 60, ColdShare: 0.2,
-		ColdFor: files.Duration(5 * time.Second), Report: files.Duration(200 * time.Millisecond), Cancels: true}
+		ColdFor: files.Duration(5 * time.Second), ReportEvery: files.Duration(200 * time.Millisecond), Cancels: true}
 	places := v.servers
 	if places == nil {
 		places = []files.NodeAt{{Zone: "a"}, {Zone: "b"}, {Zone: "a"}, {Zone: "b"}}
