--- a/files/day.go
+++ b/files/day.go
@@ -43,19 +43,19 @@
 
 // Load is what clients ask for.
 type Load struct {
-	OfCapacity float64   `json:"of_capacity,omitempty"` // of what the nodes can do; or
-	PerSecond  float64   `json:"ops_per_second,omitempty"`
-	Swing      float64   `json:"swing,omitempty"` // part by which it rises and falls over the day
-	Spread     float64   `json:"spread,omitempty"`
-	ZoneShare  []float64 `json:"zone_share,omitempty"`
-	Shape      []Point   `json:"shape,omitempty"` // in place of swing
-	Works      []Work    `json:"works"`
-	Tenants    Callers   `json:"tenants,omitzero"`
+	OfCapacity float64    `json:"of_capacity,omitempty"` // of what the nodes can do; or
+	PerSecond  float64    `json:"ops_per_second,omitempty"`
+	Swing      float64    `json:"swing,omitempty"` // part by which it rises and falls over the day
+	Spread     float64    `json:"spread,omitempty"`
+	ZoneShare  []float64  `json:"zone_share,omitempty"`
+	Shape      []Point    `json:"shape,omitempty"` // in place of swing
+	Works      []Work     `json:"works"`
+	Tenants    TenantLoad `json:"tenants,omitzero"`
 }
 
-// Callers are the tenants of a day: so many, the n-th with a share of 1/n of the first's, to the power given. One may
+// TenantLoad are the tenants of a day: so many, the n-th with a share of 1/n of the first's, to the power given. One may
 // misbehave for a while.
-type Callers struct {
+type TenantLoad struct {
 	Count  int     `json:"count,omitempty"`
 	Zipf   float64 `json:"zipf,omitempty"`
 	Subset int     `json:"subset,omitempty"` // pods that proxies give each; 0: all
--- a/lab/load.go
+++ b/lab/load.go
@@ -150,7 +150,7 @@
 }
 
 // tenantShares returns the cumulative traffic shares of the tenants, which follow a Zipf distribution.
-func tenantShares(c *files.Callers) (out []float64) {
+func tenantShares(c *files.TenantLoad) (out []float64) {
 	sum := 0.0
 	for i := range c.Count {
 		sum += math.Pow(float64(i+1), -c.Zipf)
--- a/lab/repeats_days_test.go
+++ b/lab/repeats_days_test.go
@@ -30,7 +30,7 @@
 	change func(d *files.Day)
 }{
 	{"one zone, subset 3", func(d *files.Day) { d.Load.Tenants.Subset = 3 }},
-	{"no tenants", func(d *files.Day) { d.Load.Tenants = files.Callers{} }},
+	{"no tenants", func(d *files.Day) { d.Load.Tenants = files.TenantLoad{} }},
 	{"two zones, subset 1", func(d *files.Day) { d.Service.Zones = []string{"north", "south"} }},
 	{"two zones, group zone, subset 3", func(d *files.Day) {
 		d.Service.Zones = []string{"north", "south"}
