--- a/logbook/logbook_test.go
+++ b/logbook/logbook_test.go
@@ -44,12 +44,12 @@
 func evening(t *testing.T) *Book {
 	lines := []string{
 		decision("a", 0, 1, 0, record.Restart, record.Why, "start"),
-		decision("a", 0, 2, 1*s, record.Line, record.Node, "e17", record.Table, "t0", record.Weight, "4", record.Why, "listed"),
+		decision("a", 0, 2, 1*s, record.TableLine, record.Node, "e17", record.Table, "t0", record.Weight, "4", record.Why, "listed"),
 		decision("a", 0, 3, 10*s, record.Withdrawal, record.Node, "e17", record.Out, "true", record.Why, "sick", record.Value, "0.98", record.Past, "0.31", record.Checkpoint, "7"),
 		decision("b", 5, 1, 11*s, record.Withdrawal, record.Node, "e17", record.Out, "true", record.Why, "draining"),
 		decision("a", 0, 4, 11*s, record.InForce, record.Checkpoint, "7", record.Of, "12", record.Confirmed, "11", record.Missing, "p3"),
 		decision("a", 0, 7, 20*s, record.Withdrawal, record.Node, "e17", record.Out, "false", record.Why, "back"),
-		decision("a", 0, 8, 21*s, record.Line, record.Node, "e17", record.Table, "t0", record.Weight, "1", record.Why, "returning"),
+		decision("a", 0, 8, 21*s, record.TableLine, record.Node, "e17", record.Table, "t0", record.Weight, "1", record.Why, "returning"),
 		decision("a", 0, 3, 10*s, record.Withdrawal, record.Node, "e17", record.Out, "true", record.Why, "sick", record.Value, "0.98", record.Past, "0.31", record.Checkpoint, "7"),
 		decision("a", 9, 1, 30*s, record.Restart, record.Why, "panic"),
 		"<13>1 2026-12-01T13:58:40.5Z other nginx 1 - - ordinary talk",
@@ -256,7 +256,7 @@
 
 // FuzzLine has the reader and FuzzFilter the filter take anything.
 func FuzzLine(f *testing.F) {
-	f.Add(decision("a", 0, 1, 0, record.Line, record.Node, "e1"))
+	f.Add(decision("a", 0, 1, 0, record.TableLine, record.Node, "e1"))
 	f.Fuzz(func(t *testing.T, line string) {
 		b := Make([]*Entry{NewReader().Entry(line)})
 		_ = b.Line(b.Entries[0])
--- a/logbook/timeline.go
+++ b/logbook/timeline.go
@@ -60,7 +60,7 @@
 			if next.State = "in"; e.Params[record.Out] == "true" {
 				next.State = e.Params[record.Why]
 			}
-		case record.Line:
+		case record.TableLine:
 			next.Weight, _ = strconv.ParseFloat(e.Params[record.Weight], 64)
 		default:
 			continue
--- a/pilot/records.go
+++ b/pilot/records.go
@@ -165,7 +165,7 @@
 		switch o := o.(type) {
 		case control.PutLine:
 			a := append(r.table(o.Table, true), slog.String(record.Node, nodeName(o.Endpoint)), slog.String(record.Weight, round(o.Weight)))
-			r.write(slog.LevelInfo, record.Line, o.Why.Reason, "line of a table", slices.Concat(a, figures(o.Why), mark)...)
+			r.write(slog.LevelInfo, record.TableLine, o.Why.Reason, "line of a table", slices.Concat(a, figures(o.Why), mark)...)
 		case control.Blank:
 			r.write(slog.LevelInfo, record.Blank, "", "table emptied", append(r.table(o.Table, true), mark...)...)
 		case control.Bind:
--- a/record/record.go
+++ b/record/record.go
@@ -4,7 +4,7 @@
 
 // Kinds of records.
 const (
-	Line       = "line"       // a server's line put into a table or its weight changed; weight 0: taken out
+	TableLine  = "line"       // a server's line put into a table or its weight changed; weight 0: taken out
 	Blank      = "blank"      // a table emptied
 	Bind       = "bind"       // a proxy put on a table
 	Level      = "level"      // how much of an op type is let in
