--- a/pilot/records.go
+++ b/pilot/records.go
@@ -170,7 +170,7 @@
 			r.write(slog.LevelInfo, record.Blank, "", "table emptied", append(r.table(o.Table, true), mark...)...)
 		case control.Bind:
 			a := append(r.table(o.Table, false), slog.String(record.Proxy, proxyName(o.Proxy)), r.opTypes(o.OpTypes))
-			r.write(slog.LevelInfo, record.Bind, o.Why.Reason, "proxy put on a table", slices.Concat(a, figures(o.Why), mark)...)
+			r.write(slog.LevelInfo, record.TableAssigned, o.Why.Reason, "proxy put on a table", slices.Concat(a, figures(o.Why), mark)...)
 		case control.SetLevel:
 			a := append(r.table(o.Table, false), r.opTypes(o.OpTypes), slog.String(record.Share, round(o.Level)))
 			r.write(slog.LevelInfo+2, record.Level, o.Why.Reason, "level changed", slices.Concat(a, figures(o.Why), mark)...)
--- a/record/record.go
+++ b/record/record.go
@@ -4,19 +4,19 @@
 
 // Kinds of records.
 const (
-	TableLine  = "line"       // a server's line put into a table or its weight changed; weight 0: taken out
-	Blank      = "blank"      // a table emptied
-	Bind       = "bind"       // a proxy put on a table
-	Level      = "level"      // how much of an op type is let in
-	Withdrawal = "withdrawal" // a server out of all tables, or back in
-	InForce    = "in-force"   // what the proxies said of a checkpoint
-	Restart    = "restart"    // the module or the pilot began anew
-	Refusal    = "refusal"    // a proxy did not take a message, or a stream was refused
-	Joined     = "joined"     // a proxy
-	Left       = "left"
-	Move       = "move"  // a tenant's move began, or ended
-	Limit      = "limit" // what a tenant may use
-	Note       = "note"  // of the module
+	TableLine     = "line"       // a server's line put into a table or its weight changed; weight 0: taken out
+	Blank         = "blank"      // a table emptied
+	TableAssigned = "bind"       // a proxy put on a table
+	Level         = "level"      // how much of an op type is let in
+	Withdrawal    = "withdrawal" // a server out of all tables, or back in
+	InForce       = "in-force"   // what the proxies said of a checkpoint
+	Restart       = "restart"    // the module or the pilot began anew
+	Refusal       = "refusal"    // a proxy did not take a message, or a stream was refused
+	Joined        = "joined"     // a proxy
+	Left          = "left"
+	Move          = "move"  // a tenant's move began, or ended
+	Limit         = "limit" // what a tenant may use
+	Note          = "note"  // of the module
 )
 
 // The element that decisions are in, and its parameters. Numbers are decimal; spans in microseconds.
