--- a/logbook/book.go
+++ b/logbook/book.go
@@ -57,7 +57,7 @@
 				continue
 			}
 			seen[run][e.Sequence] = e
-			if e.Kind == record.InForce {
+			if e.Kind == record.Confirmation {
 				b.confirms[confirmKey{run, e.Params[record.Checkpoint]}] = e
 			}
 		}
@@ -104,7 +104,7 @@
 func (b *Book) Confirmed(e *Entry) *Entry {
 	run, ok := e.run()
 	c := e.Params[record.Checkpoint]
-	if !ok || c == "" || e.Kind == record.InForce {
+	if !ok || c == "" || e.Kind == record.Confirmation {
 		return nil
 	}
 	return b.confirms[confirmKey{run, c}]
--- a/logbook/logbook_test.go
+++ b/logbook/logbook_test.go
@@ -47,7 +47,7 @@
 		decision("a", 0, 2, 1*s, record.TableLine, record.Node, "e17", record.Table, "t0", record.Weight, "4", record.Why, "listed"),
 		decision("a", 0, 3, 10*s, record.Withdrawal, record.Node, "e17", record.Out, "true", record.Why, "sick", record.Value, "0.98", record.Past, "0.31", record.Checkpoint, "7"),
 		decision("b", 5, 1, 11*s, record.Withdrawal, record.Node, "e17", record.Out, "true", record.Why, "draining"),
-		decision("a", 0, 4, 11*s, record.InForce, record.Checkpoint, "7", record.Of, "12", record.Confirmed, "11", record.Missing, "p3"),
+		decision("a", 0, 4, 11*s, record.Confirmation, record.Checkpoint, "7", record.Of, "12", record.Confirmed, "11", record.Missing, "p3"),
 		decision("a", 0, 7, 20*s, record.Withdrawal, record.Node, "e17", record.Out, "false", record.Why, "back"),
 		decision("a", 0, 8, 21*s, record.TableLine, record.Node, "e17", record.Table, "t0", record.Weight, "1", record.Why, "returning"),
 		decision("a", 0, 3, 10*s, record.Withdrawal, record.Node, "e17", record.Out, "true", record.Why, "sick", record.Value, "0.98", record.Past, "0.31", record.Checkpoint, "7"),
--- a/pilot/records.go
+++ b/pilot/records.go
@@ -264,7 +264,7 @@
 		a = append(a, slog.String(record.Missing, strings.Join(missing[:min(len(missing), mostSaid)], " ")))
 		level = slog.LevelWarn
 	}
-	r.write(level, record.InForce, "", "checkpoint", a...)
+	r.write(level, record.Confirmation, "", "checkpoint", a...)
 }
 
 func (r *recorder) joined(s *session, resumed bool) {
--- a/pilot/records_test.go
+++ b/pilot/records_test.go
@@ -68,7 +68,7 @@
 	out.Close()
 	closeAt(t, got, 9)
 	m, bad, _ := got.Got()
-	want := []string{record.Restart, record.TableLine, record.Blank, record.TableAssigned, record.Level, record.Withdrawal, record.Note, record.InForce, record.InForce}
+	want := []string{record.Restart, record.TableLine, record.Blank, record.TableAssigned, record.Level, record.Withdrawal, record.Note, record.Confirmation, record.Confirmation}
 	if len(m) != len(want) || len(bad) > 0 {
 		t.Fatalf("%d records, %v", len(m), bad)
 	}
--- a/record/record.go
+++ b/record/record.go
@@ -9,7 +9,7 @@
 	TableAssigned = "bind"       // a proxy put on a table
 	Level         = "level"      // how much of an op type is let in
 	Withdrawal    = "withdrawal" // a server out of all tables, or back in
-	InForce       = "in-force"   // what the proxies said of a checkpoint
+	Confirmation  = "in-force"   // what the proxies said of a checkpoint
 	Restart       = "restart"    // the module or the pilot began anew
 	Refusal       = "refusal"    // a proxy did not take a message, or a stream was refused
 	Joined        = "joined"     // a proxy
