--- a/lab/records_test.go
+++ b/lab/records_test.go
@@ -63,7 +63,7 @@
 	}
 	reasons := map[key]int{}
 	for _, e := range b.Entries {
-		if e.Params[record.Why] == "" && (e.Kind == record.Withdrawal || e.Kind == record.TableLine || e.Kind == record.TableAssigned ||
+		if e.Params[record.Reason] == "" && (e.Kind == record.Withdrawal || e.Kind == record.TableLine || e.Kind == record.TableAssigned ||
 			e.Kind == record.Level) {
 			t.Errorf("record without a reason: %s", e.Raw)
 		}
--- a/logbook/book.go
+++ b/logbook/book.go
@@ -144,7 +144,7 @@
 			s += " " + k + "=" + v
 		}
 	}
-	if r := p[record.Why]; r != "" {
+	if r := p[record.Reason]; r != "" {
 		s += ": " + r
 	}
 	if v := p[record.Value]; v != "" {
--- a/logbook/timeline.go
+++ b/logbook/timeline.go
@@ -58,7 +58,7 @@
 		switch e.Kind {
 		case record.Withdrawal:
 			if next.State = "in"; e.Params[record.Out] == "true" {
-				next.State = e.Params[record.Why]
+				next.State = e.Params[record.Reason]
 			}
 		case record.TableLine:
 			next.Weight, _ = strconv.ParseFloat(e.Params[record.Weight], 64)
--- a/record/record.go
+++ b/record/record.go
@@ -32,7 +32,7 @@
 	Table      = "table"      // tN; * for all
 	Version    = "version"    // of the table: how often it changed in this run
 	Checkpoint = "checkpoint" // of the messages that carry it
-	Why        = "reason"
+	Reason     = "reason"
 	Value      = "value" // the figure that crossed the limit
 	Past       = "limit"
 	Weight     = "weight"
