--- a/lab/records_test.go
+++ b/lab/records_test.go
@@ -68,7 +68,7 @@
 			t.Errorf("record without a reason: %s", e.Raw)
 		}
 		if e.Kind == record.Withdrawal {
-			reasons[key{e.Run, e.Params[record.Node], e.Params[record.Out]}]++
+			reasons[key{e.Run, e.Params[record.Node], e.Params[record.Withdrawn]}]++
 		}
 	}
 	e := &evidence{service: &d.Service, limits: &d.Limits, channel: &d.Channel, start: played.ledger.From(),
--- a/logbook/book.go
+++ b/logbook/book.go
@@ -138,7 +138,7 @@
 		return s + " " + e.App + ": " + e.Text
 	}
 	s += " " + e.Kind
-	for _, k := range []string{record.Node, record.Proxy, record.Table, record.Version, record.OpType, record.Tenant, record.Weight, record.Share, record.Out,
+	for _, k := range []string{record.Node, record.Proxy, record.Table, record.Version, record.OpType, record.Tenant, record.Weight, record.Share, record.Withdrawn,
 		record.Of, record.Confirmed, record.Missing, record.Slowest, "count", "to", "rate", "hand", "fenced", "room", "held", "resumed"} {
 		if v := p[k]; v != "" {
 			s += " " + k + "=" + v
--- a/logbook/logbook_test.go
+++ b/logbook/logbook_test.go
@@ -45,12 +45,12 @@
 	lines := []string{
 		decision("a", 0, 1, 0, record.Restart, record.Reason, "start"),
 		decision("a", 0, 2, 1*s, record.TableLine, record.Node, "e17", record.Table, "t0", record.Weight, "4", record.Reason, "listed"),
-		decision("a", 0, 3, 10*s, record.Withdrawal, record.Node, "e17", record.Out, "true", record.Reason, "sick", record.Value, "0.98", record.Past, "0.31", record.Checkpoint, "7"),
-		decision("b", 5, 1, 11*s, record.Withdrawal, record.Node, "e17", record.Out, "true", record.Reason, "draining"),
+		decision("a", 0, 3, 10*s, record.Withdrawal, record.Node, "e17", record.Withdrawn, "true", record.Reason, "sick", record.Value, "0.98", record.Past, "0.31", record.Checkpoint, "7"),
+		decision("b", 5, 1, 11*s, record.Withdrawal, record.Node, "e17", record.Withdrawn, "true", record.Reason, "draining"),
 		decision("a", 0, 4, 11*s, record.Confirmation, record.Checkpoint, "7", record.Of, "12", record.Confirmed, "11", record.Missing, "p3"),
-		decision("a", 0, 7, 20*s, record.Withdrawal, record.Node, "e17", record.Out, "false", record.Reason, "back"),
+		decision("a", 0, 7, 20*s, record.Withdrawal, record.Node, "e17", record.Withdrawn, "false", record.Reason, "back"),
 		decision("a", 0, 8, 21*s, record.TableLine, record.Node, "e17", record.Table, "t0", record.Weight, "1", record.Reason, "returning"),
-		decision("a", 0, 3, 10*s, record.Withdrawal, record.Node, "e17", record.Out, "true", record.Reason, "sick", record.Value, "0.98", record.Past, "0.31", record.Checkpoint, "7"),
+		decision("a", 0, 3, 10*s, record.Withdrawal, record.Node, "e17", record.Withdrawn, "true", record.Reason, "sick", record.Value, "0.98", record.Past, "0.31", record.Checkpoint, "7"),
 		decision("a", 9, 1, 30*s, record.Restart, record.Reason, "panic"),
 		"<13>1 2026-12-01T13:58:40.5Z other nginx 1 - - ordinary talk",
 		"<34>Oct 11 22:14:15 mymachine su: 'su root' failed for lonvick on /dev/pts/8",
@@ -138,7 +138,7 @@
 	if lines := strings.Split(text.String(), "\n"); !strings.Contains(lines[1], "█s") || !strings.Contains(lines[1], "▃") || !strings.Contains(lines[2], "d") {
 		t.Error(text.String())
 	}
-	hostile := decision("<script>", 99, 1, s, record.Withdrawal, record.Node, "e17", record.Out, "true", record.Reason, "<b>&")
+	hostile := decision("<script>", 99, 1, s, record.Withdrawal, record.Node, "e17", record.Withdrawn, "true", record.Reason, "<b>&")
 	b = book(t, hostile)
 	if err := b.HTML(&page, "e17"); err != nil || strings.Contains(page.String(), "<script>") || strings.Contains(page.String(), "<b>") {
 		t.Errorf("%v\n%s", err, page.String())
--- a/logbook/timeline.go
+++ b/logbook/timeline.go
@@ -57,7 +57,7 @@
 		next := Span{From: e.When(), State: last.State, Why: e, Weight: last.Weight}
 		switch e.Kind {
 		case record.Withdrawal:
-			if next.State = "in"; e.Params[record.Out] == "true" {
+			if next.State = "in"; e.Params[record.Withdrawn] == "true" {
 				next.State = e.Params[record.Reason]
 			}
 		case record.TableLine:
--- a/pilot/records.go
+++ b/pilot/records.go
@@ -179,7 +179,7 @@
 			if o.Out {
 				text = "server withdrawn"
 			}
-			a := []slog.Attr{slog.String(record.Node, nodeName(o.Endpoint)), slog.Bool(record.Out, o.Out)}
+			a := []slog.Attr{slog.String(record.Node, nodeName(o.Endpoint)), slog.Bool(record.Withdrawn, o.Out)}
 			r.write(slog.LevelWarn, record.Withdrawal, o.Why.Reason, text, slices.Concat(a, figures(o.Why), mark)...)
 		case control.Note:
 			r.write(slog.LevelInfo, record.Note, "", o.Text)
--- a/pilot/records_test.go
+++ b/pilot/records_test.go
@@ -89,7 +89,7 @@
 		at         int
 		name, want string
 	}{{1, record.Reason, "eased"}, {1, record.Value, "92.71"}, {1, record.Version, "1"}, {2, record.Version, "2"}, {3, record.OpType, "write"}, {4, record.Table, "*"},
-		{5, record.Node, "e17"}, {5, record.Out, "true"}, {5, record.Checkpoint, "5"}, {7, record.Confirmed, "1"}, {7, record.Of, "2"}, {7, record.Missing, "p4"},
+		{5, record.Node, "e17"}, {5, record.Withdrawn, "true"}, {5, record.Checkpoint, "5"}, {7, record.Confirmed, "1"}, {7, record.Of, "2"}, {7, record.Missing, "p4"},
 		{8, record.Confirmed, "1"}, {8, record.Missing, ""}} {
 		if got := get(c.at, c.name); got != c.want {
 			t.Errorf("record %d, %s: %q, not %q", c.at, c.name, got, c.want)
--- a/record/record.go
+++ b/record/record.go
@@ -37,7 +37,7 @@
 	Past       = "limit"
 	Weight     = "weight"
 	Share      = "share"
-	Out        = "out"
+	Withdrawn  = "out"
 	Tenant     = "tenant"
 	Of         = "of"        // proxies that were sent a checkpoint
 	Confirmed  = "confirmed" // proxies that said it is in force
