--- a/cmd/vetchdoor/log.go
+++ b/cmd/vetchdoor/log.go
@@ -30,7 +30,7 @@
 }
 
 // readBook compiles a filter and reads files; - is standard input.
-func readBook(paths []string, where string) (*logbook.Book, logbook.Filter, error) {
+func readBook(paths []string, where string) (*logbook.Log, logbook.Filter, error) {
 	wanted, err := logbook.Compile(where)
 	if err != nil {
 		return nil, nil, err
@@ -103,7 +103,7 @@
 }
 
 // summary says what is missing, and why as far as the log knows.
-func summary(out io.Writer, b *logbook.Book) {
+func summary(out io.Writer, b *logbook.Log) {
 	fmt.Fprintf(out, "%d entries, %d broken lines, %d there twice, %d records missing (%d suppressed and %d dropped, by the log's own word)\n",
 		len(b.Entries), b.Broken, b.Twice, b.Missing(), b.Suppressed, b.Lost)
 	for i, g := range b.Gaps {
--- a/logbook/book.go
+++ b/logbook/book.go
@@ -24,8 +24,8 @@
 	After    time.Time // when the last record before it was written
 }
 
-// Book is an evening, in order.
-type Book struct {
+// Log is an evening, in order.
+type Log struct {
 	Entries []*Entry
 	Gaps    []Gap
 	Broken  int
@@ -41,8 +41,8 @@
 }
 
 // Make sorts entries into a book: records of a run by their numbers, all by time.
-func Make(entries []*Entry) *Book {
-	b := &Book{confirms: map[confirmKey]*Entry{}}
+func Make(entries []*Entry) *Log {
+	b := &Log{confirms: map[confirmKey]*Entry{}}
 	seen := map[Run]map[uint64]*Entry{}
 	for _, e := range entries {
 		if e.Broken != nil {
@@ -101,7 +101,7 @@
 }
 
 // Confirmed returns what the proxies said of the messages that carried a decision; nil: nothing is known.
-func (b *Book) Confirmed(e *Entry) *Entry {
+func (b *Log) Confirmed(e *Entry) *Entry {
 	run, ok := e.run()
 	c := e.Params[record.Checkpoint]
 	if !ok || c == "" || e.Kind == record.Confirmation {
@@ -111,7 +111,7 @@
 }
 
 // Missing is how many records are not there.
-func (b *Book) Missing() (n uint64) {
+func (b *Log) Missing() (n uint64) {
 	for _, g := range b.Gaps {
 		n += g.To - g.From + 1
 	}
@@ -128,7 +128,7 @@
 }
 
 // Line writes an entry for people: time, pilot, kind, what, reason and evidence, and what the proxies said.
-func (b *Book) Line(e *Entry) string {
+func (b *Log) Line(e *Entry) string {
 	if e.Broken != nil {
 		return fmt.Sprintf("%s:%d: broken (%v): %.200q", e.File, e.Line, e.Broken, e.Raw)
 	}
--- a/logbook/logbook_test.go
+++ b/logbook/logbook_test.go
@@ -29,7 +29,7 @@
 	return string(m.Append(nil, 8000))
 }
 
-func book(t *testing.T, lines ...string) *Book {
+func book(t *testing.T, lines ...string) *Log {
 	t.Helper()
 	var all []*Entry
 	if err := NewReader().Lines("f", strings.NewReader(strings.Join(lines, "\n")+"\n"), func(e *Entry) { all = append(all, e) }); err != nil {
@@ -41,7 +41,7 @@
 const s = time.Second
 
 // evening is two pilots' records, one of which began anew, out of order, with one twice and some missing.
-func evening(t *testing.T) *Book {
+func evening(t *testing.T) *Log {
 	lines := []string{
 		decision("a", 0, 1, 0, record.Restart, record.Reason, "start"),
 		decision("a", 0, 2, 1*s, record.TableLine, record.Node, "e17", record.Table, "t0", record.Weight, "4", record.Reason, "listed"),
--- a/logbook/timeline.go
+++ b/logbook/timeline.go
@@ -29,7 +29,7 @@
 }
 
 // Timeline returns a node's evening, a lane for each run that decided anything of it.
-func (b *Book) Timeline(node string) []Lane {
+func (b *Log) Timeline(node string) []Lane {
 	var lanes []*Lane
 	ends := map[Run]time.Time{}
 	for _, e := range b.Entries {
@@ -94,7 +94,7 @@
 
 // Draw draws a node's evening for a terminal: a bar a run, # in at its whole weight, less of it lower, the first letter of the
 // reason where it is out; then each record.
-func (b *Book) Draw(w io.Writer, node string, width int) error {
+func (b *Log) Draw(w io.Writer, node string, width int) error {
 	lanes := b.Timeline(node)
 	if len(lanes) == 0 {
 		return fmt.Errorf("no record is of node %s", node)
@@ -152,7 +152,7 @@
 }
 
 // HTML writes a node's evening as a page of its own.
-func (b *Book) HTML(w io.Writer, node string) error {
+func (b *Log) HTML(w io.Writer, node string) error {
 	lanes := b.Timeline(node)
 	if len(lanes) == 0 {
 		return fmt.Errorf("no record is of node %s", node)
