--- a/cmd/vetchdoor/log.go
+++ b/cmd/vetchdoor/log.go
@@ -51,7 +51,7 @@
 			return nil, nil, err
 		}
 	}
-	return logbook.Make(all), wanted, nil
+	return logbook.Merge(all), wanted, nil
 }
 
 func logShowCommand() *cobra.Command {
@@ -158,7 +158,7 @@
 				defer f.Close()
 				files = append(files, f)
 			}
-			b := logbook.Make(nil)
+			b := logbook.Merge(nil)
 			t := time.NewTicker(200 * time.Millisecond)
 			defer t.Stop()
 			for {
--- a/lab/records_test.go
+++ b/lab/records_test.go
@@ -52,7 +52,7 @@
 	if err := logbook.NewReader().Lines(path, f, func(e *logbook.Entry) { all = append(all, e) }); err != nil {
 		t.Fatal(err)
 	}
-	b := logbook.Make(all)
+	b := logbook.Merge(all)
 	if b.Broken+b.Twice+len(b.Gaps) > 0 || len(b.Entries) < 50 {
 		t.Fatalf("%d entries, %d broken, %d twice, gaps %v", len(b.Entries), b.Broken, b.Twice, b.Gaps)
 	}
--- a/logbook/book.go
+++ b/logbook/book.go
@@ -40,8 +40,8 @@
 	checkpoint string
 }
 
-// Make sorts entries into a book: records of a run by their numbers, all by time.
-func Make(entries []*Entry) *Log {
+// Merge sorts entries into a book: records of a run by their numbers, all by time.
+func Merge(entries []*Entry) *Log {
 	b := &Log{confirms: map[confirmKey]*Entry{}}
 	seen := map[Run]map[uint64]*Entry{}
 	for _, e := range entries {
--- a/logbook/logbook_test.go
+++ b/logbook/logbook_test.go
@@ -35,7 +35,7 @@
 	if err := NewReader().Lines("f", strings.NewReader(strings.Join(lines, "\n")+"\n"), func(e *Entry) { all = append(all, e) }); err != nil {
 		t.Fatal(err)
 	}
-	return Make(all)
+	return Merge(all)
 }
 
 const s = time.Second
@@ -258,7 +258,7 @@
 func FuzzLine(f *testing.F) {
 	f.Add(decision("a", 0, 1, 0, record.TableLine, record.Node, "e1"))
 	f.Fuzz(func(t *testing.T, line string) {
-		b := Make([]*Entry{NewReader().Entry(line)})
+		b := Merge([]*Entry{NewReader().Entry(line)})
 		_ = b.Line(b.Entries[0])
 	})
 }
