--- a/logbook/book.go
+++ b/logbook/book.go
@@ -26,10 +26,10 @@
 
 // Log is an evening, in order.
 type Log struct {
-	Entries []*Entry
-	Gaps    []Gap
-	Broken  int
-	Twice   int // records that were there more than once
+	Entries    []*Entry
+	Gaps       []Gap
+	Broken     int
+	Duplicates int // records that were there more than once
 	// Suppressed and Lost are what the logs themselves say was kept back or dropped.
 	Suppressed, Lost uint64
 	confirms         map[confirmKey]*Entry
@@ -53,7 +53,7 @@
 				seen[run] = map[uint64]*Entry{}
 			}
 			if seen[run][e.Sequence] != nil {
-				b.Twice++
+				b.Duplicates++
 				continue
 			}
 			seen[run][e.Sequence] = e
--- a/logbook/logbook_test.go
+++ b/logbook/logbook_test.go
@@ -65,7 +65,7 @@
 // lines are kept and counted, and a decision knows who confirmed it.
 func TestBook(t *testing.T) {
 	b := evening(t)
-	if len(b.Entries) != 12 || b.Twice != 1 || b.Broken != 1 || b.Suppressed != 2 || b.Missing() != 2 || len(b.Gaps) != 1 || b.Gaps[0].From != 5 || b.Gaps[0].To != 6 {
+	if len(b.Entries) != 12 || b.Duplicates != 1 || b.Broken != 1 || b.Suppressed != 2 || b.Missing() != 2 || len(b.Gaps) != 1 || b.Gaps[0].From != 5 || b.Gaps[0].To != 6 {
 		t.Fatalf("%d entries, %+v", len(b.Entries), b)
 	}
 	last := map[Run]uint64{}
