--- a/cmd/vetchdoor/log.go
+++ b/cmd/vetchdoor/log.go
@@ -105,7 +105,7 @@
 // summary says what is missing, and why as far as the log knows.
 func summary(out io.Writer, b *logbook.Log) {
 	fmt.Fprintf(out, "%d entries, %d broken lines, %d there twice, %d records missing (%d suppressed and %d dropped, by the log's own word)\n",
-		len(b.Entries), b.Broken, b.Duplicates, b.Missing(), b.Suppressed, b.Lost)
+		len(b.Entries), b.Malformed, b.Duplicates, b.Missing(), b.Suppressed, b.Lost)
 	for i, g := range b.Gaps {
 		if i == 20 {
 			fmt.Fprintf(out, "and %d more gaps\n", len(b.Gaps)-i)
--- a/lab/records_test.go
+++ b/lab/records_test.go
@@ -53,8 +53,8 @@
 		t.Fatal(err)
 	}
 	b := logbook.Merge(all)
-	if b.Broken+b.Duplicates+len(b.Gaps) > 0 || len(b.Entries) < 50 {
-		t.Fatalf("%d entries, %d broken, %d twice, gaps %v", len(b.Entries), b.Broken, b.Duplicates, b.Gaps)
+	if b.Malformed+b.Duplicates+len(b.Gaps) > 0 || len(b.Entries) < 50 {
+		t.Fatalf("%d entries, %d broken, %d twice, gaps %v", len(b.Entries), b.Malformed, b.Duplicates, b.Gaps)
 	}
 	type key struct {
 		run  uint64
--- a/logbook/book.go
+++ b/logbook/book.go
@@ -28,7 +28,7 @@
 type Log struct {
 	Entries    []*Entry
 	Gaps       []Gap
-	Broken     int
+	Malformed  int
 	Duplicates int // records that were there more than once
 	// Suppressed and Lost are what the logs themselves say was kept back or dropped.
 	Suppressed, Lost uint64
@@ -46,7 +46,7 @@
 	seen := map[Run]map[uint64]*Entry{}
 	for _, e := range entries {
 		if e.Broken != nil {
-			b.Broken++
+			b.Malformed++
 		}
 		if run, ok := e.run(); ok {
 			if seen[run] == nil {
--- a/logbook/logbook_test.go
+++ b/logbook/logbook_test.go
@@ -65,7 +65,7 @@
 // lines are kept and counted, and a decision knows who confirmed it.
 func TestBook(t *testing.T) {
 	b := evening(t)
-	if len(b.Entries) != 12 || b.Duplicates != 1 || b.Broken != 1 || b.Suppressed != 2 || b.Missing() != 2 || len(b.Gaps) != 1 || b.Gaps[0].From != 5 || b.Gaps[0].To != 6 {
+	if len(b.Entries) != 12 || b.Duplicates != 1 || b.Malformed != 1 || b.Suppressed != 2 || b.Missing() != 2 || len(b.Gaps) != 1 || b.Gaps[0].From != 5 || b.Gaps[0].To != 6 {
 		t.Fatalf("%d entries, %+v", len(b.Entries), b)
 	}
 	last := map[Run]uint64{}
@@ -198,8 +198,8 @@
 		}
 	}
 	b := book(t, strings.Repeat("x", 3<<20), decision("a", 0, 1, 0, record.Restart))
-	if len(b.Entries) != 2 || b.Broken != 1 || len(b.Entries[0].Raw) > 2*mostLine {
-		t.Errorf("%d entries, %d broken", len(b.Entries), b.Broken)
+	if len(b.Entries) != 2 || b.Malformed != 1 || len(b.Entries[0].Raw) > 2*mostLine {
+		t.Errorf("%d entries, %d broken", len(b.Entries), b.Malformed)
 	}
 	if got := NewReader().Entry(decision("a", 0, 1, 0, "k", "x", "a]\\\"b")).Params["x"]; got != "a]\\\"b" {
 		t.Errorf("%q", got)
