--- a/cmd/vetchdoor/log.go
+++ b/cmd/vetchdoor/log.go
@@ -88,7 +88,7 @@
 					if raw {
 						fmt.Fprintln(out, e.Raw)
 					} else {
-						fmt.Fprintln(out, b.Line(e))
+						fmt.Fprintln(out, b.Format(e))
 					}
 				}
 			}
@@ -131,7 +131,7 @@
 				}
 			}
 			for _, e := range last[max(0, len(last)-count):] {
-				fmt.Fprintln(cmd.OutOrStdout(), b.Line(e))
+				fmt.Fprintln(cmd.OutOrStdout(), b.Format(e))
 			}
 			return nil
 		}}
@@ -165,7 +165,7 @@
 				for _, f := range files {
 					err := f.Read(func(e *logbook.Entry) {
 						if wanted(e) {
-							fmt.Fprintln(cmd.OutOrStdout(), b.Line(e))
+							fmt.Fprintln(cmd.OutOrStdout(), b.Format(e))
 						}
 					})
 					if err != nil {
--- a/logbook/book.go
+++ b/logbook/book.go
@@ -127,8 +127,8 @@
 	return fmt.Sprintf("%d records of %s, run %d, are missing%s: %d to %d", g.To-g.From+1, g.Pilot, g.Run.Run, when, g.From, g.To)
 }
 
-// Line writes an entry for people: time, pilot, kind, what, reason and evidence, and what the proxies said.
-func (b *Log) Line(e *Entry) string {
+// Format writes an entry for people: time, pilot, kind, what, reason and evidence, and what the proxies said.
+func (b *Log) Format(e *Entry) string {
 	if e.Broken != nil {
 		return fmt.Sprintf("%s:%d: broken (%v): %.200q", e.File, e.Line, e.Broken, e.Raw)
 	}
--- a/logbook/logbook_test.go
+++ b/logbook/logbook_test.go
@@ -77,7 +77,7 @@
 			}
 			last[run] = e.Sequence
 		}
-		texts += b.Line(e) + "\n"
+		texts += b.Format(e) + "\n"
 	}
 	for _, want := range []string{"a withdrawal node=e17 out=true: sick (0.98, limit 0.31) [in force at 11 of 12]", "nginx: ordinary talk", "su: 'su root' failed",
 		"broken", "missing=p3"} {
@@ -259,7 +259,7 @@
 	f.Add(decision("a", 0, 1, 0, record.TableLine, record.Node, "e1"))
 	f.Fuzz(func(t *testing.T, line string) {
 		b := Merge([]*Entry{NewReader().Entry(line)})
-		_ = b.Line(b.Entries[0])
+		_ = b.Format(b.Entries[0])
 	})
 }
 
--- a/logbook/timeline.go
+++ b/logbook/timeline.go
@@ -119,7 +119,7 @@
 	}
 	for _, l := range lanes {
 		for _, e := range l.Marks {
-			fmt.Fprintln(w, "  "+b.Line(e))
+			fmt.Fprintln(w, "  "+b.Format(e))
 		}
 	}
 	return nil
@@ -177,14 +177,14 @@
 		}
 		for _, s := range l.Spans {
 			x := bar{Left: 100 * float64(s.From.Sub(from)) / total, Width: max(0.1, 100*float64(s.To.Sub(s.From))/total), State: s.State,
-				Out: s.State != "in", Title: b.Line(s.Why), Height: 100}
+				Out: s.State != "in", Title: b.Format(s.Why), Height: 100}
 			if !x.Out && most > 0 {
 				x.Height = max(3, 100*s.Weight/most)
 			}
 			d.Bars = append(d.Bars, x)
 		}
 		for _, e := range l.Marks {
-			d.Lines = append(d.Lines, b.Line(e))
+			d.Lines = append(d.Lines, b.Format(e))
 		}
 		data.Lanes = append(data.Lanes, d)
 	}
