--- a/logbook/book.go
+++ b/logbook/book.go
@@ -45,7 +45,7 @@
 	b := &Log{confirms: map[confirmKey]*Entry{}}
 	seen := map[Run]map[uint64]*Entry{}
 	for _, e := range entries {
-		if e.Broken != nil {
+		if e.ParseError != nil {
 			b.Malformed++
 		}
 		if run, ok := e.run(); ok {
@@ -129,8 +129,8 @@
 
 // Format writes an entry for people: time, pilot, kind, what, reason and evidence, and what the proxies said.
 func (b *Log) Format(e *Entry) string {
-	if e.Broken != nil {
-		return fmt.Sprintf("%s:%d: broken (%v): %.200q", e.File, e.Line, e.Broken, e.Raw)
+	if e.ParseError != nil {
+		return fmt.Sprintf("%s:%d: broken (%v): %.200q", e.File, e.Line, e.ParseError, e.Raw)
 	}
 	p := e.Params
 	s := e.When().Format("15:04:05.000") + " " + cmp.Or(p[record.Pilot], e.Host, "-")
--- a/logbook/entry.go
+++ b/logbook/entry.go
@@ -21,17 +21,17 @@
 
 // Entry is one line of a log.
 type Entry struct {
-	File     string
-	Line     int
-	Raw      string
-	Broken   error // it is no syslog line; the rest is empty but for Text
-	Time     time.Time
-	Severity syslog.Severity
-	Host     string
-	App      string
-	Kind     string            // MSGID
-	Params   map[string]string // of all elements; those of decision win
-	Text     string
+	File       string
+	Line       int
+	Raw        string
+	ParseError error // it is no syslog line; the rest is empty but for Text
+	Time       time.Time
+	Severity   syslog.Severity
+	Host       string
+	App        string
+	Kind       string            // MSGID
+	Params     map[string]string // of all elements; those of decision win
+	Text       string
 
 	Run, Sequence uint64        // of a record of ours; 0: none
 	At            time.Duration // since its pilot's start
@@ -112,7 +112,7 @@
 func (r *Reader) Entry(line string) (e *Entry) {
 	defer func() {
 		if p := recover(); p != nil { // a parser that is not ours, and lines that anybody may have written
-			e = &Entry{Raw: line, Text: line, Broken: fmt.Errorf("the parser failed: %v", p)}
+			e = &Entry{Raw: line, Text: line, ParseError: fmt.Errorf("the parser failed: %v", p)}
 		}
 	}()
 	if count, rest, ok := strings.Cut(line, " "); ok { // a frame with its octets counted, as it went over TCP
@@ -124,7 +124,7 @@
 	if err != nil {
 		var err2 error
 		if e, err2 = r.older([]byte(line)); err2 != nil {
-			return &Entry{Raw: line, Text: line, Broken: err}
+			return &Entry{Raw: line, Text: line, ParseError: err}
 		}
 	}
 	e.Raw = line
@@ -143,7 +143,7 @@
 	for n := 1; ; n++ {
 		line, long, err := readLine(b)
 		if line != "" {
-			e := &Entry{Raw: line, Text: line, Broken: errors.New("the line is too long")}
+			e := &Entry{Raw: line, Text: line, ParseError: errors.New("the line is too long")}
 			if !long {
 				e = r.Entry(line)
 			}
--- a/logbook/filter.go
+++ b/logbook/filter.go
@@ -143,7 +143,7 @@
 	case "severity":
 		for s := syslog.Emergency; s <= syslog.Debug; s++ {
 			if s.String() == strings.ToLower(n.Value) { // the graver, the greater
-				return func(e *Entry) bool { return e.Broken == nil && holds(int(s)-int(e.Severity)) }, nil
+				return func(e *Entry) bool { return e.ParseError == nil && holds(int(s)-int(e.Severity)) }, nil
 			}
 		}
 		return nil, fmt.Errorf("the filter: %q is no severity: emerg, alert, crit, err, warning, notice, info, debug", n.Value)
--- a/logbook/logbook_test.go
+++ b/logbook/logbook_test.go
@@ -177,7 +177,7 @@
 			t.Fatal(err)
 		}
 		e := NewReader().Entry(line)
-		if e.Broken != nil || e.Text != strict.Text || !e.Time.Equal(strict.Time) || int(e.Severity) != strict.Priority&7 || e.Kind != strict.ID {
+		if e.ParseError != nil || e.Text != strict.Text || !e.Time.Equal(strict.Time) || int(e.Severity) != strict.Priority&7 || e.Kind != strict.ID {
 			t.Fatalf("%q\n%+v\n%+v", line, e, strict)
 		}
 		for _, params := range strict.Data {
@@ -193,7 +193,7 @@
 // Lines that nobody should have written are entries like others.
 func TestOdd(t *testing.T) {
 	for _, line := range []string{"\x00\xff", "<", "<999>1 x", strings.Repeat("<1>1 - ", 1000), "<13>1 - - - - - [", `<13>1 - - - - - [a@1 b="\]"] x`, "12 <13>1 - - - - - -"} {
-		if e := NewReader().Entry(line); e == nil || e.Broken == nil && e.Params == nil {
+		if e := NewReader().Entry(line); e == nil || e.ParseError == nil && e.Params == nil {
 			t.Errorf("%.40q: %+v", line, e)
 		}
 	}
