--- a/logbook/book.go
+++ b/logbook/book.go
@@ -130,7 +130,7 @@
 // Format writes an entry for people: time, pilot, kind, what, reason and evidence, and what the proxies said.
 func (b *Log) Format(e *Entry) string {
 	if e.ParseError != nil {
-		return fmt.Sprintf("%s:%d: broken (%v): %.200q", e.File, e.Line, e.ParseError, e.Raw)
+		return fmt.Sprintf("%s:%d: broken (%v): %.200q", e.File, e.LineNumber, e.ParseError, e.Raw)
 	}
 	p := e.Params
 	s := e.When().Format("15:04:05.000") + " " + cmp.Or(p[record.Pilot], e.Host, "-")
--- a/logbook/entry.go
+++ b/logbook/entry.go
@@ -22,7 +22,7 @@
 // Entry is one line of a log.
 type Entry struct {
 	File       string
-	Line       int
+	LineNumber int
 	Raw        string
 	ParseError error // it is no syslog line; the rest is empty but for Text
 	Time       time.Time
@@ -147,7 +147,7 @@
 			if !long {
 				e = r.Entry(line)
 			}
-			e.File, e.Line = name, n
+			e.File, e.LineNumber = name, n
 			if e.Time.IsZero() {
 				e.Time = last
 			}
--- a/logbook/follow.go
+++ b/logbook/follow.go
@@ -81,7 +81,7 @@
 			f.line++
 			if line := strings.TrimRight(string(f.part[:i]), "\r"); line != "" {
 				e := f.r.Entry(line)
-				e.File, e.Line = f.path, f.line
+				e.File, e.LineNumber = f.path, f.line
 				each(e)
 			}
 			f.part = f.part[i+1:]
