--- a/logbook/entry.go
+++ b/logbook/entry.go
@@ -108,8 +108,8 @@
 // mostLine bounds a line; what is longer is broken.
 const mostLine = 1 << 20
 
-// Entry reads a line. It never fails: what is no syslog is an entry that says so.
-func (r *Reader) Entry(line string) (e *Entry) {
+// Parse reads a line. It never fails: what is no syslog is an entry that says so.
+func (r *Reader) Parse(line string) (e *Entry) {
 	defer func() {
 		if p := recover(); p != nil { // a parser that is not ours, and lines that anybody may have written
 			e = &Entry{Raw: line, Text: line, ParseError: fmt.Errorf("the parser failed: %v", p)}
@@ -145,7 +145,7 @@
 		if line != "" {
 			e := &Entry{Raw: line, Text: line, ParseError: errors.New("the line is too long")}
 			if !long {
-				e = r.Entry(line)
+				e = r.Parse(line)
 			}
 			e.File, e.LineNumber = name, n
 			if e.Time.IsZero() {
--- a/logbook/follow.go
+++ b/logbook/follow.go
@@ -80,7 +80,7 @@
 			}
 			f.line++
 			if line := strings.TrimRight(string(f.part[:i]), "\r"); line != "" {
-				e := f.r.Entry(line)
+				e := f.r.Parse(line)
 				e.File, e.LineNumber = f.path, f.line
 				each(e)
 			}
--- a/logbook/logbook_test.go
+++ b/logbook/logbook_test.go
@@ -176,7 +176,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		e := NewReader().Entry(line)
+		e := NewReader().Parse(line)
 		if e.ParseError != nil || e.Text != strict.Text || !e.Time.Equal(strict.Time) || int(e.Severity) != strict.Priority&7 || e.Kind != strict.ID {
 			t.Fatalf("%q\n%+v\n%+v", line, e, strict)
 		}
@@ -193,7 +193,7 @@
 // Lines that nobody should have written are entries like others.
 func TestOdd(t *testing.T) {
 	for _, line := range []string{"\x00\xff", "<", "<999>1 x", strings.Repeat("<1>1 - ", 1000), "<13>1 - - - - - [", `<13>1 - - - - - [a@1 b="\]"] x`, "12 <13>1 - - - - - -"} {
-		if e := NewReader().Entry(line); e == nil || e.ParseError == nil && e.Params == nil {
+		if e := NewReader().Parse(line); e == nil || e.ParseError == nil && e.Params == nil {
 			t.Errorf("%.40q: %+v", line, e)
 		}
 	}
@@ -201,7 +201,7 @@
 	if len(b.Entries) != 2 || b.Malformed != 1 || len(b.Entries[0].Raw) > 2*mostLine {
 		t.Errorf("%d entries, %d broken", len(b.Entries), b.Malformed)
 	}
-	if got := NewReader().Entry(decision("a", 0, 1, 0, "k", "x", "a]\\\"b")).Params["x"]; got != "a]\\\"b" {
+	if got := NewReader().Parse(decision("a", 0, 1, 0, "k", "x", "a]\\\"b")).Params["x"]; got != "a]\\\"b" {
 		t.Errorf("%q", got)
 	}
 }
@@ -258,7 +258,7 @@
 func FuzzLine(f *testing.F) {
 	f.Add(decision("a", 0, 1, 0, record.TableLine, record.Node, "e1"))
 	f.Fuzz(func(t *testing.T, line string) {
-		b := Merge([]*Entry{NewReader().Entry(line)})
+		b := Merge([]*Entry{NewReader().Parse(line)})
 		_ = b.Format(b.Entries[0])
 	})
 }
