--- a/cmd/vetchdoor/log.go
+++ b/cmd/vetchdoor/log.go
@@ -47,7 +47,7 @@
 			defer f.Close()
 			in = f
 		}
-		if err := r.Lines(path, in, func(e *logbook.Entry) { all = append(all, e) }); err != nil {
+		if err := r.ReadLines(path, in, func(e *logbook.Entry) { all = append(all, e) }); err != nil {
 			return nil, nil, err
 		}
 	}
--- a/lab/records_test.go
+++ b/lab/records_test.go
@@ -49,7 +49,7 @@
 	}
 	defer f.Close()
 	var all []*logbook.Entry
-	if err := logbook.NewReader().Lines(path, f, func(e *logbook.Entry) { all = append(all, e) }); err != nil {
+	if err := logbook.NewReader().ReadLines(path, f, func(e *logbook.Entry) { all = append(all, e) }); err != nil {
 		t.Fatal(err)
 	}
 	b := logbook.Merge(all)
--- a/logbook/entry.go
+++ b/logbook/entry.go
@@ -136,8 +136,8 @@
 	return e
 }
 
-// Lines calls each for every line of a stream that is not empty.
-func (r *Reader) Lines(name string, in io.Reader, each func(*Entry)) error {
+// ReadLines calls each for every line of a stream that is not empty.
+func (r *Reader) ReadLines(name string, in io.Reader, each func(*Entry)) error {
 	b := bufio.NewReaderSize(in, 1<<16)
 	var last time.Time // for lines that bear none
 	for n := 1; ; n++ {
--- a/logbook/logbook_test.go
+++ b/logbook/logbook_test.go
@@ -32,7 +32,7 @@
 func book(t *testing.T, lines ...string) *Log {
 	t.Helper()
 	var all []*Entry
-	if err := NewReader().Lines("f", strings.NewReader(strings.Join(lines, "\n")+"\n"), func(e *Entry) { all = append(all, e) }); err != nil {
+	if err := NewReader().ReadLines("f", strings.NewReader(strings.Join(lines, "\n")+"\n"), func(e *Entry) { all = append(all, e) }); err != nil {
 		t.Fatal(err)
 	}
 	return Merge(all)
