--- a/logbook/timeline.go
+++ b/logbook/timeline.go
@@ -17,7 +17,7 @@
 type Span struct {
 	From, To time.Time
 	State    string // in, out, or the reason for which it is out
-	Why      *Entry // the record that began it; nil at the beginning
+	Cause    *Entry // the record that began it; nil at the beginning
 	Weight   float64
 }
 
@@ -54,7 +54,7 @@
 			l.Spans[n-1].To = e.When()
 			last = l.Spans[n-1]
 		}
-		next := Span{From: e.When(), State: last.State, Why: e, Weight: last.Weight}
+		next := Span{From: e.When(), State: last.State, Cause: e, Weight: last.Weight}
 		switch e.Kind {
 		case record.Withdrawal:
 			if next.State = "in"; e.Params[record.Withdrawn] == "true" {
@@ -177,7 +177,7 @@
 		}
 		for _, s := range l.Spans {
 			x := bar{Left: 100 * float64(s.From.Sub(from)) / total, Width: max(0.1, 100*float64(s.To.Sub(s.From))/total), State: s.State,
-				Out: s.State != "in", Title: b.Format(s.Why), Height: 100}
+				Out: s.State != "in", Title: b.Format(s.Cause), Height: 100}
 			if !x.Out && most > 0 {
 				x.Height = max(3, 100*s.Weight/most)
 			}
