--- a/logbook/book.go
+++ b/logbook/book.go
@@ -14,7 +14,7 @@
 // Run is one run of one pilot.
 type Run struct {
 	Pilot string
-	Run   uint64
+	ID    uint64
 }
 
 // Gap is what is missing of a run: the numbers from and to, both missing.
@@ -81,7 +81,7 @@
 		}
 		return x.When().Compare(y.When())
 	})
-	runs := slices.SortedFunc(maps.Keys(seen), func(a, b Run) int { return cmp.Or(cmp.Compare(a.Run, b.Run), cmp.Compare(a.Pilot, b.Pilot)) })
+	runs := slices.SortedFunc(maps.Keys(seen), func(a, b Run) int { return cmp.Or(cmp.Compare(a.ID, b.ID), cmp.Compare(a.Pilot, b.Pilot)) })
 	for _, run := range runs {
 		numbers := slices.Sorted(maps.Keys(seen[run]))
 		next, after := uint64(1), time.Time{}
@@ -124,7 +124,7 @@
 	if !g.After.IsZero() {
 		when = " after " + g.After.Format("15:04:05.000")
 	}
-	return fmt.Sprintf("%d records of %s, run %d, are missing%s: %d to %d", g.To-g.From+1, g.Pilot, g.Run.Run, when, g.From, g.To)
+	return fmt.Sprintf("%d records of %s, run %d, are missing%s: %d to %d", g.To-g.From+1, g.Pilot, g.Run.ID, when, g.From, g.To)
 }
 
 // Format writes an entry for people: time, pilot, kind, what, reason and evidence, and what the proxies said.
--- a/logbook/timeline.go
+++ b/logbook/timeline.go
@@ -115,7 +115,7 @@
 				bar[i] = s.sign(most)
 			}
 		}
-		fmt.Fprintf(w, "%-12.12s run %d |%s|\n", l.Pilot, l.Run.Run, string(bar))
+		fmt.Fprintf(w, "%-12.12s run %d |%s|\n", l.Pilot, l.Run.ID, string(bar))
 	}
 	for _, l := range lanes {
 		for _, e := range l.Marks {
@@ -170,7 +170,7 @@
 		Gaps           []string
 	}{Node: node, From: from.Format("2006-01-02 15:04:05.000"), To: to.Format("15:04:05.000")}
 	for _, l := range lanes {
-		d := drawn{Name: fmt.Sprintf("%s, run %d", l.Pilot, l.Run.Run)}
+		d := drawn{Name: fmt.Sprintf("%s, run %d", l.Pilot, l.Run.ID)}
 		most := 0.0
 		for _, s := range l.Spans {
 			most = max(most, s.Weight)
