--- a/http1/http1.go
+++ b/http1/http1.go
@@ -22,16 +22,16 @@
 // ErrMore says that the message is not whole yet.
 var ErrMore = errors.New("http1: more bytes are needed")
 
-// Malformed is a message that cannot be read. Nothing after it on the connection can be trusted.
-type Malformed struct {
+// MalformedError is a message that cannot be read. Nothing after it on the connection can be trusted.
+type MalformedError struct {
 	Status int // the answer it deserves: 400, 413, 414, 431, 501 or 505
 	Reason string
 }
 
-func (m *Malformed) Error() string { return fmt.Sprintf("http1: %d: %s", m.Status, m.Reason) }
+func (m *MalformedError) Error() string { return fmt.Sprintf("http1: %d: %s", m.Status, m.Reason) }
 
 func bad(status int, format string, args ...any) error {
-	return &Malformed{Status: status, Reason: fmt.Sprintf(format, args...)}
+	return &MalformedError{Status: status, Reason: fmt.Sprintf(format, args...)}
 }
 
 // Field is one header field; both parts belong to the parser, as the rest of a head does.
--- a/http1/http1_test.go
+++ b/http1/http1_test.go
@@ -58,7 +58,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			m, err := NewRequestParser(DefaultBounds).Parse([]byte(c.in), false)
-			var bad *Malformed
+			var bad *MalformedError
 			switch {
 			case errors.As(err, &bad):
 				if bad.Status != c.status {
--- a/pilot/host/probe.go
+++ b/pilot/host/probe.go
@@ -28,7 +28,7 @@
 
 // probeOutcome tells how a probe ended: by its failure, or, where that is nil, by the status of its answer.
 func probeOutcome(fail *upstream.Failure, status int) control.ProbeOutcome {
-	var malformed *http1.Malformed
+	var malformed *http1.MalformedError
 	switch {
 	case fail == nil && status == http.StatusServiceUnavailable:
 		return control.ProbeRejected
--- a/serve/conn.go
+++ b/serve/conn.go
@@ -142,7 +142,7 @@
 			}
 			return !c.closing && c.nc.IsActive()
 		}
-		var bad *http1.Malformed
+		var bad *http1.MalformedError
 		if errors.As(err, &bad) {
 			c.refuse(bad.Status, bad.Reason)
 			return false
