--- a/lab/node/node.go
+++ b/lab/node/node.go
@@ -58,13 +58,13 @@
 	budget  []spent // work that came lately, while cold
 	fallen  bool
 	dying   bool // of an op that kills
-	trouble Trouble
+	trouble Faults
 	paused  time.Time // until then nothing ends
 	load    load
 }
 
-// Trouble is what is wrong with a node; the zero value is nothing.
-type Trouble struct {
+// Faults is what is wrong with a node; the zero value is nothing.
+type Faults struct {
 	Hang      bool                                               // takes work, answers nothing
 	Silent    bool                                               // not a byte comes back
 	Deaf      func(proxy int) bool                               // as Silent, towards some proxies
@@ -173,7 +173,7 @@
 	}
 	now := time.Now()
 	n.server, n.address, n.up, n.conns = s, s.Address(), true, 0
-	n.started, n.budget, n.trouble, n.paused = time.Time{}, nil, Trouble{}, time.Time{}
+	n.started, n.budget, n.trouble, n.paused = time.Time{}, nil, Faults{}, time.Time{}
 	if cold {
 		n.started = now
 	}
@@ -220,7 +220,7 @@
 }
 
 // Set changes what is wrong with it.
-func (n *Node) Set(change func(t *Trouble)) {
+func (n *Node) Set(change func(t *Faults)) {
 	n.mu.Lock()
 	was := n.trouble
 	change(&n.trouble)
--- a/lab/node/node_test.go
+++ b/lab/node/node_test.go
@@ -100,7 +100,7 @@
 	if got[200] < 6 || got[503] == 0 || got[200]+got[503] != 20 {
 		t.Errorf("%v", got)
 	}
-	n.Set(func(x *Trouble) { x.Draining = true })
+	n.Set(func(x *Faults) { x.Draining = true })
 	if s, _ := send(t, n, 0, 0, "", ample); s != 503 {
 		t.Errorf("draining: %d", s)
 	}
@@ -145,19 +145,19 @@
 	const short = 80 * time.Millisecond
 	for _, c := range []struct {
 		name    string
-		set     func(*Trouble)
+		set     func(*Faults)
 		status  int
 		effects int
 	}{
-		{"none", func(x *Trouble) {}, 200, 1},
-		{"errors", func(x *Trouble) { x.Errors = 1 }, 500, 0},
-		{"lost answers", func(x *Trouble) { x.Lost = 1 }, 0, 1},
-		{"silent", func(x *Trouble) { x.Silent = true }, 0, 0},
-		{"deaf", func(x *Trouble) { x.Deaf = func(p int) bool { return p == 9 } }, 0, 0},
-		{"deaf to another", func(x *Trouble) { x.Deaf = func(p int) bool { return p == 8 } }, 200, 1},
-		{"slow", func(x *Trouble) { x.Slow = 1000 }, 0, 0},
+		{"none", func(x *Faults) {}, 200, 1},
+		{"errors", func(x *Faults) { x.Errors = 1 }, 500, 0},
+		{"lost answers", func(x *Faults) { x.Lost = 1 }, 0, 1},
+		{"silent", func(x *Faults) { x.Silent = true }, 0, 0},
+		{"deaf", func(x *Faults) { x.Deaf = func(p int) bool { return p == 9 } }, 0, 0},
+		{"deaf to another", func(x *Faults) { x.Deaf = func(p int) bool { return p == 8 } }, 200, 1},
+		{"slow", func(x *Faults) { x.Slow = 1000 }, 0, 0},
 	} {
-		n.Set(func(x *Trouble) { *x = Trouble{}; c.set(x) })
+		n.Set(func(x *Faults) { *x = Faults{}; c.set(x) })
 		before, give := len(l.Effects()), short
 		if c.status != 0 || c.effects > 0 {
 			give = ample
@@ -167,7 +167,7 @@
 			t.Errorf("%s: status %d, %d effects", c.name, s, got)
 		}
 	}
-	n.Set(func(x *Trouble) { *x = Trouble{Hang: true} })
+	n.Set(func(x *Faults) { *x = Faults{Hang: true} })
 	before := len(l.Effects())
 	done := make(chan int)
 	go func() { s, _ := send(t, n, 1, 0, "", ample); done <- s }()
@@ -178,7 +178,7 @@
 	if len(l.Effects()) != before {
 		t.Error("an effect while it hangs")
 	}
-	n.Set(func(x *Trouble) { x.Hang = false })
+	n.Set(func(x *Faults) { x.Hang = false })
 	if s := <-done; s != 200 {
 		t.Errorf("after it hung: %d", s)
 	}
--- a/lab/orders_test.go
+++ b/lab/orders_test.go
@@ -38,7 +38,7 @@
 		f.list.Set(f.entry(0, "ready", 2), f.entry(2, "ready", 1.5))
 	},
 	"drain": func(f *simFleet) { // one server starts to drain
-		f.nodes[1].Set(func(t *node.Trouble) { t.Draining = true })
+		f.nodes[1].Set(func(t *node.Faults) { t.Draining = true })
 		f.list.Set(f.entry(1, "draining", 1))
 	},
 	"cold": func(f *simFleet) { // one server crashes and is back cold before the list service has noticed
@@ -97,7 +97,7 @@
 	pilotConfig  func(*files.Pilot)   // changes the settings of the pilots
 	proxyService func(*files.Service) // changes the service settings of the proxies
 	losePushes   bool                 // drop all traffic to the proxies from the second event on
-	trouble      func(*node.Trouble)  // sets a fault on all servers
+	trouble      func(*node.Faults)   // sets a fault on all servers
 	work         time.Duration        // work of each op; 0 for the default
 	opInterval   time.Duration        // time between ops; 0 for the default
 }
@@ -474,7 +474,7 @@
 				}
 			}
 		}, proxyService: func(s *files.Service) { s.OpTypes[2].Repeat = "retryable" },
-			trouble: func(t *node.Trouble) { t.Lost = 0.3 }},
+			trouble: func(t *node.Faults) { t.Lost = 0.3 }},
 		"withdrawals that are never delivered": {rule: 3, events: "tick,drain,tick,tick,tick", losePushes: true,
 			opInterval: 40 * time.Millisecond},
 		"cold server at its full weight": {rule: 4, events: "tick,cold,tick,tick", work: 60 * time.Millisecond,
