--- a/lab/node/node.go
+++ b/lab/node/node.go
@@ -219,8 +219,8 @@
 	s.Stop(ctx)
 }
 
-// Set changes what is wrong with it.
-func (n *Node) Set(change func(t *Faults)) {
+// UpdateFaults changes what is wrong with it.
+func (n *Node) UpdateFaults(change func(t *Faults)) {
 	n.mu.Lock()
 	was := n.trouble
 	change(&n.trouble)
--- a/lab/node/node_test.go
+++ b/lab/node/node_test.go
@@ -100,7 +100,7 @@
 	if got[200] < 6 || got[503] == 0 || got[200]+got[503] != 20 {
 		t.Errorf("%v", got)
 	}
-	n.Set(func(x *Faults) { x.Draining = true })
+	n.UpdateFaults(func(x *Faults) { x.Draining = true })
 	if s, _ := send(t, n, 0, 0, "", ample); s != 503 {
 		t.Errorf("draining: %d", s)
 	}
@@ -157,7 +157,7 @@
 		{"deaf to another", func(x *Faults) { x.Deaf = func(p int) bool { return p == 8 } }, 200, 1},
 		{"slow", func(x *Faults) { x.Slow = 1000 }, 0, 0},
 	} {
-		n.Set(func(x *Faults) { *x = Faults{}; c.set(x) })
+		n.UpdateFaults(func(x *Faults) { *x = Faults{}; c.set(x) })
 		before, give := len(l.Effects()), short
 		if c.status != 0 || c.effects > 0 {
 			give = ample
@@ -167,7 +167,7 @@
 			t.Errorf("%s: status %d, %d effects", c.name, s, got)
 		}
 	}
-	n.Set(func(x *Faults) { *x = Faults{Hang: true} })
+	n.UpdateFaults(func(x *Faults) { *x = Faults{Hang: true} })
 	before := len(l.Effects())
 	done := make(chan int)
 	go func() { s, _ := send(t, n, 1, 0, "", ample); done <- s }()
@@ -178,7 +178,7 @@
 	if len(l.Effects()) != before {
 		t.Error("an effect while it hangs")
 	}
-	n.Set(func(x *Faults) { x.Hang = false })
+	n.UpdateFaults(func(x *Faults) { x.Hang = false })
 	if s := <-done; s != 200 {
 		t.Errorf("after it hung: %d", s)
 	}
--- a/lab/orders_test.go
+++ b/lab/orders_test.go
@@ -38,7 +38,7 @@
 		f.list.Set(f.entry(0, "ready", 2), f.entry(2, "ready", 1.5))
 	},
 	"drain": func(f *simFleet) { // one server starts to drain
-		f.nodes[1].Set(func(t *node.Faults) { t.Draining = true })
+		f.nodes[1].UpdateFaults(func(t *node.Faults) { t.Draining = true })
 		f.list.Set(f.entry(1, "draining", 1))
 	},
 	"cold": func(f *simFleet) { // one server crashes and is back cold before the list service has noticed
@@ -145,7 +145,7 @@
 			t.Fatal(err)
 		}
 		if f.nodes = append(f.nodes, n); v.trouble != nil {
-			n.Set(v.trouble)
+			n.UpdateFaults(v.trouble)
 		}
 		if i < len(places)-v.unlisted {
 			f.day.Service.WritePacks = addPack(f.day.Service.WritePacks, places[i])
--- a/lab/trouble.go
+++ b/lab/trouble.go
@@ -27,7 +27,7 @@
 	"vanish": func(f *fleet, t *files.Trouble) {
 		for _, n := range f.pickNodes(t) {
 			f.during(t, func() {
-				n.Set(func(x *node.Faults) { x.Silent = true })
+				n.UpdateFaults(func(x *node.Faults) { x.Silent = true })
 				f.announce(f.day.List.SilentNotice.AsDuration(), n, "gone")
 			}, func() { f.restartNode(n) })
 		}
@@ -50,7 +50,7 @@
 		for _, n := range f.pickNodes(t) {
 			for i := range steps {
 				f.schedule(t.At.AsDuration()+t.Length.AsDuration()*time.Duration(i)/steps, func() {
-					n.Set(func(x *node.Faults) { x.Slow = 1 + (max(t.Size, 1)-1)*float64(i+1)/steps })
+					n.UpdateFaults(func(x *node.Faults) { x.Slow = 1 + (max(t.Size, 1)-1)*float64(i+1)/steps })
 				})
 			}
 			end := t.At.AsDuration() + t.Length.AsDuration()
@@ -179,8 +179,8 @@
 				}
 				return roundTripDelay, 1 - (1-t.Extra)*(1-t.Extra)
 			}
-			f.during(t, func() { n.Set(func(x *node.Faults) { x.Far = delay }) },
-				func() { n.Set(func(x *node.Faults) { x.Far = nil }) })
+			f.during(t, func() { n.UpdateFaults(func(x *node.Faults) { x.Far = delay }) },
+				func() { n.UpdateFaults(func(x *node.Faults) { x.Far = nil }) })
 		}
 	},
 }
@@ -197,8 +197,8 @@
 func nodeTrouble(set func(x *node.Faults, t *files.Trouble, on bool)) func(*fleet, *files.Trouble) {
 	return func(f *fleet, t *files.Trouble) {
 		for _, n := range f.pickNodes(t) {
-			f.during(t, func() { n.Set(func(x *node.Faults) { set(x, t, true) }) },
-				func() { n.Set(func(x *node.Faults) { set(x, t, false) }) })
+			f.during(t, func() { n.UpdateFaults(func(x *node.Faults) { set(x, t, true) }) },
+				func() { n.UpdateFaults(func(x *node.Faults) { set(x, t, false) }) })
 		}
 	}
 }
@@ -287,7 +287,7 @@
 	for i, n := range chosen {
 		at := t.At.AsDuration() + t.Length.AsDuration()*time.Duration(i/batch)/time.Duration(max(batches, 1))
 		f.announce(at+f.day.List.Add.AsDuration(), n, "draining")
-		f.schedule(at+drain, func() { n.Set(func(x *node.Faults) { x.Draining = true }) })
+		f.schedule(at+drain, func() { n.UpdateFaults(func(x *node.Faults) { x.Draining = true }) })
 		f.schedule(at+drain+time.Second, func() { f.restartNode(n) })
 	}
 }
@@ -303,14 +303,14 @@
 			begin, end := t.At.AsDuration()+at, t.At.AsDuration()+at+down
 			switch t.How {
 			case "hang":
-				f.schedule(begin, func() { n.Set(func(x *node.Faults) { x.Hang = true }) })
-				f.schedule(end, func() { n.Set(func(x *node.Faults) { x.Hang = false }) })
+				f.schedule(begin, func() { n.UpdateFaults(func(x *node.Faults) { x.Hang = true }) })
+				f.schedule(end, func() { n.UpdateFaults(func(x *node.Faults) { x.Hang = false }) })
 			case "errors":
-				f.schedule(begin, func() { n.Set(func(x *node.Faults) { x.Errors = 1 }) })
-				f.schedule(end, func() { n.Set(func(x *node.Faults) { x.Errors = 0 }) })
+				f.schedule(begin, func() { n.UpdateFaults(func(x *node.Faults) { x.Errors = 1 }) })
+				f.schedule(end, func() { n.UpdateFaults(func(x *node.Faults) { x.Errors = 0 }) })
 			case "silence":
 				f.schedule(begin, func() {
-					n.Set(func(x *node.Faults) { x.Silent = true })
+					n.UpdateFaults(func(x *node.Faults) { x.Silent = true })
 					f.announce(f.day.List.SilentNotice.AsDuration(), n, "gone")
 				})
 				f.schedule(end, func() { f.restartNode(n) })
@@ -335,7 +335,7 @@
 		}
 		f.during(t, func() {
 			if t.Extra > 0.5 {
-				n.Set(func(x *node.Faults) { x.Silent = true })
+				n.UpdateFaults(func(x *node.Faults) { x.Silent = true })
 				f.announce(f.day.List.SilentNotice.AsDuration(), n, "gone")
 				return
 			}
@@ -371,8 +371,8 @@
 	for _, n := range f.nodes {
 		inside := n.At().Zone == f.day.Service.Zones[zone]
 		unreachable := func(p int) bool { return p >= 0 && p < len(f.proxies) && (f.proxies[p].zone == zone) != inside }
-		f.during(t, func() { n.Set(func(x *node.Faults) { x.Deaf = unreachable }) },
-			func() { n.Set(func(x *node.Faults) { x.Deaf = nil }) })
+		f.during(t, func() { n.UpdateFaults(func(x *node.Faults) { x.Deaf = unreachable }) },
+			func() { n.UpdateFaults(func(x *node.Faults) { x.Deaf = nil }) })
 	}
 }
 
