--- a/lab/node/node.go
+++ b/lab/node/node.go
@@ -67,7 +67,7 @@
 type Faults struct {
 	Hang      bool                                               // takes work, answers nothing
 	Silent    bool                                               // not a byte comes back
-	Deaf      func(proxy int) bool                               // as Silent, towards some proxies
+	SilentTo  func(proxy int) bool                               // as Silent, towards some proxies
 	Far       func(proxy int) (late time.Duration, lost float64) // the way from some proxies
 	Draining  bool                                               // turns new work away
 	Errors    float64                                            // share that fails at once
@@ -309,7 +309,7 @@
 	full := len(n.queue)+len(n.running) >= n.machine.Slots+n.machine.Queue
 	j.Taken = n.up && !t.Draining && !full
 	n.ledger.arrived(j.Arrival)
-	deaf := t.Silent || t.Deaf != nil && t.Deaf(j.Proxy)
+	deaf := t.Silent || t.SilentTo != nil && t.SilentTo(j.Proxy)
 	late := t.Greeting
 	if c.Data != nil { // not the connection's first op
 		late = 0
--- a/lab/node/node_test.go
+++ b/lab/node/node_test.go
@@ -153,8 +153,8 @@
 		{"errors", func(x *Faults) { x.Errors = 1 }, 500, 0},
 		{"lost answers", func(x *Faults) { x.Lost = 1 }, 0, 1},
 		{"silent", func(x *Faults) { x.Silent = true }, 0, 0},
-		{"deaf", func(x *Faults) { x.Deaf = func(p int) bool { return p == 9 } }, 0, 0},
-		{"deaf to another", func(x *Faults) { x.Deaf = func(p int) bool { return p == 8 } }, 200, 1},
+		{"deaf", func(x *Faults) { x.SilentTo = func(p int) bool { return p == 9 } }, 0, 0},
+		{"deaf to another", func(x *Faults) { x.SilentTo = func(p int) bool { return p == 8 } }, 200, 1},
 		{"slow", func(x *Faults) { x.Slow = 1000 }, 0, 0},
 	} {
 		n.UpdateFaults(func(x *Faults) { *x = Faults{}; c.set(x) })
--- a/lab/trouble.go
+++ b/lab/trouble.go
@@ -371,8 +371,8 @@
 	for _, n := range f.nodes {
 		inside := n.At().Zone == f.day.Service.Zones[zone]
 		unreachable := func(p int) bool { return p >= 0 && p < len(f.proxies) && (f.proxies[p].zone == zone) != inside }
-		f.during(t, func() { n.UpdateFaults(func(x *node.Faults) { x.Deaf = unreachable }) },
-			func() { n.UpdateFaults(func(x *node.Faults) { x.Deaf = nil }) })
+		f.during(t, func() { n.UpdateFaults(func(x *node.Faults) { x.SilentTo = unreachable }) },
+			func() { n.UpdateFaults(func(x *node.Faults) { x.SilentTo = nil }) })
 	}
 }
 
