--- a/lab/node/node.go
+++ b/lab/node/node.go
@@ -68,7 +68,7 @@
 	Hang      bool                                               // takes work, answers nothing
 	Silent    bool                                               // not a byte comes back
 	SilentTo  func(proxy int) bool                               // as Silent, towards some proxies
-	Far       func(proxy int) (late time.Duration, lost float64) // the way from some proxies
+	PathFrom  func(proxy int) (late time.Duration, lost float64) // the way from some proxies
 	Draining  bool                                               // turns new work away
 	Errors    float64                                            // share that fails at once
 	Lost      float64                                            // share that runs and whose answer is lost
@@ -315,8 +315,8 @@
 		late = 0
 	}
 	c.Data = n
-	if t.Far != nil {
-		way, lost := t.Far(j.Proxy)
+	if t.PathFrom != nil {
+		way, lost := t.PathFrom(j.Proxy)
 		late += way
 		deaf = deaf || n.rng.Float64() < lost
 	}
--- a/lab/trouble.go
+++ b/lab/trouble.go
@@ -179,8 +179,8 @@
 				}
 				return roundTripDelay, 1 - (1-t.Extra)*(1-t.Extra)
 			}
-			f.during(t, func() { n.UpdateFaults(func(x *node.Faults) { x.Far = delay }) },
-				func() { n.UpdateFaults(func(x *node.Faults) { x.Far = nil }) })
+			f.during(t, func() { n.UpdateFaults(func(x *node.Faults) { x.PathFrom = delay }) },
+				func() { n.UpdateFaults(func(x *node.Faults) { x.PathFrom = nil }) })
 		}
 	},
 }
