--- a/lab/node/node.go
+++ b/lab/node/node.go
@@ -65,19 +65,19 @@
 
 // Faults is what is wrong with a node; the zero value is nothing.
 type Faults struct {
-	Hang      bool                                               // takes work, answers nothing
-	Silent    bool                                               // not a byte comes back
-	SilentTo  func(proxy int) bool                               // as Silent, towards some proxies
-	PathFrom  func(proxy int) (late time.Duration, lost float64) // the way from some proxies
-	Draining  bool                                               // turns new work away
-	Errors    float64                                            // share that fails at once
-	Lost      float64                                            // share that runs and whose answer is lost
-	Slow      float64                                            // times slower; 0: not
-	Handshake float64                                            // times dearer; 0: not
-	Greeting  time.Duration                                      // that a new connection's first op waits
-	Heavy     float64                                            // this share of one op type takes HeavyBy times the work
-	HeavyBy   float64
-	HeavyType int
+	Hang       bool                                               // takes work, answers nothing
+	Silent     bool                                               // not a byte comes back
+	SilentTo   func(proxy int) bool                               // as Silent, towards some proxies
+	PathFrom   func(proxy int) (late time.Duration, lost float64) // the way from some proxies
+	Draining   bool                                               // turns new work away
+	ErrorShare float64                                            // share that fails at once
+	Lost       float64                                            // share that runs and whose answer is lost
+	Slow       float64                                            // times slower; 0: not
+	Handshake  float64                                            // times dearer; 0: not
+	Greeting   time.Duration                                      // that a new connection's first op waits
+	Heavy      float64                                            // this share of one op type takes HeavyBy times the work
+	HeavyBy    float64
+	HeavyType  int
 }
 
 // spent is work that came at a time.
@@ -361,7 +361,7 @@
 		b = http1.AppendField(b, "Retry-After", "1")
 		_ = c.Answer(http1.AppendBody(n.report(b), nil))
 		return
-	case n.rng.Float64() < max(t.Errors, n.machine.ErrorRate):
+	case n.rng.Float64() < max(t.ErrorShare, n.machine.ErrorRate):
 		n.load.failed++
 		n.mu.Unlock()
 		_ = c.Answer(http1.AppendBody(n.report(http1.AppendStatus(nil, 500)), nil))
--- a/lab/node/node_test.go
+++ b/lab/node/node_test.go
@@ -150,7 +150,7 @@
 		effects int
 	}{
 		{"none", func(x *Faults) {}, 200, 1},
-		{"errors", func(x *Faults) { x.Errors = 1 }, 500, 0},
+		{"errors", func(x *Faults) { x.ErrorShare = 1 }, 500, 0},
 		{"lost answers", func(x *Faults) { x.Lost = 1 }, 0, 1},
 		{"silent", func(x *Faults) { x.Silent = true }, 0, 0},
 		{"deaf", func(x *Faults) { x.SilentTo = func(p int) bool { return p == 9 } }, 0, 0},
--- a/lab/trouble.go
+++ b/lab/trouble.go
@@ -33,7 +33,7 @@
 		}
 	},
 	"hang":        nodeTrouble(func(x *node.Faults, t *files.Trouble, on bool) { x.Hang = on }),
-	"fast_errors": nodeTrouble(func(x *node.Faults, t *files.Trouble, on bool) { x.Errors = valueIf(on, t.Size) }),
+	"fast_errors": nodeTrouble(func(x *node.Faults, t *files.Trouble, on bool) { x.ErrorShare = valueIf(on, t.Size) }),
 	"answer_lost": nodeTrouble(func(x *node.Faults, t *files.Trouble, on bool) { x.Lost = valueIf(on, t.Size) }),
 	"shared_slow": nodeTrouble(func(x *node.Faults, t *files.Trouble, on bool) { x.Slow = valueIf(on, t.Size) }),
 	"handshake_slow": nodeTrouble(func(x *node.Faults, t *files.Trouble, on bool) {
@@ -306,8 +306,8 @@
 				f.schedule(begin, func() { n.UpdateFaults(func(x *node.Faults) { x.Hang = true }) })
 				f.schedule(end, func() { n.UpdateFaults(func(x *node.Faults) { x.Hang = false }) })
 			case "errors":
-				f.schedule(begin, func() { n.UpdateFaults(func(x *node.Faults) { x.Errors = 1 }) })
-				f.schedule(end, func() { n.UpdateFaults(func(x *node.Faults) { x.Errors = 0 }) })
+				f.schedule(begin, func() { n.UpdateFaults(func(x *node.Faults) { x.ErrorShare = 1 }) })
+				f.schedule(end, func() { n.UpdateFaults(func(x *node.Faults) { x.ErrorShare = 0 }) })
 			case "silence":
 				f.schedule(begin, func() {
 					n.UpdateFaults(func(x *node.Faults) { x.Silent = true })
