--- a/cmd/vetchdoor/soak_repeats_test.go
+++ b/cmd/vetchdoor/soak_repeats_test.go
@@ -49,7 +49,7 @@
 	for again := true; again; {
 		for _, n := range s.nodes {
 			share := lostMost * float64(rng.IntN(2)) * rng.Float64()
-			n.UpdateFaults(func(t *node.Faults) { t.Lost = share })
+			n.UpdateFaults(func(t *node.Faults) { t.LostAnswerShare = share })
 		}
 		select {
 		case <-stop:
@@ -58,7 +58,7 @@
 		}
 	}
 	for _, n := range s.nodes {
-		n.UpdateFaults(func(t *node.Faults) { t.Lost = 0 })
+		n.UpdateFaults(func(t *node.Faults) { t.LostAnswerShare = 0 })
 	}
 }
 
--- a/lab/node/node.go
+++ b/lab/node/node.go
@@ -65,19 +65,19 @@
 
 // Faults is what is wrong with a node; the zero value is nothing.
 type Faults struct {
-	Hang       bool                                               // takes work, answers nothing
-	Silent     bool                                               // not a byte comes back
-	SilentTo   func(proxy int) bool                               // as Silent, towards some proxies
-	PathFrom   func(proxy int) (late time.Duration, lost float64) // the way from some proxies
-	Draining   bool                                               // turns new work away
-	ErrorShare float64                                            // share that fails at once
-	Lost       float64                                            // share that runs and whose answer is lost
-	Slow       float64                                            // times slower; 0: not
-	Handshake  float64                                            // times dearer; 0: not
-	Greeting   time.Duration                                      // that a new connection's first op waits
-	Heavy      float64                                            // this share of one op type takes HeavyBy times the work
-	HeavyBy    float64
-	HeavyType  int
+	Hang            bool                                               // takes work, answers nothing
+	Silent          bool                                               // not a byte comes back
+	SilentTo        func(proxy int) bool                               // as Silent, towards some proxies
+	PathFrom        func(proxy int) (late time.Duration, lost float64) // the way from some proxies
+	Draining        bool                                               // turns new work away
+	ErrorShare      float64                                            // share that fails at once
+	LostAnswerShare float64                                            // share that runs and whose answer is lost
+	Slow            float64                                            // times slower; 0: not
+	Handshake       float64                                            // times dearer; 0: not
+	Greeting        time.Duration                                      // that a new connection's first op waits
+	Heavy           float64                                            // this share of one op type takes HeavyBy times the work
+	HeavyBy         float64
+	HeavyType       int
 }
 
 // spent is work that came at a time.
@@ -488,7 +488,7 @@
 	v := acked
 	if j.OpType >= 0 {
 		t := &n.types[j.OpType]
-		if n.rng.Float64() < n.trouble.Lost {
+		if n.rng.Float64() < n.trouble.LostAnswerShare {
 			v = lost
 		}
 		if j.writes {
--- a/lab/node/node_test.go
+++ b/lab/node/node_test.go
@@ -151,7 +151,7 @@
 	}{
 		{"none", func(x *Faults) {}, 200, 1},
 		{"errors", func(x *Faults) { x.ErrorShare = 1 }, 500, 0},
-		{"lost answers", func(x *Faults) { x.Lost = 1 }, 0, 1},
+		{"lost answers", func(x *Faults) { x.LostAnswerShare = 1 }, 0, 1},
 		{"silent", func(x *Faults) { x.Silent = true }, 0, 0},
 		{"deaf", func(x *Faults) { x.SilentTo = func(p int) bool { return p == 9 } }, 0, 0},
 		{"deaf to another", func(x *Faults) { x.SilentTo = func(p int) bool { return p == 8 } }, 200, 1},
--- a/lab/orders_test.go
+++ b/lab/orders_test.go
@@ -474,7 +474,7 @@
 				}
 			}
 		}, proxyService: func(s *files.Service) { s.OpTypes[2].Repeat = "retryable" },
-			trouble: func(t *node.Faults) { t.Lost = 0.3 }},
+			trouble: func(t *node.Faults) { t.LostAnswerShare = 0.3 }},
 		"withdrawals that are never delivered": {rule: 3, events: "tick,drain,tick,tick,tick", losePushes: true,
 			opInterval: 40 * time.Millisecond},
 		"cold server at its full weight": {rule: 4, events: "tick,cold,tick,tick", work: 60 * time.Millisecond,
--- a/lab/repeats_test.go
+++ b/lab/repeats_test.go
@@ -295,7 +295,7 @@
 func loseAnswers(share float64) func(f *simFleet) {
 	return func(f *simFleet) {
 		for _, n := range f.nodes {
-			n.UpdateFaults(func(t *node.Faults) { t.Lost = share })
+			n.UpdateFaults(func(t *node.Faults) { t.LostAnswerShare = share })
 		}
 	}
 }
--- a/lab/trouble.go
+++ b/lab/trouble.go
@@ -34,7 +34,7 @@
 	},
 	"hang":        nodeTrouble(func(x *node.Faults, t *files.Trouble, on bool) { x.Hang = on }),
 	"fast_errors": nodeTrouble(func(x *node.Faults, t *files.Trouble, on bool) { x.ErrorShare = valueIf(on, t.Size) }),
-	"answer_lost": nodeTrouble(func(x *node.Faults, t *files.Trouble, on bool) { x.Lost = valueIf(on, t.Size) }),
+	"answer_lost": nodeTrouble(func(x *node.Faults, t *files.Trouble, on bool) { x.LostAnswerShare = valueIf(on, t.Size) }),
 	"shared_slow": nodeTrouble(func(x *node.Faults, t *files.Trouble, on bool) { x.Slow = valueIf(on, t.Size) }),
 	"handshake_slow": nodeTrouble(func(x *node.Faults, t *files.Trouble, on bool) {
 		x.Handshake, x.Greeting = valueIf(on, t.Extra), time.Duration(valueIf(on, t.Size)*float64(time.Millisecond))
