--- a/lab/node/node.go
+++ b/lab/node/node.go
@@ -72,7 +72,7 @@
 	Draining        bool                                               // turns new work away
 	ErrorShare      float64                                            // share that fails at once
 	LostAnswerShare float64                                            // share that runs and whose answer is lost
-	Slow            float64                                            // times slower; 0: not
+	SlowFactor      float64                                            // times slower; 0: not
 	Handshake       float64                                            // times dearer; 0: not
 	Greeting        time.Duration                                      // that a new connection's first op waits
 	Heavy           float64                                            // this share of one op type takes HeavyBy times the work
@@ -258,8 +258,8 @@
 func (n *Node) speedNow(now time.Time) float64 {
 	m := &n.machine
 	speed := n.speed * n.warm(now) * (1 - m.ConnectionTax*float64(n.conns)/float64(m.Connections))
-	if n.trouble.Slow > 0 {
-		speed /= n.trouble.Slow
+	if n.trouble.SlowFactor > 0 {
+		speed /= n.trouble.SlowFactor
 	}
 	if held := float64(len(n.queue) + len(n.running)); m.SlowsAt > 0 && held > m.SlowsAt {
 		speed /= 1 + m.SlowsBy*(held/m.SlowsAt-1)
--- a/lab/node/node_test.go
+++ b/lab/node/node_test.go
@@ -155,7 +155,7 @@
 		{"silent", func(x *Faults) { x.Silent = true }, 0, 0},
 		{"deaf", func(x *Faults) { x.SilentTo = func(p int) bool { return p == 9 } }, 0, 0},
 		{"deaf to another", func(x *Faults) { x.SilentTo = func(p int) bool { return p == 8 } }, 200, 1},
-		{"slow", func(x *Faults) { x.Slow = 1000 }, 0, 0},
+		{"slow", func(x *Faults) { x.SlowFactor = 1000 }, 0, 0},
 	} {
 		n.UpdateFaults(func(x *Faults) { *x = Faults{}; c.set(x) })
 		before, give := len(l.Effects()), short
@@ -196,7 +196,7 @@
 		held, conns int
 		slow, want  float64
 	}{{0, 0, 0, 1}, {2, 0, 0, 1}, {4, 0, 0, 1 / 1.5}, {0, 50, 0, 0.6}, {0, 25, 2, 0.4}} {
-		n.conns, n.trouble.Slow, n.queue = c.conns, c.slow, make([]*job, c.held)
+		n.conns, n.trouble.SlowFactor, n.queue = c.conns, c.slow, make([]*job, c.held)
 		if got := n.speedNow(now); got < c.want-1e-9 || got > c.want+1e-9 {
 			t.Errorf("%+v: %v", c, got)
 		}
--- a/lab/trouble.go
+++ b/lab/trouble.go
@@ -35,7 +35,7 @@
 	"hang":        nodeTrouble(func(x *node.Faults, t *files.Trouble, on bool) { x.Hang = on }),
 	"fast_errors": nodeTrouble(func(x *node.Faults, t *files.Trouble, on bool) { x.ErrorShare = valueIf(on, t.Size) }),
 	"answer_lost": nodeTrouble(func(x *node.Faults, t *files.Trouble, on bool) { x.LostAnswerShare = valueIf(on, t.Size) }),
-	"shared_slow": nodeTrouble(func(x *node.Faults, t *files.Trouble, on bool) { x.Slow = valueIf(on, t.Size) }),
+	"shared_slow": nodeTrouble(func(x *node.Faults, t *files.Trouble, on bool) { x.SlowFactor = valueIf(on, t.Size) }),
 	"handshake_slow": nodeTrouble(func(x *node.Faults, t *files.Trouble, on bool) {
 		x.Handshake, x.Greeting = valueIf(on, t.Extra), time.Duration(valueIf(on, t.Size)*float64(time.Millisecond))
 	}),
@@ -50,7 +50,7 @@
 		for _, n := range f.pickNodes(t) {
 			for i := range steps {
 				f.schedule(t.At.AsDuration()+t.Length.AsDuration()*time.Duration(i)/steps, func() {
-					n.UpdateFaults(func(x *node.Faults) { x.Slow = 1 + (max(t.Size, 1)-1)*float64(i+1)/steps })
+					n.UpdateFaults(func(x *node.Faults) { x.SlowFactor = 1 + (max(t.Size, 1)-1)*float64(i+1)/steps })
 				})
 			}
 			end := t.At.AsDuration() + t.Length.AsDuration()
