--- a/lab/node/node.go
+++ b/lab/node/node.go
@@ -74,7 +74,7 @@
 	LostAnswerShare float64                                            // share that runs and whose answer is lost
 	SlowFactor      float64                                            // times slower; 0: not
 	Handshake       float64                                            // times dearer; 0: not
-	Greeting        time.Duration                                      // that a new connection's first op waits
+	FirstOpDelay    time.Duration                                      // that a new connection's first op waits
 	Heavy           float64                                            // this share of one op type takes HeavyBy times the work
 	HeavyBy         float64
 	HeavyType       int
@@ -310,7 +310,7 @@
 	j.Taken = n.up && !t.Draining && !full
 	n.ledger.arrived(j.Arrival)
 	deaf := t.Silent || t.SilentTo != nil && t.SilentTo(j.Proxy)
-	late := t.Greeting
+	late := t.FirstOpDelay
 	if c.Data != nil { // not the connection's first op
 		late = 0
 	}
