--- a/lab/node/node.go
+++ b/lab/node/node.go
@@ -73,7 +73,7 @@
 	ErrorShare      float64                                            // share that fails at once
 	LostAnswerShare float64                                            // share that runs and whose answer is lost
 	SlowFactor      float64                                            // times slower; 0: not
-	Handshake       float64                                            // times dearer; 0: not
+	HandshakeFactor float64                                            // times dearer; 0: not
 	FirstOpDelay    time.Duration                                      // that a new connection's first op waits
 	Heavy           float64                                            // this share of one op type takes HeavyBy times the work
 	HeavyBy         float64
@@ -276,7 +276,7 @@
 	}
 	n.conns++
 	if d := n.machine.Handshake.AsDuration(); d > 0 {
-		if x := n.trouble.Handshake; x > 0 {
+		if x := n.trouble.HandshakeFactor; x > 0 {
 			d = time.Duration(float64(d) * x)
 		}
 		n.queue = append(n.queue, &job{work: d, came: time.Now(), done: make(chan verdict, 1), Arrival: Arrival{OpType: -1}})
--- a/lab/trouble.go
+++ b/lab/trouble.go
@@ -37,7 +37,7 @@
 	"answer_lost": nodeTrouble(func(x *node.Faults, t *files.Trouble, on bool) { x.LostAnswerShare = valueIf(on, t.Size) }),
 	"shared_slow": nodeTrouble(func(x *node.Faults, t *files.Trouble, on bool) { x.SlowFactor = valueIf(on, t.Size) }),
 	"handshake_slow": nodeTrouble(func(x *node.Faults, t *files.Trouble, on bool) {
-		x.Handshake, x.FirstOpDelay = valueIf(on, t.Extra), time.Duration(valueIf(on, t.Size)*float64(time.Millisecond))
+		x.HandshakeFactor, x.FirstOpDelay = valueIf(on, t.Extra), time.Duration(valueIf(on, t.Size)*float64(time.Millisecond))
 	}),
 	"heavy_tail": func(f *fleet, t *files.Trouble) {
 		opType := f.rng.IntN(len(f.day.Service.OpTypes))
