--- a/lab/check.go
+++ b/lab/check.go
@@ -37,7 +37,7 @@
 	arrivals    []node.Arrival
 	effects     []node.Effect
 	ops         []*op
-	coldCrashes []node.Fall
+	coldCrashes []node.Crash
 	mixups      []string // descriptions of requests and responses that were mixed up with others
 	end         time.Duration
 }
--- a/lab/check_test.go
+++ b/lab/check_test.go
@@ -178,13 +178,13 @@
 			c.join(sec)
 			c.message(3*sec, 3*sec, 3*sec, 5, one, two, mapAll)
 			c.try(4*sec, 2, 1, 0, true)
-			c.coldCrashes = []node.Fall{{At: 4 * sec, Endpoint: 2}}
+			c.coldCrashes = []node.Crash{{At: 4 * sec, Endpoint: 2}}
 		}},
 		{"cold, overloaded by an uninformed proxy", "", func(c *scenario) {
 			c.list(2*sec, "changes", "started", 2)
 			c.join(sec)
 			c.try(3*sec, 2, 1, 0, true)
-			c.coldCrashes = []node.Fall{{At: 3 * sec, Endpoint: 2}}
+			c.coldCrashes = []node.Crash{{At: 3 * sec, Endpoint: 2}}
 		}},
 		{"full queue", "", func(c *scenario) { c.join(sec); c.message(2*sec, 4*sec, 5*sec, 9600, one, two, mapAll) }},
 		{"queue past its bound", "5", func(c *scenario) {
--- a/lab/node/ledger.go
+++ b/lab/node/ledger.go
@@ -28,8 +28,8 @@
 	OpType   int
 }
 
-// Fall is a cold node that fell over.
-type Fall struct {
+// Crash is a cold node that fell over.
+type Crash struct {
 	At       time.Duration
 	Endpoint control.EndpointID
 }
@@ -40,7 +40,7 @@
 	from     time.Time
 	arrivals []Arrival
 	effects  []Effect
-	falls    []Fall
+	falls    []Crash
 	mixed    []string                    // what was seen of requests and answers that were mixed with others
 	memory   map[memoryKey]time.Duration // when a key first arrived in a group
 	wasted   time.Duration               // work that served no answer
@@ -66,7 +66,7 @@
 	l.mu.Unlock()
 }
 
-func (l *Ledger) fell(f Fall) {
+func (l *Ledger) fell(f Crash) {
 	l.mu.Lock()
 	l.falls = append(l.falls, f)
 	l.mu.Unlock()
@@ -111,10 +111,10 @@
 }
 
 // Falls returns the nodes that fell over.
-func (l *Ledger) Falls() []Fall {
+func (l *Ledger) Falls() []Crash {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return append([]Fall(nil), l.falls...)
+	return append([]Crash(nil), l.falls...)
 }
 
 // Mix notes a request or an answer that was mixed with another one.
--- a/lab/node/node.go
+++ b/lab/node/node.go
@@ -348,7 +348,7 @@
 	}
 	if n.overloaded(j.work) {
 		n.fallen = true
-		n.ledger.fell(Fall{At: j.At, Endpoint: j.Endpoint})
+		n.ledger.fell(Crash{At: j.At, Endpoint: j.Endpoint})
 		n.mu.Unlock()
 		go n.Stop()
 		c.Drop()
