--- a/cmd/vetchdoor/soak_test.go
+++ b/cmd/vetchdoor/soak_test.go
@@ -233,7 +233,7 @@
 	for _, what := range s.ledger.Mixed() {
 		s.failf("%s", what)
 	}
-	for _, f := range s.ledger.Falls() {
+	for _, f := range s.ledger.Crashes() {
 		s.failf("rule 4: server %d was pushed over as it was cold, at %v", f.Endpoint, f.At.Round(time.Millisecond))
 	}
 	statuses := map[int]int{}
--- a/lab/node/ledger.go
+++ b/lab/node/ledger.go
@@ -110,8 +110,8 @@
 	return append([]Effect(nil), l.effects...)
 }
 
-// Falls returns the nodes that fell over.
-func (l *Ledger) Falls() []Crash {
+// Crashes returns the nodes that fell over.
+func (l *Ledger) Crashes() []Crash {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return append([]Crash(nil), l.falls...)
--- a/lab/node/node_test.go
+++ b/lab/node/node_test.go
@@ -121,11 +121,11 @@
 		for range 12 {
 			go func() { _, _ = send(t, n, 0, 500*time.Millisecond, "", time.Second) }()
 		}
-		for end := time.Now().Add(ample); len(l.Arrivals()) < 12 && len(l.Falls()) == 0 && time.Now().Before(end); {
+		for end := time.Now().Add(ample); len(l.Arrivals()) < 12 && len(l.Crashes()) == 0 && time.Now().Before(end); {
 			time.Sleep(time.Millisecond)
 		}
-		if (len(l.Falls()) > 0) != cold {
-			t.Fatalf("cold %t: fell %v", cold, l.Falls())
+		if (len(l.Crashes()) > 0) != cold {
+			t.Fatalf("cold %t: fell %v", cold, l.Crashes())
 		}
 		if !cold {
 			continue
--- a/lab/orders_test.go
+++ b/lab/orders_test.go
@@ -299,7 +299,7 @@
 func (f *simFleet) check() []Violation {
 	e := &evidence{service: &f.day.Service, limits: &f.day.Limits, channel: &f.day.Channel, start: f.ledger.From(),
 		traffic:  f.tap.All(),
-		arrivals: f.ledger.Arrivals(), coldCrashes: f.ledger.Falls(), mixups: f.ledger.Mixed(), end: time.Since(f.ledger.From())}
+		arrivals: f.ledger.Arrivals(), coldCrashes: f.ledger.Crashes(), mixups: f.ledger.Mixed(), end: time.Since(f.ledger.From())}
 	h, err := e.reconstruct(2)
 	if err != nil {
 		f.t.Error(err)
@@ -370,7 +370,7 @@
 		violations, lastEvent = f.check(), "the end"
 		if *orderFlag != "" || v.rule > 0 {
 			t.Logf("%d arrivals, %d effects, %d cold nodes failed, %d pieces of traffic", len(f.ledger.Arrivals()),
-				len(f.ledger.Effects()), len(f.ledger.Falls()), len(f.tap.All()))
+				len(f.ledger.Effects()), len(f.ledger.Crashes()), len(f.tap.All()))
 			for _, p := range f.proxies {
 				t.Log(p.Info(), p.Stat())
 			}
--- a/lab/run.go
+++ b/lab/run.go
@@ -123,14 +123,14 @@
 func (f *fleet) report(s *loadGenerator, begin time.Time, start, until time.Duration, connections float64) (*Report, error) {
 	d := f.day
 	e := &evidence{service: &d.Service, limits: &d.Limits, channel: &d.Channel, start: f.ledger.From(), traffic: f.tap.All(),
-		arrivals: f.ledger.Arrivals(), effects: f.ledger.Effects(), ops: s.ops, coldCrashes: f.ledger.Falls(),
+		arrivals: f.ledger.Arrivals(), effects: f.ledger.Effects(), ops: s.ops, coldCrashes: f.ledger.Crashes(),
 		mixups: f.ledger.Mixed(), end: until}
 	h, err := e.reconstruct(len(f.pilots))
 	if err != nil {
 		return nil, err
 	}
 	r := &Report{Day: d.Name, Seed: d.Seed, Took: time.Since(begin), Nodes: len(f.nodes), Proxies: len(f.proxies),
-		Pilots: len(f.pilots), PerSecond: f.opRate(), Ops: len(s.ops), Violations: e.check(h), ColdCrashes: len(f.ledger.Falls())}
+		Pilots: len(f.pilots), PerSecond: f.opRate(), Ops: len(s.ops), Violations: e.check(h), ColdCrashes: len(f.ledger.Crashes())}
 	for _, x := range h.streams {
 		if x.joined >= 0 && x.resumed {
 			r.Resumes++
