--- a/lab/load.go
+++ b/lab/load.go
@@ -316,9 +316,9 @@
 // corrupted, because every request is well-formed.
 func (s *loadGenerator) checkSignature(o *op, a *upstream.Response) {
 	if a.Status >= 400 && a.Status < 500 {
-		s.ledger.Mix(fmt.Sprintf("op %d got the response status %d", o.number, a.Status))
+		s.ledger.RecordMixUp(fmt.Sprintf("op %d got the response status %d", o.number, a.Status))
 	}
 	if got := a.Get(sign.Field); got != nil && string(got) != strconv.FormatUint(o.number, 10) {
-		s.ledger.Mix(fmt.Sprintf("op %d got the response to op %s", o.number, got))
+		s.ledger.RecordMixUp(fmt.Sprintf("op %d got the response to op %s", o.number, got))
 	}
 }
--- a/lab/node/ledger.go
+++ b/lab/node/ledger.go
@@ -117,8 +117,8 @@
 	return append([]Crash(nil), l.falls...)
 }
 
-// Mix notes a request or an answer that was mixed with another one.
-func (l *Ledger) Mix(what string) {
+// RecordMixUp notes a request or an answer that was mixed with another one.
+func (l *Ledger) RecordMixUp(what string) {
 	const most = 100
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/lab/node/node.go
+++ b/lab/node/node.go
@@ -299,7 +299,7 @@
 	}
 	number, err := sign.Check(m)
 	if err != nil {
-		n.ledger.Mix(err.Error())
+		n.ledger.RecordMixUp(err.Error())
 	}
 	j := n.read(m)
 	j.came = time.Now()
