--- a/cmd/vetchdoor/soak_test.go
+++ b/cmd/vetchdoor/soak_test.go
@@ -230,7 +230,7 @@
 			effects[e.Op]++
 		}
 	}
-	for _, what := range s.ledger.Mixed() {
+	for _, what := range s.ledger.MixUps() {
 		s.failf("%s", what)
 	}
 	for _, f := range s.ledger.Crashes() {
--- a/lab/node/ledger.go
+++ b/lab/node/ledger.go
@@ -127,8 +127,8 @@
 	}
 }
 
-// Mixed returns what was noted of mixed requests and answers.
-func (l *Ledger) Mixed() []string {
+// MixUps returns what was noted of mixed requests and answers.
+func (l *Ledger) MixUps() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return append([]string(nil), l.mixed...)
--- a/lab/orders_test.go
+++ b/lab/orders_test.go
@@ -299,7 +299,7 @@
 func (f *simFleet) check() []Violation {
 	e := &evidence{service: &f.day.Service, limits: &f.day.Limits, channel: &f.day.Channel, start: f.ledger.From(),
 		traffic:  f.tap.All(),
-		arrivals: f.ledger.Arrivals(), coldCrashes: f.ledger.Crashes(), mixups: f.ledger.Mixed(), end: time.Since(f.ledger.From())}
+		arrivals: f.ledger.Arrivals(), coldCrashes: f.ledger.Crashes(), mixups: f.ledger.MixUps(), end: time.Since(f.ledger.From())}
 	h, err := e.reconstruct(2)
 	if err != nil {
 		f.t.Error(err)
--- a/lab/run.go
+++ b/lab/run.go
@@ -124,7 +124,7 @@
 	d := f.day
 	e := &evidence{service: &d.Service, limits: &d.Limits, channel: &d.Channel, start: f.ledger.From(), traffic: f.tap.All(),
 		arrivals: f.ledger.Arrivals(), effects: f.ledger.Effects(), ops: s.ops, coldCrashes: f.ledger.Crashes(),
-		mixups: f.ledger.Mixed(), end: until}
+		mixups: f.ledger.MixUps(), end: until}
 	h, err := e.reconstruct(len(f.pilots))
 	if err != nil {
 		return nil, err
