--- a/lab/fleet.go
+++ b/lab/fleet.go
@@ -383,7 +383,7 @@
 	}
 	power := 0.0
 	for _, n := range f.nodes {
-		power += n.Power()
+		power += n.Capacity()
 	}
 	return f.day.Load.OfCapacity * power / meanWork(&f.day.Load).Seconds()
 }
--- a/lab/node/node.go
+++ b/lab/node/node.go
@@ -139,8 +139,8 @@
 // At is its place in the file.
 func (n *Node) At() files.NodeAt { return n.at }
 
-// Power is the work a second that it does when warm.
-func (n *Node) Power() float64 { return n.speed * float64(n.machine.Cores) }
+// Capacity is the work a second that it does when warm.
+func (n *Node) Capacity() float64 { return n.speed * float64(n.machine.Cores) }
 
 // Address is where it listens.
 func (n *Node) Address() string { return n.address }
@@ -439,7 +439,7 @@
 		total += s.work
 		most = max(most, s.work)
 	}
-	can := n.limits.OverloadFactor * n.Power() * n.warm(now) * span.Seconds()
+	can := n.limits.OverloadFactor * n.Capacity() * n.warm(now) * span.Seconds()
 	return (total - 2*most).Seconds() > can
 }
 
