--- a/lab/node/node.go
+++ b/lab/node/node.go
@@ -145,8 +145,8 @@
 // Address is where it listens.
 func (n *Node) Address() string { return n.address }
 
-// Up tells whether its process runs.
-func (n *Node) Up() bool {
+// Running tells whether its process runs.
+func (n *Node) Running() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.up
--- a/lab/node/node_test.go
+++ b/lab/node/node_test.go
@@ -130,10 +130,10 @@
 		if !cold {
 			continue
 		}
-		for end := time.Now().Add(ample); n.Up() && time.Now().Before(end); {
+		for end := time.Now().Add(ample); n.Running() && time.Now().Before(end); {
 			time.Sleep(time.Millisecond)
 		}
-		if err := n.Start(true); err != nil || n.Up() {
+		if err := n.Start(true); err != nil || n.Running() {
 			t.Errorf("it came back: %v", err)
 		}
 	}
--- a/lab/trouble.go
+++ b/lab/trouble.go
@@ -273,7 +273,7 @@
 // restartNode restarts a node cold; the list service shows it as ready after the delay of an addition.
 func (f *fleet) restartNode(n *node.Node) {
 	n.Stop()
-	if n.Start(true) == nil && n.Up() {
+	if n.Start(true) == nil && n.Running() {
 		f.announce(f.day.List.Add.AsDuration(), n, "ready")
 	}
 }
