--- a/lab/fleet.go
+++ b/lab/fleet.go
@@ -182,7 +182,7 @@
 
 // listEntry returns the entry with which the list service shows a node.
 func (f *fleet) listEntry(n *node.Node, mode string) (roster.Entry, error) {
-	a := n.At()
+	a := n.Config()
 	address, err := netip.ParseAddrPort(n.Address())
 	if err != nil {
 		return roster.Entry{}, err
--- a/lab/node/node.go
+++ b/lab/node/node.go
@@ -136,8 +136,8 @@
 // Endpoint is its number.
 func (n *Node) Endpoint() control.EndpointID { return control.EndpointID(n.at.Endpoint) }
 
-// At is its place in the file.
-func (n *Node) At() files.NodeAt { return n.at }
+// Config is its place in the file.
+func (n *Node) Config() files.NodeAt { return n.at }
 
 // Capacity is the work a second that it does when warm.
 func (n *Node) Capacity() float64 { return n.speed * float64(n.machine.Cores) }
--- a/lab/orders_test.go
+++ b/lab/orders_test.go
@@ -207,7 +207,7 @@
 // entry returns the entry with which the list service shows server i.
 func (f *simFleet) entry(i int, mode string, weight float64) roster.Entry {
 	n := f.nodes[i]
-	e := roster.Entry{Endpoint: n.Endpoint(), Address: netip.MustParseAddrPort(n.Address()), Zone: n.At().Zone, Pack: n.At().Pack,
+	e := roster.Entry{Endpoint: n.Endpoint(), Address: netip.MustParseAddrPort(n.Address()), Zone: n.Config().Zone, Pack: n.Config().Pack,
 		Weight: weight, Mode: mode}
 	if s := n.Started(); !s.IsZero() {
 		e.Started = s.UnixMilli()
--- a/lab/packs.go
+++ b/lab/packs.go
@@ -12,7 +12,7 @@
 // packsByZone returns the packs of the nodes by zone, in the form of the write_packs setting.
 func packsByZone(nodes []*node.Node) (packs map[string][]int) {
 	for _, n := range nodes {
-		packs = addPack(packs, n.At())
+		packs = addPack(packs, n.Config())
 	}
 	return packs
 }
--- a/lab/repeats_test.go
+++ b/lab/repeats_test.go
@@ -210,7 +210,7 @@
 
 // group returns the zone and pack of a server.
 func (f *simFleet) group(id int) string {
-	at := f.nodes[id].At()
+	at := f.nodes[id].Config()
 	return fmt.Sprintf("%s.%d", at.Zone, at.Pack)
 }
 
--- a/lab/run.go
+++ b/lab/run.go
@@ -166,7 +166,7 @@
 		channelLines: f.day.Channel.LinesPerSecond * span.Seconds() * float64(len(f.pilots))}
 	zones := map[control.EndpointID]string{}
 	for id, n := range f.nodesByID() {
-		zones[id] = n.At().Zone
+		zones[id] = n.Config().Zone
 	}
 	for _, a := range f.ledger.Arrivals() {
 		r.Tries++
--- a/lab/trouble.go
+++ b/lab/trouble.go
@@ -168,7 +168,7 @@
 		}
 		roundTripDelay := time.Duration(2 * t.Size * float64(shortestTarget)) // round trip
 		for _, n := range f.nodes {
-			at := f.day.Service.ZoneIndex(n.At().Zone)
+			at := f.day.Service.ZoneIndex(n.Config().Zone)
 			delay := func(p int) (time.Duration, float64) {
 				if p < 0 || p >= len(f.proxies) {
 					return 0, 0
@@ -244,7 +244,7 @@
 	}
 	var out []*node.Node
 	for _, i := range pick(f, len(f.nodes), part, nil) {
-		if t.Zone == "" || f.nodes[i].At().Zone == t.Zone {
+		if t.Zone == "" || f.nodes[i].Config().Zone == t.Zone {
 			out = append(out, f.nodes[i])
 		}
 	}
@@ -330,7 +330,7 @@
 func (f *fleet) loseZone(t *files.Trouble) {
 	zone := f.troubleZone(t)
 	for _, n := range f.nodes {
-		if n.At().Zone != f.day.Service.Zones[zone] {
+		if n.Config().Zone != f.day.Service.Zones[zone] {
 			continue
 		}
 		f.during(t, func() {
@@ -369,7 +369,7 @@
 		}
 	}
 	for _, n := range f.nodes {
-		inside := n.At().Zone == f.day.Service.Zones[zone]
+		inside := n.Config().Zone == f.day.Service.Zones[zone]
 		unreachable := func(p int) bool { return p >= 0 && p < len(f.proxies) && (f.proxies[p].zone == zone) != inside }
 		f.during(t, func() { n.UpdateFaults(func(x *node.Faults) { x.SilentTo = unreachable }) },
 			func() { n.UpdateFaults(func(x *node.Faults) { x.SilentTo = nil }) })
