--- a/lab/check.go
+++ b/lab/check.go
@@ -33,7 +33,7 @@
 	limits      *files.Limits
 	channel     *files.Channel
 	start       time.Time // creation of the fleet, from which all other times count
-	traffic     []link.Passed
+	traffic     []link.Transfer
 	arrivals    []node.Arrival
 	effects     []node.Effect
 	ops         []*op
@@ -88,7 +88,7 @@
 // reconstruct builds the history from the traffic on the taps. It returns an error if a connection cannot be parsed.
 func (e *evidence) reconstruct(pilots int) (*history, error) {
 	h := &history{listChanges: make([][]listChange, pilots), placements: placements{}}
-	byConn := map[int][]link.Passed{}
+	byConn := map[int][]link.Transfer{}
 	var order []int
 	for _, p := range e.traffic {
 		if byConn[p.Conn] == nil {
@@ -125,7 +125,7 @@
 
 // readList appends the changes in the traffic of one connection to the list service to changes, and records the
 // placements of the listed endpoints. An endpoint that is missing from a full list counts as gone.
-func (e *evidence) readList(changes []listChange, placements placements, pieces []link.Passed) ([]listChange, error) {
+func (e *evidence) readList(changes []listChange, placements placements, pieces []link.Transfer) ([]listChange, error) {
 	listed := map[control.EndpointID]bool{}
 	for _, l := range changes {
 		listed[l.endpoint] = true
@@ -174,7 +174,7 @@
 }
 
 // readStream adds the hello, the welcome, the messages and their confirmations in the traffic of one stream to s.
-func (e *evidence) readStream(s *observedStream, pieces []link.Passed) error {
+func (e *evidence) readStream(s *observedStream, pieces []link.Transfer) error {
 	blocks, scan := runtime.NewBlockReader(1<<24), runtime.NewScanner(runtime.StreamBounds)
 	byNumber := map[uint64]*observedMessage{}
 	for _, p := range pieces {
--- a/lab/link/link.go
+++ b/lab/link/link.go
@@ -17,8 +17,8 @@
 	Down
 )
 
-// Passed is a piece of a connection's bytes, or with none its end.
-type Passed struct {
+// Transfer is a piece of a connection's bytes, or with none its end.
+type Transfer struct {
 	Link      string
 	Conn      int // numbered within the tap
 	Direction Direction
@@ -33,13 +33,13 @@
 	mu    sync.Mutex
 	from  time.Time
 	conns int
-	list  []Passed
+	list  []Transfer
 }
 
 // NewTap begins a tap; times count from the given one.
 func NewTap(from time.Time) *Tap { return &Tap{from: from} }
 
-func (t *Tap) keep(p Passed) {
+func (t *Tap) keep(p Transfer) {
 	t.mu.Lock()
 	t.list = append(t.list, p)
 	t.mu.Unlock()
@@ -48,10 +48,10 @@
 func (t *Tap) now() time.Duration { return time.Since(t.from) }
 
 // All returns what passed, in the order in which it was handed on.
-func (t *Tap) All() []Passed {
+func (t *Tap) All() []Transfer {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return append([]Passed(nil), t.list...)
+	return append([]Transfer(nil), t.list...)
 }
 
 // Way is how one direction of a link is: a delay drawn for each piece, kept in order.
@@ -153,7 +153,7 @@
 	l.mu.Lock()
 	delete(l.open, r)
 	l.mu.Unlock()
-	l.tap.keep(Passed{Link: l.name, Conn: id, Came: l.tap.now(), Gone: l.tap.now(), End: true})
+	l.tap.keep(Transfer{Link: l.name, Conn: id, Came: l.tap.now(), Gone: l.tap.now(), End: true})
 }
 
 // piece waits to be handed on.
@@ -195,7 +195,7 @@
 		if _, err := to.Write(p.data); err != nil {
 			break
 		}
-		l.tap.keep(Passed{Link: l.name, Conn: id, Direction: d, Came: p.came, Gone: l.tap.now(), Data: p.data})
+		l.tap.keep(Transfer{Link: l.name, Conn: id, Direction: d, Came: p.came, Gone: l.tap.now(), Data: p.data})
 	}
 	r.close()
 	for range pieces { // the reader ends with its side
