--- a/lab/check.go
+++ b/lab/check.go
@@ -200,7 +200,7 @@
 					s.hello = b
 				case runtime.Confirmation:
 					if m := byNumber[b.Number]; m != nil && m.confirmed < 0 {
-						m.confirmed, m.reapplied = p.Came, b.Duplicate
+						m.confirmed, m.reapplied = p.ReceivedAt, b.Duplicate
 					}
 				}
 			}
@@ -226,7 +226,7 @@
 					if err != nil {
 						return err
 					}
-					seen := &observedMessage{Message: m, sent: p.Came, received: p.Gone, confirmed: -1}
+					seen := &observedMessage{Message: m, sent: p.ReceivedAt, received: p.Gone, confirmed: -1}
 					seen.decided = time.UnixMicro(int64(m.Run)).Sub(e.start) + m.CreatedAt
 					byNumber[m.Number] = seen
 					s.messages = append(s.messages, seen)
--- a/lab/links_test.go
+++ b/lab/links_test.go
@@ -200,7 +200,7 @@
 			time.Sleep(100 * time.Millisecond)
 			received := false
 			for _, p := range f.tap.All() {
-				received = received || p.Direction == link.Up && p.Came >= begin && strings.HasPrefix(p.Link,
+				received = received || p.Direction == link.Up && p.ReceivedAt >= begin && strings.HasPrefix(p.Link,
 					"stream 2 ") && strings.HasPrefix(string(p.Data), "sums ")
 			}
 			if !received {
