--- a/lab/check.go
+++ b/lab/check.go
@@ -156,7 +156,7 @@
 				if entry.Started > 0 {
 					started = time.UnixMilli(entry.Started).Sub(e.start)
 				}
-				changes = append(changes, listChange{p.Gone, entry.Endpoint, mode, started})
+				changes = append(changes, listChange{p.ForwardedAt, entry.Endpoint, mode, started})
 				if inUpdate[entry.Endpoint], listed[entry.Endpoint] = true, true; mode != control.Gone {
 					placements[entry.Endpoint] = placement{entry.Zone, entry.Pack}
 				}
@@ -164,7 +164,7 @@
 			if update.Kind == "full" {
 				for id := range listed {
 					if !inUpdate[id] {
-						changes = append(changes, listChange{p.Gone, id, control.Gone, 0})
+						changes = append(changes, listChange{p.ForwardedAt, id, control.Gone, 0})
 					}
 				}
 			}
@@ -180,7 +180,7 @@
 	for _, p := range pieces {
 		switch {
 		case p.End:
-			s.ended = p.Gone
+			s.ended = p.ForwardedAt
 		case p.Direction == link.Up:
 			blocks.Feed(p.Data)
 			for {
@@ -220,13 +220,13 @@
 					if err != nil {
 						return err
 					}
-					s.joined, s.run, s.resumed = p.Gone, w.Run, w.Resumed
+					s.joined, s.run, s.resumed = p.ForwardedAt, w.Run, w.Resumed
 				case c.HasPrefix("apply"):
 					m, err := runtime.ParseMessage(c)
 					if err != nil {
 						return err
 					}
-					seen := &observedMessage{Message: m, sent: p.ReceivedAt, received: p.Gone, confirmed: -1}
+					seen := &observedMessage{Message: m, sent: p.ReceivedAt, received: p.ForwardedAt, confirmed: -1}
 					seen.decided = time.UnixMicro(int64(m.Run)).Sub(e.start) + m.CreatedAt
 					byNumber[m.Number] = seen
 					s.messages = append(s.messages, seen)
--- a/lab/check_test.go
+++ b/lab/check_test.go
@@ -44,7 +44,7 @@
 
 // pass adds a piece of traffic on a connection that arrives without delay.
 func (c *scenario) pass(at time.Duration, name string, conn int, d link.Direction, text string) {
-	c.traffic = append(c.traffic, link.Transfer{Link: name, Conn: conn, Direction: d, ReceivedAt: at, Gone: at, Data: []byte(text)})
+	c.traffic = append(c.traffic, link.Transfer{Link: name, Conn: conn, Direction: d, ReceivedAt: at, ForwardedAt: at, Data: []byte(text)})
 }
 
 // list adds an update of the list service. The mode "started" stands for ready with a start at the time of the update.
--- a/lab/link/link.go
+++ b/lab/link/link.go
@@ -19,13 +19,13 @@
 
 // Transfer is a piece of a connection's bytes, or with none its end.
 type Transfer struct {
-	Link       string
-	Conn       int // numbered within the tap
-	Direction  Direction
-	ReceivedAt time.Duration // when the relay had it
-	Gone       time.Duration // when it was handed on
-	Data       []byte
-	End        bool
+	Link        string
+	Conn        int // numbered within the tap
+	Direction   Direction
+	ReceivedAt  time.Duration // when the relay had it
+	ForwardedAt time.Duration // when it was handed on
+	Data        []byte
+	End         bool
 }
 
 // Tap keeps what passes the links of a day.
@@ -153,7 +153,7 @@
 	l.mu.Lock()
 	delete(l.open, r)
 	l.mu.Unlock()
-	l.tap.keep(Transfer{Link: l.name, Conn: id, ReceivedAt: l.tap.now(), Gone: l.tap.now(), End: true})
+	l.tap.keep(Transfer{Link: l.name, Conn: id, ReceivedAt: l.tap.now(), ForwardedAt: l.tap.now(), End: true})
 }
 
 // piece waits to be handed on.
@@ -195,7 +195,7 @@
 		if _, err := to.Write(p.data); err != nil {
 			break
 		}
-		l.tap.keep(Transfer{Link: l.name, Conn: id, Direction: d, ReceivedAt: p.came, Gone: l.tap.now(), Data: p.data})
+		l.tap.keep(Transfer{Link: l.name, Conn: id, Direction: d, ReceivedAt: p.came, ForwardedAt: l.tap.now(), Data: p.data})
 	}
 	r.close()
 	for range pieces { // the reader ends with its side
--- a/lab/link/memory.go
+++ b/lab/link/memory.go
@@ -355,7 +355,7 @@
 	}
 	e.mu.Unlock()
 	if taken && e.road != nil {
-		e.m.tap.keep(Transfer{Link: e.road.Name, Conn: e.id, Direction: 1 - e.direction, ReceivedAt: p.came, Gone: e.now(), Data: p.data})
+		e.m.tap.keep(Transfer{Link: e.road.Name, Conn: e.id, Direction: 1 - e.direction, ReceivedAt: p.came, ForwardedAt: e.now(), Data: p.data})
 	}
 	e.turn()
 }
@@ -417,7 +417,7 @@
 		e.road.mu.Lock()
 		delete(e.road.ends, e)
 		e.road.mu.Unlock()
-		e.m.tap.keep(Transfer{Link: e.road.Name, Conn: e.id, ReceivedAt: e.now(), Gone: e.now(), End: true})
+		e.m.tap.keep(Transfer{Link: e.road.Name, Conn: e.id, ReceivedAt: e.now(), ForwardedAt: e.now(), End: true})
 	}
 	if first && ended != nil {
 		ended()
