--- a/lab/link/link.go
+++ b/lab/link/link.go
@@ -47,8 +47,8 @@
 
 func (t *Tap) now() time.Duration { return time.Since(t.from) }
 
-// All returns what passed, in the order in which it was handed on.
-func (t *Tap) All() []Transfer {
+// Transfers returns what passed, in the order in which it was handed on.
+func (t *Tap) Transfers() []Transfer {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return append([]Transfer(nil), t.list...)
--- a/lab/links_test.go
+++ b/lab/links_test.go
@@ -140,7 +140,7 @@
 
 // helloStreams returns the link and connection of every stream on which a hello was sent so far.
 func (f *simFleet) helloStreams() (out []string) {
-	for _, p := range f.tap.All() {
+	for _, p := range f.tap.Transfers() {
 		if p.Direction == link.Up && strings.HasPrefix(string(p.Data), "hello ") {
 			out = append(out, fmt.Sprint(p.Link, " ", p.Conn))
 		}
@@ -177,7 +177,7 @@
 		withSimFleet(t, variant{}, func(f *simFleet) {
 			f.pilots[0].Stop()
 			redirected := 0
-			for _, p := range f.tap.All() {
+			for _, p := range f.tap.Transfers() {
 				if p.Direction == link.Down && strings.HasPrefix(string(p.Data), "away ") {
 					redirected++
 				}
@@ -199,7 +199,7 @@
 			f.proxies[2].Stop(context.Background())
 			time.Sleep(100 * time.Millisecond)
 			received := false
-			for _, p := range f.tap.All() {
+			for _, p := range f.tap.Transfers() {
 				received = received || p.Direction == link.Up && p.ReceivedAt >= begin && strings.HasPrefix(p.Link,
 					"stream 2 ") && strings.HasPrefix(string(p.Data), "sums ")
 			}
--- a/lab/orders_test.go
+++ b/lab/orders_test.go
@@ -298,7 +298,7 @@
 // check returns the violations so far. It does not check the effects of ops.
 func (f *simFleet) check() []Violation {
 	e := &evidence{service: &f.day.Service, limits: &f.day.Limits, channel: &f.day.Channel, start: f.ledger.From(),
-		traffic:  f.tap.All(),
+		traffic:  f.tap.Transfers(),
 		arrivals: f.ledger.Arrivals(), coldCrashes: f.ledger.Crashes(), mixups: f.ledger.MixUps(), end: time.Since(f.ledger.From())}
 	h, err := e.reconstruct(2)
 	if err != nil {
@@ -370,7 +370,7 @@
 		violations, lastEvent = f.check(), "the end"
 		if *orderFlag != "" || v.rule > 0 {
 			t.Logf("%d arrivals, %d effects, %d cold nodes failed, %d pieces of traffic", len(f.ledger.Arrivals()),
-				len(f.ledger.Effects()), len(f.ledger.Crashes()), len(f.tap.All()))
+				len(f.ledger.Effects()), len(f.ledger.Crashes()), len(f.tap.Transfers()))
 			for _, p := range f.proxies {
 				t.Log(p.Info(), p.Stat())
 			}
--- a/lab/records_test.go
+++ b/lab/records_test.go
@@ -72,7 +72,7 @@
 		}
 	}
 	e := &evidence{service: &d.Service, limits: &d.Limits, channel: &d.Channel, start: played.ledger.From(),
-		traffic: played.tap.All(), end: 1 << 50}
+		traffic: played.tap.Transfers(), end: 1 << 50}
 	h, err := e.reconstruct(len(played.pilots))
 	if err != nil {
 		t.Fatal(err)
--- a/lab/run.go
+++ b/lab/run.go
@@ -122,7 +122,7 @@
 // report checks the rules and computes the scores.
 func (f *fleet) report(s *loadGenerator, begin time.Time, start, until time.Duration, connections float64) (*Report, error) {
 	d := f.day
-	e := &evidence{service: &d.Service, limits: &d.Limits, channel: &d.Channel, start: f.ledger.From(), traffic: f.tap.All(),
+	e := &evidence{service: &d.Service, limits: &d.Limits, channel: &d.Channel, start: f.ledger.From(), traffic: f.tap.Transfers(),
 		arrivals: f.ledger.Arrivals(), effects: f.ledger.Effects(), ops: s.ops, coldCrashes: f.ledger.Crashes(),
 		mixups: f.ledger.MixUps(), end: until}
 	h, err := e.reconstruct(len(f.pilots))
--- a/pilot/pilot_test.go
+++ b/pilot/pilot_test.go
@@ -318,7 +318,7 @@
 
 func passed(tap *link.Tap, d link.Direction) string {
 	var b strings.Builder
-	for _, p := range tap.All() {
+	for _, p := range tap.Transfers() {
 		if p.Direction == d {
 			b.Write(p.Data)
 		}
