--- a/lab/fleet.go
+++ b/lab/fleet.go
@@ -200,7 +200,7 @@
 
 // delay returns the delay function of one direction of a link between zones a and b. extra is the mean of an additional
 // random delay.
-func (f *fleet) delay(a, b int, extra files.Duration, seed uint64) link.Way {
+func (f *fleet) delay(a, b int, extra files.Duration, seed uint64) link.Delay {
 	base := f.day.Net.Same.AsDuration()
 	if a != b {
 		base = f.day.Net.Cross.AsDuration()
--- a/lab/link/link.go
+++ b/lab/link/link.go
@@ -54,8 +54,8 @@
 	return append([]Transfer(nil), t.list...)
 }
 
-// Way is how one direction of a link is: a delay drawn for each piece, kept in order.
-type Way func() time.Duration
+// Delay is how one direction of a link is: a delay drawn for each piece, kept in order.
+type Delay func() time.Duration
 
 // Link is a relay to one address.
 type Link struct {
@@ -63,7 +63,7 @@
 	target string
 	ln     net.Listener
 	tap    *Tap
-	ways   [2]Way
+	ways   [2]Delay
 	lost   [2]atomic.Bool // this direction swallows what comes
 	refuse atomic.Bool    // no new connections
 	mu     sync.Mutex
@@ -88,12 +88,12 @@
 }
 
 // Open listens on a free loopback port and relays to the target.
-func Open(name, target string, tap *Tap, up, down Way) (*Link, error) {
+func Open(name, target string, tap *Tap, up, down Delay) (*Link, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	l := &Link{name: name, target: target, ln: ln, tap: tap, ways: [2]Way{up, down}, open: map[*relay]bool{}}
+	l := &Link{name: name, target: target, ln: ln, tap: tap, ways: [2]Delay{up, down}, open: map[*relay]bool{}}
 	l.done.Add(1)
 	go l.accept()
 	return l, nil
--- a/lab/link/memory.go
+++ b/lab/link/memory.go
@@ -32,7 +32,7 @@
 type Road struct {
 	Name   string
 	Target string
-	Ways   [2]Way
+	Ways   [2]Delay
 	Alter  func(d Direction, b []byte) []byte // may be nil: what a piece becomes on its way
 
 	mu    sync.Mutex
--- a/lab/orders_test.go
+++ b/lab/orders_test.go
@@ -159,14 +159,14 @@
 	f.pilots, f.proxies = make([]*pilot.Pilot, 2), make([]*proxy.Proxy, 3)
 	for j := range f.pilots {
 		f.lists[j] = &link.Road{Name: fmt.Sprintf("list %d", j), Target: "10.0.3.1:80",
-			Ways: [2]link.Way{steady(time.Millisecond), steady(time.Duration(5+20*j) * time.Millisecond)}}
+			Ways: [2]link.Delay{steady(time.Millisecond), steady(time.Duration(5+20*j) * time.Millisecond)}}
 		f.net.Road(fmt.Sprintf("list-%d", j), f.lists[j])
 		f.startPilot(j)
 	}
 	for i := range f.proxies {
 		for j := range f.pilots {
 			hears := time.Duration(7+i) * time.Millisecond
-			r := &link.Road{Name: fmt.Sprintf("stream %d %d", i, j), Target: f.pilots[j].Address(), Ways: [2]link.Way{
+			r := &link.Road{Name: fmt.Sprintf("stream %d %d", i, j), Target: f.pilots[j].Address(), Ways: [2]link.Delay{
 				func() time.Duration { return hears + time.Duration(f.reportDelay.Load()) },
 				steady(time.Duration(40+i) * time.Millisecond)}}
 			if v.alter != nil {
@@ -181,7 +181,7 @@
 }
 
 // steady returns a constant delay.
-func steady(d time.Duration) link.Way { return func() time.Duration { return d } }
+func steady(d time.Duration) link.Delay { return func() time.Duration { return d } }
 
 // alterMessages applies the variant's alter function to the pilot messages in b; it returns b unchanged for the other
 // direction.
