--- a/lab/link/memory.go
+++ b/lab/link/memory.go
@@ -20,16 +20,16 @@
 	tap    *Tap
 	next   int
 	serves map[string]*memoryServer
-	roads  map[string]*Road
+	roads  map[string]*MemoryLink
 }
 
 // NewMemory makes a net whose roads keep what passes in a tap.
 func NewMemory(tap *Tap) *Memory {
-	return &Memory{tap: tap, serves: map[string]*memoryServer{}, roads: map[string]*Road{}}
+	return &Memory{tap: tap, serves: map[string]*memoryServer{}, roads: map[string]*MemoryLink{}}
 }
 
-// Road is a way to an address. Its fields but ends are set before it is dialled.
-type Road struct {
+// MemoryLink is a way to an address. Its fields but ends are set before it is dialled.
+type MemoryLink struct {
 	Name   string
 	Target string
 	Ways   [2]Delay
@@ -43,7 +43,7 @@
 }
 
 // Road opens a way at an address of its own.
-func (m *Memory) Road(address string, r *Road) {
+func (m *Memory) Road(address string, r *MemoryLink) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	r.ends = map[*memoryEnd]bool{}
@@ -51,7 +51,7 @@
 }
 
 // Break closes its connections; new ones are taken.
-func (r *Road) Break() {
+func (r *MemoryLink) Break() {
 	r.mu.Lock()
 	var all []*memoryEnd
 	for e := range r.ends {
@@ -65,21 +65,21 @@
 }
 
 // BreakWithin lets so many bytes more pass in a direction and breaks its connections then, in the midst of a line or not.
-func (r *Road) BreakWithin(d Direction, bytes int) {
+func (r *MemoryLink) BreakWithin(d Direction, bytes int) {
 	r.mu.Lock()
 	r.short[d] = bytes
 	r.mu.Unlock()
 }
 
 // Lose swallows one direction.
-func (r *Road) Lose(d Direction) {
+func (r *MemoryLink) Lose(d Direction) {
 	r.mu.Lock()
 	r.lost[d] = true
 	r.mu.Unlock()
 }
 
 // Cut has it swallow everything and refuse what dials, until Heal; nobody is told, so that its connections are half open.
-func (r *Road) Cut(cut bool) {
+func (r *MemoryLink) Cut(cut bool) {
 	r.mu.Lock()
 	r.cut = cut
 	r.mu.Unlock()
@@ -209,7 +209,7 @@
 type memoryEnd struct {
 	net.Conn   // none
 	m          *Memory
-	road       *Road
+	road       *MemoryLink
 	id         int
 	direction  Direction // in which its owner writes
 	remote     string
@@ -233,7 +233,7 @@
 	terminated bool
 }
 
-func newEnd(m *Memory, r *Road, id int, d Direction, remote string) *memoryEnd {
+func newEnd(m *Memory, r *MemoryLink, id int, d Direction, remote string) *memoryEnd {
 	return &memoryEnd{m: m, road: r, id: id, direction: d, remote: remote, active: true, came: make(chan struct{})}
 }
 
--- a/lab/orders_test.go
+++ b/lab/orders_test.go
@@ -74,9 +74,9 @@
 	list        *labroster.Server
 	pilots      []*pilot.Pilot
 	proxies     []*proxy.Proxy
-	routes      [3][2]*link.Road // by proxy and pilot
-	lists       [2]*link.Road    // from the list service to the pilots
-	reportDelay atomic.Int64     // additional delay of proxies' reports and confirmations, in nanoseconds
+	routes      [3][2]*link.MemoryLink // by proxy and pilot
+	lists       [2]*link.MemoryLink    // from the list service to the pilots
+	reportDelay atomic.Int64           // additional delay of proxies' reports and confirmations, in nanoseconds
 	generator   *loadGenerator
 	stop        chan struct{}
 	loadDone    chan struct{} // closed once all ops have ended
@@ -158,7 +158,7 @@
 	}
 	f.pilots, f.proxies = make([]*pilot.Pilot, 2), make([]*proxy.Proxy, 3)
 	for j := range f.pilots {
-		f.lists[j] = &link.Road{Name: fmt.Sprintf("list %d", j), Target: "10.0.3.1:80",
+		f.lists[j] = &link.MemoryLink{Name: fmt.Sprintf("list %d", j), Target: "10.0.3.1:80",
 			Ways: [2]link.Delay{steady(time.Millisecond), steady(time.Duration(5+20*j) * time.Millisecond)}}
 		f.net.Road(fmt.Sprintf("list-%d", j), f.lists[j])
 		f.startPilot(j)
@@ -166,7 +166,7 @@
 	for i := range f.proxies {
 		for j := range f.pilots {
 			hears := time.Duration(7+i) * time.Millisecond
-			r := &link.Road{Name: fmt.Sprintf("stream %d %d", i, j), Target: f.pilots[j].Address(), Ways: [2]link.Delay{
+			r := &link.MemoryLink{Name: fmt.Sprintf("stream %d %d", i, j), Target: f.pilots[j].Address(), Ways: [2]link.Delay{
 				func() time.Duration { return hears + time.Duration(f.reportDelay.Load()) },
 				steady(time.Duration(40+i) * time.Millisecond)}}
 			if v.alter != nil {
@@ -275,7 +275,7 @@
 }
 
 // route returns the route to the pilot of proxy i's own zone.
-func (f *simFleet) route(i int) *link.Road { return f.routes[i][i%2] }
+func (f *simFleet) route(i int) *link.MemoryLink { return f.routes[i][i%2] }
 
 // load starts a steady load of ops on all proxies for the given time.
 func (f *simFleet) load(span time.Duration) {
--- a/lab/repeats_test.go
+++ b/lab/repeats_test.go
@@ -71,9 +71,9 @@
 		d.Service.CrossZonePrice = c.crossZone
 		d.Service.OpTypes[tallyType].Group, d.Service.OpTypes[tallyType].DedupWindow = c.group, files.Duration(repeatWindow)
 	}}, func(f *simFleet) {
-		routes := [2]*link.Road{}
+		routes := [2]*link.MemoryLink{}
 		for try, proxy := range []int{c.first, c.second} {
-			routes[try] = &link.Road{Name: fmt.Sprint("client ", try), Target: f.generator.targets[proxy]}
+			routes[try] = &link.MemoryLink{Name: fmt.Sprint("client ", try), Target: f.generator.targets[proxy]}
 			f.net.Road(fmt.Sprint("client-", try), routes[try])
 		}
 		if c.before != nil {
