--- a/lab/link/memory.go
+++ b/lab/link/memory.go
@@ -42,8 +42,8 @@
 	ends  map[*memoryEnd]bool
 }
 
-// Road opens a way at an address of its own.
-func (m *Memory) Road(address string, r *MemoryLink) {
+// AddLink opens a way at an address of its own.
+func (m *Memory) AddLink(address string, r *MemoryLink) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	r.ends = map[*memoryEnd]bool{}
--- a/lab/link/memory_test.go
+++ b/lab/link/memory_test.go
@@ -74,7 +74,7 @@
 		t.Fatal(err)
 	}
 	defer server.Stop(context.Background())
-	net.Road("road", &MemoryLink{Name: "road", Target: "10.0.0.1:80"}) // where each write comes as one piece
+	net.AddLink("road", &MemoryLink{Name: "road", Target: "10.0.0.1:80"}) // where each write comes as one piece
 	c, err := net.Dial("tcp", "road", time.Second)
 	if err != nil {
 		t.Fatal(err)
@@ -117,7 +117,7 @@
 		t.Fatal(err)
 	}
 	defer server.Stop(context.Background())
-	net.Road("road", &MemoryLink{Name: "road", Target: "10.0.0.1:80"})
+	net.AddLink("road", &MemoryLink{Name: "road", Target: "10.0.0.1:80"})
 	const dials = 2000
 	lost := 0
 	for range dials {
--- a/lab/orders_test.go
+++ b/lab/orders_test.go
@@ -160,7 +160,7 @@
 	for j := range f.pilots {
 		f.lists[j] = &link.MemoryLink{Name: fmt.Sprintf("list %d", j), Target: "10.0.3.1:80",
 			Ways: [2]link.Delay{steady(time.Millisecond), steady(time.Duration(5+20*j) * time.Millisecond)}}
-		f.net.Road(fmt.Sprintf("list-%d", j), f.lists[j])
+		f.net.AddLink(fmt.Sprintf("list-%d", j), f.lists[j])
 		f.startPilot(j)
 	}
 	for i := range f.proxies {
@@ -173,7 +173,7 @@
 				r.Alter = f.alterMessages
 			}
 			f.routes[i][j] = r
-			f.net.Road(fmt.Sprintf("stream-%d-%d", i, j), r)
+			f.net.AddLink(fmt.Sprintf("stream-%d-%d", i, j), r)
 		}
 		f.startProxy(i)
 	}
--- a/lab/repeats_test.go
+++ b/lab/repeats_test.go
@@ -74,7 +74,7 @@
 		routes := [2]*link.MemoryLink{}
 		for try, proxy := range []int{c.first, c.second} {
 			routes[try] = &link.MemoryLink{Name: fmt.Sprint("client ", try), Target: f.generator.targets[proxy]}
-			f.net.Road(fmt.Sprint("client-", try), routes[try])
+			f.net.AddLink(fmt.Sprint("client-", try), routes[try])
 		}
 		if c.before != nil {
 			c.before(f)
