--- a/lab/link/memory.go
+++ b/lab/link/memory.go
@@ -32,7 +32,7 @@
 type MemoryLink struct {
 	Name   string
 	Target string
-	Ways   [2]Delay
+	Delays [2]Delay
 	Alter  func(d Direction, b []byte) []byte // may be nil: what a piece becomes on its way
 
 	mu    sync.Mutex
@@ -305,8 +305,8 @@
 // send puts a piece on the way to the peer; one without data is the connection's end.
 func (e *memoryEnd) send(p piece) {
 	delay := time.Duration(0)
-	if e.road != nil && e.road.Ways[e.direction] != nil {
-		delay = e.road.Ways[e.direction]()
+	if e.road != nil && e.road.Delays[e.direction] != nil {
+		delay = e.road.Delays[e.direction]()
 	}
 	e.sendAfter(delay, p)
 }
--- a/lab/orders_test.go
+++ b/lab/orders_test.go
@@ -159,14 +159,14 @@
 	f.pilots, f.proxies = make([]*pilot.Pilot, 2), make([]*proxy.Proxy, 3)
 	for j := range f.pilots {
 		f.lists[j] = &link.MemoryLink{Name: fmt.Sprintf("list %d", j), Target: "10.0.3.1:80",
-			Ways: [2]link.Delay{steady(time.Millisecond), steady(time.Duration(5+20*j) * time.Millisecond)}}
+			Delays: [2]link.Delay{steady(time.Millisecond), steady(time.Duration(5+20*j) * time.Millisecond)}}
 		f.net.AddLink(fmt.Sprintf("list-%d", j), f.lists[j])
 		f.startPilot(j)
 	}
 	for i := range f.proxies {
 		for j := range f.pilots {
 			hears := time.Duration(7+i) * time.Millisecond
-			r := &link.MemoryLink{Name: fmt.Sprintf("stream %d %d", i, j), Target: f.pilots[j].Address(), Ways: [2]link.Delay{
+			r := &link.MemoryLink{Name: fmt.Sprintf("stream %d %d", i, j), Target: f.pilots[j].Address(), Delays: [2]link.Delay{
 				func() time.Duration { return hears + time.Duration(f.reportDelay.Load()) },
 				steady(time.Duration(40+i) * time.Millisecond)}}
 			if v.alter != nil {
