--- a/lab/link/memory.go
+++ b/lab/link/memory.go
@@ -64,8 +64,8 @@
 	}
 }
 
-// BreakWithin lets so many bytes more pass in a direction and breaks its connections then, in the midst of a line or not.
-func (r *MemoryLink) BreakWithin(d Direction, bytes int) {
+// BreakAfter lets so many bytes more pass in a direction and breaks its connections then, in the midst of a line or not.
+func (r *MemoryLink) BreakAfter(d Direction, bytes int) {
 	r.mu.Lock()
 	r.short[d] = bytes
 	r.mu.Unlock()
--- a/lab/links_test.go
+++ b/lab/links_test.go
@@ -68,20 +68,20 @@
 		"break between apply and confirmation": func(f *simFleet) {
 			for i := range 6 {
 				f.list.Set(f.entry(0, "ready", float64(2+i)))
-				f.route(0).BreakWithin(link.Up, 1+i)
+				f.route(0).BreakAfter(link.Up, 1+i)
 				time.Sleep(1500 * time.Millisecond)
 			}
 		},
 		"break in a line to the proxy": func(f *simFleet) {
 			for i := range 30 {
-				f.route(i%3).BreakWithin(link.Down, 1+7*i)
+				f.route(i%3).BreakAfter(link.Down, 1+7*i)
 				f.list.Set(f.entry(i%4, "ready", float64(1+i%5)))
 				time.Sleep(700 * time.Millisecond)
 			}
 		},
 		"break in a block to the pilot": func(f *simFleet) {
 			for i := range 30 {
-				f.route(i%3).BreakWithin(link.Up, 1+7*i)
+				f.route(i%3).BreakAfter(link.Up, 1+7*i)
 				f.list.Set(f.entry(i%4, "ready", float64(1+i%5)))
 				time.Sleep(700 * time.Millisecond)
 			}
@@ -89,12 +89,12 @@
 		"break during a join": func(f *simFleet) {
 			for i := range 30 {
 				f.route(0).Break()
-				f.route(0).BreakWithin(link.Direction(i%2), 1+5*i)
+				f.route(0).BreakAfter(link.Direction(i%2), 1+5*i)
 				time.Sleep(600 * time.Millisecond)
 			}
 		},
 		"break during a drain": func(f *simFleet) {
-			f.route(0).BreakWithin(link.Down, 60)
+			f.route(0).BreakAfter(link.Down, 60)
 			eventActions["drain"](f)
 		},
 		"half open while the pilot stops": func(f *simFleet) {
--- a/lab/orders_test.go
+++ b/lab/orders_test.go
@@ -51,7 +51,7 @@
 	// proxies' reports and confirmations are delayed from now on
 	"late": func(f *simFleet) { f.reportDelay.Store(int64(1500 * time.Millisecond)) },
 	// the connection breaks in the middle of the next line
-	"broken": func(f *simFleet) { f.route(0).BreakWithin(link.Down, 40) },
+	"broken": func(f *simFleet) { f.route(0).BreakAfter(link.Down, 40) },
 	"rejoin": func(f *simFleet) { f.proxies[1].Kill(); f.startProxy(1) }, // one proxy restarts without any state
 	"restart": func(f *simFleet) { // the pilot that most proxies are joined to restarts
 		f.pilots[0].Kill()
--- a/lab/repeats_test.go
+++ b/lab/repeats_test.go
@@ -84,7 +84,7 @@
 		var writes []*op
 		for i := range repeatedWrites {
 			writes = append(writes, &op{number: uint64(firstRepeated + i), opType: tallyType, tenant: 1 + i, work: 2 * time.Millisecond})
-			routes[0].BreakWithin(link.Down, 1)
+			routes[0].BreakAfter(link.Down, 1)
 			if status := f.send(writes[i], "client-0"); status != 0 {
 				f.t.Errorf("write %d: the response to the first try was not lost: %d", i, status)
 			}
