--- a/lab/orders_test.go
+++ b/lab/orders_test.go
@@ -153,7 +153,7 @@
 		}
 	}
 	var err error
-	if f.list, err = labroster.StartOver(f.net, "10.0.3.1:80", entries); err != nil {
+	if f.list, err = labroster.StartOnNet(f.net, "10.0.3.1:80", entries); err != nil {
 		t.Fatal(err)
 	}
 	f.pilots, f.proxies = make([]*pilot.Pilot, 2), make([]*proxy.Proxy, 3)
--- a/lab/roster/roster.go
+++ b/lab/roster/roster.go
@@ -36,11 +36,11 @@
 
 // Start listens and serves a first list.
 func Start(address string, entries []list.Entry) (*Server, error) {
-	return StartOver(nil, address, entries)
+	return StartOnNet(nil, address, entries)
 }
 
-// StartOver does so over a net; nil: sockets.
-func StartOver(over stream.Net, address string, entries []list.Entry) (*Server, error) {
+// StartOnNet does so over a net; nil: sockets.
+func StartOnNet(over stream.Net, address string, entries []list.Entry) (*Server, error) {
 	s := &Server{version: 1, entries: map[control.EndpointID]list.Entry{}, watchers: map[*watcher]bool{}}
 	for _, e := range entries {
 		s.entries[e.Endpoint] = e
--- a/roster/roster_test.go
+++ b/roster/roster_test.go
@@ -84,7 +84,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			net, dials := link.NewMemory(nil), atomic.Int64{}
 			if answers {
-				s, err := stand.StartOver(net, "list:80", []roster.Entry{entry(1, "ready")})
+				s, err := stand.StartOnNet(net, "list:80", []roster.Entry{entry(1, "ready")})
 				if err != nil {
 					t.Fatal(err)
 				}
