--- a/lab/check_test.go
+++ b/lab/check_test.go
@@ -315,7 +315,7 @@
 	t.Parallel()
 	d := shortDay(t)
 	d.Troubles = []files.Trouble{{Kind: "balancer_crash", At: files.Duration(sec), Length: files.Duration(sec / 2), Extra: 1}}
-	o := Options{Log: slog.New(slog.DiscardHandler), beforeLoad: func(f *fleet) { f.list.Down(true) }}
+	o := Options{Log: slog.New(slog.DiscardHandler), beforeLoad: func(f *fleet) { f.list.SetDown(true) }}
 	r, err := playDay(t, d, o)
 	if err != nil {
 		t.Fatal(err)
--- a/lab/roster/roster.go
+++ b/lab/roster/roster.go
@@ -95,8 +95,8 @@
 	}
 }
 
-// Down makes it unreachable, or reachable again.
-func (s *Server) Down(down bool) {
+// SetDown makes it unreachable, or reachable again.
+func (s *Server) SetDown(down bool) {
 	s.mu.Lock()
 	s.down = down
 	var drop []*stream.Conn
--- a/roster/roster_test.go
+++ b/roster/roster_test.go
@@ -139,18 +139,18 @@
 	s.Set(entry(1, "draining"))
 	s.Set(entry(1, "gone"), entry(3, "ready"))
 	f.until(t, "map[2:ready 3:ready]")
-	s.Down(true)
+	s.SetDown(true)
 	for i := range 10 {
 		s.Set(entry(10+i, "ready"), entry(10+i-1, "gone"))
 	}
 	c.Fetch() // fails, or finds the stream already gone: either way it is told so
-	s.Down(false)
+	s.SetDown(false)
 	f.until(t, "map[2:ready 3:ready 19:ready]")
-	s.Down(true)
+	s.SetDown(true)
 	for i := range 100 { // more than the service keeps
 		s.Set(entry(100+i, "ready"), entry(100+i-1, "gone"))
 	}
-	s.Down(false)
+	s.SetDown(false)
 	f.until(t, "map[2:ready 3:ready 19:ready 199:ready]")
 	f.mu.Lock()
 	defer f.mu.Unlock()
