--- a/lab/platform/agent.go
+++ b/lab/platform/agent.go
@@ -93,8 +93,8 @@
 	}
 }
 
-// Whole tells whether it asks for the whole list.
-func (c *Call) Whole() bool { return c.Target == "/api/targets" }
+// IsFullRequest tells whether it asks for the whole list.
+func (c *Call) IsFullRequest() bool { return c.Target == "/api/targets" }
 
 // Bytes are an answer on the wire.
 func (c *Call) Bytes(answer Answer) []byte {
