--- a/cmd/vetchdoor/platform_test.go
+++ b/cmd/vetchdoor/platform_test.go
@@ -65,7 +65,7 @@
 	all := func(is func(open map[string]float64) bool) func() bool {
 		return func() bool {
 			for _, x := range proxies {
-				if !is(x.Open("read")) {
+				if !is(x.AvailableEndpoints("read")) {
 					return false
 				}
 			}
--- a/lab/platform/peer.go
+++ b/lab/platform/peer.go
@@ -184,8 +184,8 @@
 // Drop ends its stream.
 func (p *Proxy) Drop() { p.peer.Close() }
 
-// Open are the endpoints that it may pick for an op type.
-func (p *Proxy) Open(opType string) map[string]float64 {
+// AvailableEndpoints are the endpoints that it may pick for an op type.
+func (p *Proxy) AvailableEndpoints(opType string) map[string]float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	open := map[string]float64{}
