--- a/lab/receiver/receiver.go
+++ b/lab/receiver/receiver.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// Trouble is how a receiver behaves; the zero value reads all as it comes.
-type Trouble struct {
+// Faults is how a receiver behaves; the zero value reads all as it comes.
+type Faults struct {
 	Refuse  bool          // closes each connection at once
 	Stall   bool          // accepts, reads nothing
 	PerByte time.Duration // for each byte that it reads
@@ -23,7 +23,7 @@
 // Receiver is a running one.
 type Receiver struct {
 	mu      sync.Mutex
-	trouble Trouble
+	trouble Faults
 	got     []*Message
 	bad     []error
 	torn    int // frames that a connection ended in
@@ -65,7 +65,7 @@
 }
 
 // Set changes how it behaves, from now on and on connections that are open.
-func (r *Receiver) Set(t Trouble) {
+func (r *Receiver) Set(t Faults) {
 	r.mu.Lock()
 	r.trouble = t
 	close(r.changed)
