--- a/lab/receiver/receiver.go
+++ b/lab/receiver/receiver.go
@@ -64,8 +64,8 @@
 	return r.ln.Addr().String()
 }
 
-// Set changes how it behaves, from now on and on connections that are open.
-func (r *Receiver) Set(t Faults) {
+// SetFaults changes how it behaves, from now on and on connections that are open.
+func (r *Receiver) SetFaults(t Faults) {
 	r.mu.Lock()
 	r.trouble = t
 	close(r.changed)
--- a/syslog/sender_test.go
+++ b/syslog/sender_test.go
@@ -181,7 +181,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			r := listen(t, "tcp", "127.0.0.1:0", nil)
-			r.Set(trouble)
+			r.SetFaults(trouble)
 			s := begin(t, Config{Network: "tcp", Address: r.Address(), Buffer: 4000, Patient: 50 * time.Millisecond})
 			began := time.Now()
 			big := strings.Repeat("x", 800)
@@ -194,7 +194,7 @@
 			}
 			exact(t, s.Counts())
 			time.Sleep(300 * time.Millisecond)
-			r.Set(receiver.Faults{})
+			r.SetFaults(receiver.Faults{})
 			r.Break()
 			until(t, "sent", func() bool { return s.Counts().Waiting == 0 })
 			c := s.Counts()
@@ -228,14 +228,14 @@
 			for range rng.IntN(30) {
 				switch rng.IntN(6) {
 				case 0:
-					r.Set(receiver.Faults{Stall: true})
+					r.SetFaults(receiver.Faults{Stall: true})
 				case 1:
-					r.Set(receiver.Faults{CutAt: 1 + rng.IntN(2000)})
+					r.SetFaults(receiver.Faults{CutAt: 1 + rng.IntN(2000)})
 				case 2:
-					r.Set(receiver.Faults{Refuse: true})
+					r.SetFaults(receiver.Faults{Refuse: true})
 					r.Break()
 				case 3:
-					r.Set(receiver.Faults{})
+					r.SetFaults(receiver.Faults{})
 				default:
 					for range rng.IntN(300) {
 						severity := Severity(rng.IntN(8))
@@ -249,7 +249,7 @@
 				exact(t, s.Counts())
 			}
 			if rng.IntN(2) == 0 {
-				r.Set(receiver.Faults{})
+				r.SetFaults(receiver.Faults{})
 			}
 			s.Close()
 			c := s.Counts()
@@ -316,14 +316,14 @@
 	whole := len(numbered(7, Notice)) + 3
 	for cut := 1; cut <= 2*whole; cut++ {
 		r := listen(t, "tcp", "127.0.0.1:0", nil)
-		r.Set(receiver.Faults{CutAt: cut})
+		r.SetFaults(receiver.Faults{CutAt: cut})
 		s, err := Start(Config{Network: "tcp", Address: r.Address(), Patient: 50 * time.Millisecond}, quiet, uint64(cut), nil)
 		if err != nil {
 			t.Fatal(err)
 		}
 		s.Put(Notice, numbered(7, Notice))
 		until(t, "connected", func() bool { return s.Counts().Connects > 0 })
-		r.Set(receiver.Faults{})
+		r.SetFaults(receiver.Faults{})
 		for i := 8; ; i++ { // what a system took before it learnt of the reset is lost to us; the next one tells us
 			s.Put(Notice, numbered(i, Notice))
 			if got, _, _ := r.Got(); len(got) > 1 {
