--- a/lab/receiver/receiver.go
+++ b/lab/receiver/receiver.go
@@ -73,8 +73,8 @@
 	r.mu.Unlock()
 }
 
-// Break resets all connections.
-func (r *Receiver) Break() {
+// ResetConnections resets all connections.
+func (r *Receiver) ResetConnections() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for c := range r.conns {
--- a/syslog/sender_test.go
+++ b/syslog/sender_test.go
@@ -195,7 +195,7 @@
 			exact(t, s.Counts())
 			time.Sleep(300 * time.Millisecond)
 			r.SetFaults(receiver.Faults{})
-			r.Break()
+			r.ResetConnections()
 			until(t, "sent", func() bool { return s.Counts().Waiting == 0 })
 			c := s.Counts()
 			exact(t, c)
@@ -233,7 +233,7 @@
 					r.SetFaults(receiver.Faults{CutAt: 1 + rng.IntN(2000)})
 				case 2:
 					r.SetFaults(receiver.Faults{Refuse: true})
-					r.Break()
+					r.ResetConnections()
 				case 3:
 					r.SetFaults(receiver.Faults{})
 				default:
