--- a/cmd/vetchdoor/platform_limits_test.go
+++ b/cmd/vetchdoor/platform_limits_test.go
@@ -34,7 +34,7 @@
 	defer discovery.Close()
 	path := filepath.Join(t.TempDir(), "given.json")
 	write(t, path, map[string]any{"name": "n0", "listen": "127.0.0.1:0", "discovery": discovery.Address(), "seed": "8c1f30d27a5be964",
-		"known": discovery.Known(), "limits": map[string]any{"cores": 0.5, "memory_mb": 256, "sockets": 256},
+		"known": discovery.Snapshot(), "limits": map[string]any{"cores": 0.5, "memory_mb": 256, "sockets": 256},
 		"settings": json.RawMessage(platformSettings)})
 	t.Setenv("GOMAXPROCS", "4")
 	t.Setenv("GOGC", "100")
--- a/cmd/vetchdoor/platform_test.go
+++ b/cmd/vetchdoor/platform_test.go
@@ -37,7 +37,7 @@
 		found[i] = d
 	}
 	file := func(discovery string) map[string]any {
-		return map[string]any{"name": "n0", "listen": "127.0.0.1:0", "discovery": discovery, "seed": "8c1f30d27a5be964", "known": found[0].Known(),
+		return map[string]any{"name": "n0", "listen": "127.0.0.1:0", "discovery": discovery, "seed": "8c1f30d27a5be964", "known": found[0].Snapshot(),
 			"limits": map[string]any{"cores": 0.5, "memory_mb": 64, "sockets": 256}, "settings": json.RawMessage(platformSettings)}
 	}
 	path := filepath.Join(t.TempDir(), "given.json")
--- a/cmd/vetchdoor/soak_parts_test.go
+++ b/cmd/vetchdoor/soak_parts_test.go
@@ -140,7 +140,7 @@
 	}
 	at := s.at(7030)
 	s.platform = s.launch("platform", "platform", at, partEndsWithin, object{"name": "n0", "listen": at, "discovery": s.discovery.Address(), "seed": "8c1f30d27a5be964",
-		"known": s.discovery.Known(), "limits": object{"cores": 0.5, "memory_mb": 64, "sockets": 256}, "settings": json.RawMessage(platformSettings)})
+		"known": s.discovery.Snapshot(), "limits": object{"cores": 0.5, "memory_mb": 64, "sockets": 256}, "settings": json.RawMessage(platformSettings)})
 	s.platform.killedAt = pilotKilledAt
 }
 
--- a/lab/platform/discovery.go
+++ b/lab/platform/discovery.go
@@ -113,8 +113,8 @@
 	return d.calls
 }
 
-// Known is the list as a pilot may have held it.
-func (d *Discovery) Known() Answer {
+// Snapshot is the list as a pilot may have held it.
+func (d *Discovery) Snapshot() Answer {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.since(0, true)
