--- a/lab/link/memory.go
+++ b/lab/link/memory.go
@@ -71,8 +71,8 @@
 	r.mu.Unlock()
 }
 
-// Lose swallows one direction.
-func (r *MemoryLink) Lose(d Direction) {
+// DropDirection swallows one direction.
+func (r *MemoryLink) DropDirection(d Direction) {
 	r.mu.Lock()
 	r.lost[d] = true
 	r.mu.Unlock()
--- a/lab/links_test.go
+++ b/lab/links_test.go
@@ -55,8 +55,8 @@
 			}
 		},
 		"one direction lost": func(f *simFleet) {
-			f.route(0).Lose(link.Up)
-			f.route(1).Lose(link.Up)
+			f.route(0).DropDirection(link.Up)
+			f.route(1).DropDirection(link.Up)
 		},
 		"long idle": func(f *simFleet) {
 			time.Sleep(20 * time.Minute)
--- a/lab/orders_test.go
+++ b/lab/orders_test.go
@@ -350,8 +350,8 @@
 		for i, name := range events {
 			if v.losePushes && i == 1 {
 				for _, r := range f.routes {
-					r[0].Lose(link.Down)
-					r[1].Lose(link.Down)
+					r[0].DropDirection(link.Down)
+					r[1].DropDirection(link.Down)
 				}
 			}
 			eventActions[name](f)
--- a/lab/repeats_test.go
+++ b/lab/repeats_test.go
@@ -259,14 +259,14 @@
 // announceLastToOnePilot adds the last server to the list while the second pilot receives no list changes.
 func announceLastToOnePilot(f *simFleet) {
 	f.waitForHomePilots()
-	f.lists[1].Lose(link.Down)
+	f.lists[1].DropDirection(link.Down)
 	announceLast(f)
 }
 
 // restartProxyIsolated cuts the first proxy off from all pilots and restarts it.
 func restartProxyIsolated(f *simFleet) {
 	for _, r := range f.routes[0] {
-		r.Lose(link.Down)
+		r.DropDirection(link.Down)
 	}
 	f.proxies[0].Kill()
 	f.startProxy(0)
