--- a/lab/link/link.go
+++ b/lab/link/link.go
@@ -218,8 +218,8 @@
 	l.lost[Down].Store(true)
 }
 
-// Lose swallows one direction.
-func (l *Link) Lose(d Direction) { l.lost[d].Store(true) }
+// DropDirection swallows one direction.
+func (l *Link) DropDirection(d Direction) { l.lost[d].Store(true) }
 
 // Heal ends Cut and Lose. Connections that lost bytes are broken.
 func (l *Link) Heal() {
--- a/lab/trouble.go
+++ b/lab/trouble.go
@@ -101,7 +101,7 @@
 	"change_packs":  (*fleet).changePacks,
 	"frozen_list": func(f *fleet, t *files.Trouble) { // some pilots receive no more list changes, with the connection still open
 		for _, p := range f.pickPilots(t) {
-			f.during(t, func() { p.list.Lose(link.Down) }, func() { p.list.Heal(); p.list.Break() })
+			f.during(t, func() { p.list.DropDirection(link.Down) }, func() { p.list.Heal(); p.list.Break() })
 		}
 	},
 	"pilot_pause": func(f *fleet, t *files.Trouble) { // a pilot process is suspended and continues
@@ -124,7 +124,7 @@
 		}
 		for _, i := range f.pickProxies(t) {
 			for _, p := range f.pilots {
-				f.during(t, func() { p.links[i].Lose(d) }, p.links[i].Heal)
+				f.during(t, func() { p.links[i].DropDirection(d) }, p.links[i].Heal)
 			}
 		}
 	},
--- a/pilot/pilot_test.go
+++ b/pilot/pilot_test.go
@@ -271,7 +271,7 @@
 			change := []control.Order{control.PutLine{Table: 0, Endpoint: 0, Weight: 9}, control.Checkpoint{Number: 2}}
 			switch phase {
 			case "before":
-				r.link.Lose(link.Down)
+				r.link.DropDirection(link.Down)
 				r.order(change...)
 				r.until("sent", func() bool { return strings.Contains(r.ask("show info"), "\nMessages: 2\n") })
 				r.link.Heal()
@@ -290,7 +290,7 @@
 				r.until("applied", has("e0,UP,9"))
 				r.link.Break()
 			case "confirm lost":
-				r.link.Lose(link.Up)
+				r.link.DropDirection(link.Up)
 				r.order(change...)
 				r.until("applied", has("e0,UP,9"))
 				r.link.Heal()
