--- a/lab/link/memory.go
+++ b/lab/link/memory.go
@@ -30,10 +30,10 @@
 
 // MemoryLink is a way to an address. Its fields but ends are set before it is dialled.
 type MemoryLink struct {
-	Name   string
-	Target string
-	Delays [2]Delay
-	Alter  func(d Direction, b []byte) []byte // may be nil: what a piece becomes on its way
+	Name    string
+	Target  string
+	Delays  [2]Delay
+	Rewrite func(d Direction, b []byte) []byte // may be nil: what a piece becomes on its way
 
 	mu    sync.Mutex
 	cut   bool
@@ -255,8 +255,8 @@
 	if r := e.road; r != nil {
 		r.mu.Lock()
 		cut := r.cut || r.lost[e.direction]
-		if r.Alter != nil {
-			p = r.Alter(e.direction, p)
+		if r.Rewrite != nil {
+			p = r.Rewrite(e.direction, p)
 		}
 		if short := &r.short[e.direction]; *short > 0 && !cut {
 			if breaks = len(p) >= *short; breaks {
--- a/lab/orders_test.go
+++ b/lab/orders_test.go
@@ -170,7 +170,7 @@
 				func() time.Duration { return hears + time.Duration(f.reportDelay.Load()) },
 				steady(time.Duration(40+i) * time.Millisecond)}}
 			if v.alter != nil {
-				r.Alter = f.alterMessages
+				r.Rewrite = f.alterMessages
 			}
 			f.routes[i][j] = r
 			f.net.AddLink(fmt.Sprintf("stream-%d-%d", i, j), r)
