--- a/cmd/vetchdoor/soak_test.go
+++ b/cmd/vetchdoor/soak_test.go
@@ -177,11 +177,11 @@
 	drained, began := s.nodes[0], time.Now()
 	s.setMode(0, "draining")
 	time.Sleep(drainGrace + 500*time.Millisecond)
-	after := time.Since(s.ledger.From())
+	after := time.Since(s.ledger.StartTime())
 	time.Sleep(500 * time.Millisecond)
 	for _, a := range s.ledger.Arrivals() {
 		if a.Endpoint == drained.Endpoint() && a.At > after {
-			s.failf("rule 3: proxy %d sent to a server %v after the list had said that it drains", a.Proxy, s.ledger.From().Add(a.At).Sub(began))
+			s.failf("rule 3: proxy %d sent to a server %v after the list had said that it drains", a.Proxy, s.ledger.StartTime().Add(a.At).Sub(began))
 			break
 		}
 	}
@@ -246,7 +246,7 @@
 		}
 		statuses[o.status]++
 		if o.lost != "" {
-			s.failf("op %d to proxy %d, written %v after the start, got no whole answer: %s", o.op, o.proxy, o.written.Sub(s.ledger.From()).Round(time.Millisecond), o.lost)
+			s.failf("op %d to proxy %d, written %v after the start, got no whole answer: %s", o.op, o.proxy, o.written.Sub(s.ledger.StartTime()).Round(time.Millisecond), o.lost)
 		}
 		if n := effects[o.op]; o.opType == writeType && n > 1 { // checkRepeats looks at marked ones
 			s.failf("op %d took effect %d times", o.op, n)
--- a/lab/fleet.go
+++ b/lab/fleet.go
@@ -94,7 +94,7 @@
 	if f.configured.OpTypes = slices.Clone(day.Service.OpTypes); options.configure != nil {
 		options.configure(&f.configured)
 	}
-	f.tap = link.NewTap(f.ledger.From())
+	f.tap = link.NewTap(f.ledger.StartTime())
 	defer func() {
 		if err != nil {
 			f.close()
--- a/lab/links_test.go
+++ b/lab/links_test.go
@@ -195,7 +195,7 @@
 	for range 20 {
 		withSimFleet(t, variant{}, func(f *simFleet) {
 			time.Sleep(250 * time.Millisecond) // in the middle of a report period
-			begin := time.Since(f.ledger.From())
+			begin := time.Since(f.ledger.StartTime())
 			f.proxies[2].Stop(context.Background())
 			time.Sleep(100 * time.Millisecond)
 			received := false
--- a/lab/node/ledger.go
+++ b/lab/node/ledger.go
@@ -55,8 +55,8 @@
 // NewLedger begins one; times count from now.
 func NewLedger() *Ledger { return &Ledger{from: time.Now(), memory: map[memoryKey]time.Duration{}} }
 
-// From is when its times begin.
-func (l *Ledger) From() time.Time { return l.from }
+// StartTime is when its times begin.
+func (l *Ledger) StartTime() time.Time { return l.from }
 
 func (l *Ledger) now() time.Duration { return time.Since(l.from) }
 
--- a/lab/orders_test.go
+++ b/lab/orders_test.go
@@ -128,7 +128,7 @@
 	if v.day != nil {
 		v.day(f.day)
 	}
-	f.tap = link.NewTap(f.ledger.From())
+	f.tap = link.NewTap(f.ledger.StartTime())
 	f.net = link.NewMemory(f.tap)
 	m := files.Machine{Name: "m", Cores: 1, Speed: [2]float64{1, 1}, Slots: 4, Queue: 20, Connections: 60, ColdShare: 0.2,
 		ColdFor: files.Duration(5 * time.Second), ReportEvery: files.Duration(200 * time.Millisecond), Cancels: true}
@@ -297,9 +297,9 @@
 
 // check returns the violations so far. It does not check the effects of ops.
 func (f *simFleet) check() []Violation {
-	e := &evidence{service: &f.day.Service, limits: &f.day.Limits, channel: &f.day.Channel, start: f.ledger.From(),
+	e := &evidence{service: &f.day.Service, limits: &f.day.Limits, channel: &f.day.Channel, start: f.ledger.StartTime(),
 		traffic:  f.tap.Transfers(),
-		arrivals: f.ledger.Arrivals(), coldCrashes: f.ledger.Crashes(), mixups: f.ledger.MixUps(), end: time.Since(f.ledger.From())}
+		arrivals: f.ledger.Arrivals(), coldCrashes: f.ledger.Crashes(), mixups: f.ledger.MixUps(), end: time.Since(f.ledger.StartTime())}
 	h, err := e.reconstruct(2)
 	if err != nil {
 		f.t.Error(err)
@@ -378,7 +378,7 @@
 		// Clients do not retry here, so the proxies cause every effect beyond an op's first.
 		e := &evidence{service: &f.day.Service, arrivals: f.ledger.Arrivals(), effects: f.ledger.Effects(), ops: f.generator.ops}
 		if all := len(e.duplicates()); all > 0 {
-			violations = append(violations, Violation{2, time.Since(f.ledger.From()), fmt.Sprintf("%d duplicate effects", all)})
+			violations = append(violations, Violation{2, time.Since(f.ledger.StartTime()), fmt.Sprintf("%d duplicate effects", all)})
 		}
 	})
 	return violations, lastEvent
--- a/lab/records_test.go
+++ b/lab/records_test.go
@@ -71,7 +71,7 @@
 			reasons[key{e.Run, e.Params[record.Node], e.Params[record.Withdrawn]}]++
 		}
 	}
-	e := &evidence{service: &d.Service, limits: &d.Limits, channel: &d.Channel, start: played.ledger.From(),
+	e := &evidence{service: &d.Service, limits: &d.Limits, channel: &d.Channel, start: played.ledger.StartTime(),
 		traffic: played.tap.Transfers(), end: 1 << 50}
 	h, err := e.reconstruct(len(played.pilots))
 	if err != nil {
--- a/lab/run.go
+++ b/lab/run.go
@@ -73,7 +73,7 @@
 	}
 	s.ops = f.addMisbehaviour(f.drawOps())
 	from := time.Now()
-	start := from.Sub(f.ledger.From())
+	start := from.Sub(f.ledger.StartTime())
 	done := make(chan struct{})
 	go func() {
 		s.play(from, ctx.Done())
@@ -84,7 +84,7 @@
 		<-done
 		return nil, err
 	}
-	until := time.Since(f.ledger.From())
+	until := time.Since(f.ledger.StartTime())
 	f.close()
 	closed = true
 	return f.report(s, begin, start, until, connections)
@@ -122,7 +122,7 @@
 // report checks the rules and computes the scores.
 func (f *fleet) report(s *loadGenerator, begin time.Time, start, until time.Duration, connections float64) (*Report, error) {
 	d := f.day
-	e := &evidence{service: &d.Service, limits: &d.Limits, channel: &d.Channel, start: f.ledger.From(), traffic: f.tap.Transfers(),
+	e := &evidence{service: &d.Service, limits: &d.Limits, channel: &d.Channel, start: f.ledger.StartTime(), traffic: f.tap.Transfers(),
 		arrivals: f.ledger.Arrivals(), effects: f.ledger.Effects(), ops: s.ops, coldCrashes: f.ledger.Crashes(),
 		mixups: f.ledger.MixUps(), end: until}
 	h, err := e.reconstruct(len(f.pilots))
