--- a/cmd/vetchdoor/soak_repeats_test.go
+++ b/cmd/vetchdoor/soak_repeats_test.go
@@ -151,7 +151,7 @@
 func (s *soak) countCrossed() (count int) {
 	from := map[uint64]map[int]bool{}
 	for _, a := range s.ledger.Arrivals() {
-		if a.OpType != markedType || !a.Taken {
+		if a.OpType != markedType || !a.Accepted {
 			continue
 		}
 		if from[a.Op] == nil {
--- a/lab/check.go
+++ b/lab/check.go
@@ -454,7 +454,7 @@
 					out = append(out, Violation{2, a.At, fmt.Sprintf("proxy %d, op %d: %s", k.proxy, k.op, reason)})
 				}
 			}
-			if a.Taken {
+			if a.Accepted {
 				mayHaveRun = append(mayHaveRun, a)
 			}
 		}
--- a/lab/check_test.go
+++ b/lab/check_test.go
@@ -90,7 +90,7 @@
 // try adds a try that reached a node through proxy 3.
 func (c *scenario) try(at time.Duration, e control.EndpointID, op uint64, opType int, taken bool) {
 	c.arrivals = append(c.arrivals, node.Arrival{At: at, Endpoint: e, Proxy: 3, Op: op, OpType: opType,
-		Work: 100 * time.Millisecond, Taken: taken})
+		Work: 100 * time.Millisecond, Accepted: taken})
 }
 
 // brokenRules checks the scenario and returns the numbers of the violated rules, one digit per violation.
--- a/lab/duplicates.go
+++ b/lab/duplicates.go
@@ -39,7 +39,7 @@
 // firstAccepted returns the arrival time of the first try that a node did not refuse; ok is false if there was none.
 func (t opTrace) firstAccepted() (at time.Duration, ok bool) {
 	for _, a := range t.arrivals {
-		if a.Taken {
+		if a.Accepted {
 			return a.At, true
 		}
 	}
@@ -58,7 +58,7 @@
 func (t opTrace) describeTries(where placements) (out []string) {
 	for _, a := range t.arrivals {
 		line := fmt.Sprintf("%v try %d proxy %d pod %s", a.At.Round(time.Millisecond), a.Try, a.Proxy, where.podName(a.Endpoint))
-		if !a.Taken {
+		if !a.Accepted {
 			line += " refused"
 		}
 		out = append(out, line)
--- a/lab/duplicates_test.go
+++ b/lab/duplicates_test.go
@@ -13,7 +13,7 @@
 func (c *scenario) clientTry(at time.Duration, proxy int, e control.EndpointID, taken bool) {
 	o := c.ops[0]
 	c.arrivals = append(c.arrivals, node.Arrival{At: at, Endpoint: e, Proxy: proxy, Op: o.number, Try: o.tries,
-		OpType: o.opType, Taken: taken})
+		OpType: o.opType, Accepted: taken})
 	o.tries++
 }
 
--- a/lab/node/ledger.go
+++ b/lab/node/ledger.go
@@ -16,7 +16,7 @@
 	Try      int // the client's own, from 0; all tries of one are the proxy's
 	OpType   int
 	Work     time.Duration
-	Taken    bool // not turned away unrun
+	Accepted bool // not turned away unrun
 }
 
 // Effect is an op that took effect.
--- a/lab/node/node.go
+++ b/lab/node/node.go
@@ -307,7 +307,7 @@
 	j.At, j.Endpoint = n.ledger.now(), n.Endpoint()
 	t := n.trouble
 	full := len(n.queue)+len(n.running) >= n.machine.Slots+n.machine.Queue
-	j.Taken = n.up && !t.Draining && !full
+	j.Accepted = n.up && !t.Draining && !full
 	n.ledger.arrived(j.Arrival)
 	deaf := t.Silent || t.SilentTo != nil && t.SilentTo(j.Proxy)
 	late := t.FirstOpDelay
@@ -331,7 +331,7 @@
 		<-j.gone
 		return
 	}
-	if m.Get(KillField) != nil && j.Taken {
+	if m.Get(KillField) != nil && j.Accepted {
 		first := !n.dying
 		n.dying = true
 		n.mu.Unlock()
@@ -355,7 +355,7 @@
 		return
 	}
 	switch {
-	case !j.Taken:
+	case !j.Accepted:
 		n.mu.Unlock()
 		b := http1.AppendField(http1.AppendStatus(nil, 503), http1.UnrunHeader, "1")
 		b = http1.AppendField(b, "Retry-After", "1")
--- a/lab/node/node_test.go
+++ b/lab/node/node_test.go
@@ -72,7 +72,7 @@
 		t.Errorf("%d effects", len(e))
 	}
 	a := l.Arrivals()
-	if len(a) != 5 || a[0].Proxy != 9 || !a[0].Taken {
+	if len(a) != 5 || a[0].Proxy != 9 || !a[0].Accepted {
 		t.Errorf("%+v", a)
 	}
 	if e := l.Effects(); e[1].Arrived != a[2].At || e[1].At < e[1].Arrived {
@@ -105,7 +105,7 @@
 		t.Errorf("draining: %d", s)
 	}
 	for _, a := range l.Arrivals()[20:] {
-		if a.Taken {
+		if a.Accepted {
 			t.Error("taken while it drains")
 		}
 	}
