--- a/lab/node/node.go
+++ b/lab/node/node.go
@@ -75,7 +75,7 @@
 	SlowFactor      float64                                            // times slower; 0: not
 	HandshakeFactor float64                                            // times dearer; 0: not
 	FirstOpDelay    time.Duration                                      // that a new connection's first op waits
-	Heavy           float64                                            // this share of one op type takes HeavyBy times the work
+	HeavyShare      float64                                            // this share of one op type takes HeavyBy times the work
 	HeavyBy         float64
 	HeavyType       int
 }
@@ -367,7 +367,7 @@
 		_ = c.Answer(http1.AppendBody(n.report(http1.AppendStatus(nil, 500)), nil))
 		return
 	}
-	if t.Heavy > 0 && j.OpType == t.HeavyType && n.rng.Float64() < t.Heavy {
+	if t.HeavyShare > 0 && j.OpType == t.HeavyType && n.rng.Float64() < t.HeavyShare {
 		j.work = time.Duration(float64(j.work) * t.HeavyBy)
 	}
 	n.queue = append(n.queue, j)
