--- a/lab/node/node.go
+++ b/lab/node/node.go
@@ -76,7 +76,7 @@
 	HandshakeFactor float64                                            // times dearer; 0: not
 	FirstOpDelay    time.Duration                                      // that a new connection's first op waits
 	HeavyShare      float64                                            // this share of one op type takes HeavyBy times the work
-	HeavyBy         float64
+	HeavyFactor     float64
 	HeavyType       int
 }
 
@@ -368,7 +368,7 @@
 		return
 	}
 	if t.HeavyShare > 0 && j.OpType == t.HeavyType && n.rng.Float64() < t.HeavyShare {
-		j.work = time.Duration(float64(j.work) * t.HeavyBy)
+		j.work = time.Duration(float64(j.work) * t.HeavyFactor)
 	}
 	n.queue = append(n.queue, j)
 	n.kick()
--- a/lab/trouble.go
+++ b/lab/trouble.go
@@ -42,7 +42,7 @@
 	"heavy_tail": func(f *fleet, t *files.Trouble) {
 		opType := f.rng.IntN(len(f.day.Service.OpTypes))
 		nodeTrouble(func(x *node.Faults, t *files.Trouble, on bool) {
-			x.HeavyShare, x.HeavyBy, x.HeavyType = valueIf(on, t.Extra), t.Size, opType
+			x.HeavyShare, x.HeavyFactor, x.HeavyType = valueIf(on, t.Extra), t.Size, opType
 		})(f, t)
 	},
 	"ageing": func(f *fleet, t *files.Trouble) { // nodes get slower in steps, stop, and restart cold
