--- a/cmd/vetchdoor/soak_repeats_test.go
+++ b/cmd/vetchdoor/soak_repeats_test.go
@@ -115,9 +115,9 @@
 		}
 	}
 	for op, of := range effects {
-		slices.SortFunc(of, func(a, b node.Effect) int { return cmp.Compare(a.Arrived, b.Arrived) })
+		slices.SortFunc(of, func(a, b node.Effect) int { return cmp.Compare(a.ArrivedAt, b.ArrivedAt) })
 		for i := 1; i < len(of); i++ {
-			if after := of[i].Arrived - of[i-1].Arrived; after >= dedupWindow {
+			if after := of[i].ArrivedAt - of[i-1].ArrivedAt; after >= dedupWindow {
 				s.marked.late++
 			} else {
 				s.marked.doubled++
--- a/lab/duplicates.go
+++ b/lab/duplicates.go
@@ -31,7 +31,7 @@
 	}
 	for _, t := range out {
 		slices.SortStableFunc(t.arrivals, func(a, b node.Arrival) int { return cmp.Compare(a.At, b.At) })
-		slices.SortStableFunc(t.effects, func(a, b node.Effect) int { return cmp.Compare(a.Arrived, b.Arrived) })
+		slices.SortStableFunc(t.effects, func(a, b node.Effect) int { return cmp.Compare(a.ArrivedAt, b.ArrivedAt) })
 	}
 	return out
 }
@@ -98,7 +98,7 @@
 			out = append(out, duplicate{o, x, t, isViolation(&types[o.opType], o, t, x)})
 		}
 	}
-	slices.SortStableFunc(out, func(a, b duplicate) int { return cmp.Compare(a.effect.Arrived, b.effect.Arrived) })
+	slices.SortStableFunc(out, func(a, b duplicate) int { return cmp.Compare(a.effect.ArrivedAt, b.effect.ArrivedAt) })
 	return out
 }
 
@@ -118,7 +118,7 @@
 		return true
 	}
 	first, ok := trace.firstAccepted()
-	return opType.Repeat == control.Deduplicated && ok && effect.Arrived-first < opType.DedupWindow
+	return opType.Repeat == control.Deduplicated && ok && effect.ArrivedAt-first < opType.DedupWindow
 }
 
 // maxDuplicatesListed is the number of duplicate effects that get a violation of their own; the rest are only counted.
@@ -140,7 +140,7 @@
 		if d.op.tenant > 0 {
 			kind += " of " + d.op.tenantName()
 		}
-		out = append(out, Violation{2, d.effect.Arrived, fmt.Sprintf("op %d, %s, took effect again: tries %q, effects %q",
+		out = append(out, Violation{2, d.effect.ArrivedAt, fmt.Sprintf("op %d, %s, took effect again: tries %q, effects %q",
 			d.op.number, kind, d.trail.describeTries(h.placements), d.trail.describeEffects(h.placements))})
 	}
 	if unlisted > 0 {
--- a/lab/duplicates_test.go
+++ b/lab/duplicates_test.go
@@ -20,7 +20,7 @@
 // effect adds a try that took effect 100 ms after it arrived.
 func (c *scenario) effect(at time.Duration, proxy int, e control.EndpointID) {
 	c.clientTry(at, proxy, e, true)
-	c.effects = append(c.effects, node.Effect{At: at + sec/10, Arrived: at, Endpoint: e, Op: c.ops[0].number,
+	c.effects = append(c.effects, node.Effect{At: at + sec/10, ArrivedAt: at, Endpoint: e, Op: c.ops[0].number,
 		OpType: c.ops[0].opType})
 }
 
--- a/lab/node/ledger.go
+++ b/lab/node/ledger.go
@@ -21,11 +21,11 @@
 
 // Effect is an op that took effect.
 type Effect struct {
-	At       time.Duration
-	Arrived  time.Duration // the try that had it, at its server
-	Endpoint control.EndpointID
-	Op       uint64
-	OpType   int
+	At        time.Duration
+	ArrivedAt time.Duration // the try that had it, at its server
+	Endpoint  control.EndpointID
+	Op        uint64
+	OpType    int
 }
 
 // Crash is a cold node that fell over.
@@ -88,10 +88,10 @@
 	defer l.mu.Unlock()
 	if key != "" && window > 0 {
 		k := memoryKey{group, key}
-		if first, ok := l.memory[k]; ok && e.Arrived-first < window {
+		if first, ok := l.memory[k]; ok && e.ArrivedAt-first < window {
 			return
 		}
-		l.memory[k] = e.Arrived
+		l.memory[k] = e.ArrivedAt
 	}
 	l.effects = append(l.effects, e)
 }
--- a/lab/node/node_test.go
+++ b/lab/node/node_test.go
@@ -75,7 +75,7 @@
 	if len(a) != 5 || a[0].Proxy != 9 || !a[0].Accepted {
 		t.Errorf("%+v", a)
 	}
-	if e := l.Effects(); e[1].Arrived != a[2].At || e[1].At < e[1].Arrived {
+	if e := l.Effects(); e[1].ArrivedAt != a[2].At || e[1].At < e[1].ArrivedAt {
 		t.Errorf("%+v of %+v", e[1], a[2])
 	}
 }
