--- a/lab/link/memory.go
+++ b/lab/link/memory.go
@@ -78,8 +78,8 @@
 	r.mu.Unlock()
 }
 
-// Cut has it swallow everything and refuse what dials, until Heal; nobody is told, so that its connections are half open.
-func (r *MemoryLink) Cut(cut bool) {
+// SetCut has it swallow everything and refuse what dials, until Heal; nobody is told, so that its connections are half open.
+func (r *MemoryLink) SetCut(cut bool) {
 	r.mu.Lock()
 	r.cut = cut
 	r.mu.Unlock()
--- a/lab/links_test.go
+++ b/lab/links_test.go
@@ -18,17 +18,17 @@
 	const deadline = 12 * time.Second // enough for both sides to time out and for one round of dials
 	for name, play := range map[string]func(f *simFleet){
 		"half open": func(f *simFleet) {
-			f.route(0).Cut(true)
+			f.route(0).SetCut(true)
 			time.Sleep(deadline)
 			if info := f.proxies[0].Info(); !strings.Contains(info, "\nPilot: pilot-1\n") {
 				f.t.Errorf("the proxy did not join the other pilot: %s", info)
 			}
-			f.route(0).Cut(false)
+			f.route(0).SetCut(false)
 		},
 		// messages that the proxy does not confirm must not block those to the others
 		"half open to both pilots during changes": func(f *simFleet) {
 			for _, r := range f.routes[0] {
-				r.Cut(true)
+				r.SetCut(true)
 			}
 			for i := range 60 {
 				f.list.Set(f.entry(0, "ready", float64(2+i%3)))
@@ -40,18 +40,18 @@
 				f.t.Errorf("changes no longer reach another proxy: %s", s)
 			}
 			for _, r := range f.routes[0] {
-				r.Cut(false)
+				r.SetCut(false)
 			}
 		},
 		"half open to both pilots during a drain": func(f *simFleet) {
 			for _, r := range f.routes[0] {
-				r.Cut(true)
+				r.SetCut(true)
 			}
 			time.Sleep(time.Second)
 			eventActions["drain"](f)
 			time.Sleep(20 * time.Second)
 			for _, r := range f.routes[0] {
-				r.Cut(false)
+				r.SetCut(false)
 			}
 		},
 		"one direction lost": func(f *simFleet) {
@@ -98,24 +98,24 @@
 			eventActions["drain"](f)
 		},
 		"half open while the pilot stops": func(f *simFleet) {
-			f.route(0).Cut(true)
+			f.route(0).SetCut(true)
 			begin := time.Now()
 			f.pilots[0].Stop()
 			if took := time.Since(begin); took > deadline {
 				f.t.Errorf("the pilot took %v to stop", took)
 			}
 			f.startPilot(0)
-			f.route(0).Cut(false)
+			f.route(0).SetCut(false)
 		},
 		"half open while the proxy stops": func(f *simFleet) {
-			f.route(1).Cut(true)
+			f.route(1).SetCut(true)
 			begin := time.Now()
 			f.proxies[1].Stop(context.Background())
 			if took := time.Since(begin); took > deadline {
 				f.t.Errorf("the proxy took %v to stop", took)
 			}
 			f.startProxy(1)
-			f.route(1).Cut(false)
+			f.route(1).SetCut(false)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
