--- a/control/control.go
+++ b/control/control.go
@@ -18,7 +18,7 @@
 // LongAgo is the start time of an endpoint whose start is unknown or long past.
 const LongAgo = time.Duration(-1 << 62)
 
-// Repeat tells what happens if an op runs more than once.
+// Repeat is the effect of running an op more than once.
 type Repeat int
 
 const (
@@ -58,7 +58,7 @@
 	LevelRate                   // ops per second
 )
 
-// RetryPolicy tells when a proxy retries an op at another endpoint.
+// RetryPolicy defines when a proxy retries an op at another endpoint.
 type RetryPolicy int
 
 const (
@@ -81,7 +81,8 @@
 	ErrorRate                   // errors per second
 )
 
-// Config is the configuration that an instance gets at its start.
+// Config is the configuration that an instance gets at its start. A standing table is a proxy's own list of servers, which
+// the proxy uses until it is bound to a table.
 type Config struct {
 	Instance, Instances int // index of this instance; number of instances
 	Zone, Zones         int // index of the instance's zone; number of zones
@@ -116,7 +117,7 @@
 
 	WarmUpTime        time.Duration // time after its start until an endpoint is surely warm
 	ColdCapacityShare float64       // share of its capacity that an endpoint surely has at its start
-	DrainGrace        time.Duration // time within which proxies must stop sending to a draining endpoint
+	DrainGrace        time.Duration // time within which proxies must stop sending to a draining or unlisted endpoint
 }
 
 // Event is something that happened to the instance.
@@ -142,7 +143,7 @@
 	Pack     int
 }
 
-// ListKind tells how the entries of a Listing are to be read.
+// ListKind defines what the entries of a Listing contain.
 type ListKind int
 
 const (
@@ -269,7 +270,7 @@
 	Unlisted         Reason = "gone"       // the endpoint is no longer on the list
 	ListedAsDraining Reason = "draining"   // the endpoint is listed as draining
 	Unhealthy        Reason = "sick"       // share of the endpoint's tries that failed; share tolerated, given those of others
-	Readmitted       Reason = "back"       // the endpoint is listed as ready, or the time of its withdrawal is over
+	Readmitted       Reason = "back"       // the endpoint is ready again, its withdrawal is over, or it left the list long ago
 	Listed           Reason = "listed"     // weight of the endpoint on the list
 	Warming          Reason = "warming"    // share of its warm-up that the endpoint has completed; 1, where it is warm
 	CellOverloaded   Reason = "jammed"     // load of the endpoint's cell in percent; load from which on no cold endpoint joins it
@@ -284,8 +285,8 @@
 	Shed             Reason = "shed"       // score or fill of the proxy's cell in percent; value above which it sheds proxies
 	InitialLevel     Reason = "start"      // first level of an op type
 	Overload         Reason = "distress"   // load of the fleet in percent; load from which on levels fall
-	Failing          Reason = "failing"    // share of all tries that fail; share above which levels fall
-	Capacity         Reason = "capacity"   // capacity of the servers over the offered work; 1
+	Failing          Reason = "failing"    // share of the tries that fail, in the fleet or a cell; share that counts as overload
+	Capacity         Reason = "capacity"   // ratio of the servers' capacity to the offered work; 1
 	LevelRestored    Reason = "recovers"   // load of the fleet in percent; load below which levels rise
 )
 
@@ -324,7 +325,7 @@
 	Suspend struct {
 		Endpoint  EndpointID
 		Out       bool // withdrawn
-		BoundOnly bool // only at bound proxies; the others are about to be bound
+		BoundOnly bool // only at bound proxies; any unbound proxies are about to be bound, which conveys the withdrawals
 		Why       Why
 	}
 	// Checkpoint ends a batch of orders; each proxy that the orders reach confirms its number by InForce.
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -9,14 +9,14 @@
 
 // opType holds what the decisions need of one op type.
 type opType struct {
-	costSeconds, revenuePerSecond float64 // seconds of work per op, for which its target latency stands; revenue per second of work
+	costSeconds, revenuePerSecond float64 // seconds of work per op, estimated as its target latency; revenue per second of work
 	level                         float64 // level last sent; negative before the first
 }
 
 // updateAdmission sets the share of the work that is admitted: the capacity of the servers over the offered work,
 // less under overload and as tries fail.
 func (a *Assigner) updateAdmission() {
-	failingShare := a.failingShare // a single overloaded cell is relieved by moves
+	failingShare := a.failingShare // of the best cell: a single overloaded cell is relieved by moving proxies
 	if a.loadPercent >= calmLoadPercent {
 		failingShare = a.failures.mean()
 	} else if a.loadPercent < moderatePercent { // failures at a low load are not due to overload
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -68,7 +68,7 @@
 }
 
 // forgetGoneEndpoints removes servers that left the list long ago and that no proxy's table contains. It also ends
-// their withdrawal.
+// the withdrawals of these servers.
 func (a *Assigner) forgetGoneEndpoints() {
 	standingTablesUsed := len(a.tableUsers(nil)) > 0
 	a.sortedEndpoints = slices.DeleteFunc(a.sortedEndpoints, func(e *endpoint) bool {
--- a/policy/parameters.go
+++ b/policy/parameters.go
@@ -8,12 +8,12 @@
 	shedScorePercent  = 70.0            // a cell with a higher score sheds proxies one by one, with a higher fill at once
 	moderatePercent   = 60.0            // limit for the score of a move's target; failures at a lower load are not due to overload
 	evenFillPercent   = 50.0            // fill of a cell whose share of the demand equals its share of the capacity
-	silentCellTimeout = 7 * time.Second // a cell without an answered try for this long goes out of use; the guide prescribes 7 s
+	silentCellTimeout = 7 * time.Second // least time without an answered try after which a cell goes out of use
 	entryWeightShare  = 0.25            // share of its weight that a server gets at its start, and the least that easing leaves
 	entryWeightSteps  = 4               // equal steps from entryWeightShare to the whole weight
 
 	// Loads in percent. With few cores queues grow long well above 80 percent, and answers stop coming near 100.
-	idleLoadPercent      = 45.0 // a load below this says little about the capacity of a server
+	idleLoadPercent      = 45.0 // below this load the capacity of a server cannot be estimated
 	calmLoadPercent      = 72.0 // below this load proxies return home, levels rise and servers regain weight
 	overloadPercent      = 80.0 // from this load on the fleet counts as overloaded, and levels fall
 	fullLoadPercent      = 88.0 // load that cells may be filled to; failures at or above it are no sign of an unhealthy server
@@ -22,7 +22,7 @@
 
 	// Waits in multiples of the feedback lag (see feedbackLag), then shares and ratios.
 	easingIntervalLags         = 2       // wait between easings of a server; ramp to the full weight after an unhealthy spell
-	settlingLags               = 3       // wait for complete statistics or for moves to a revived cell; most doublings of a spell
+	settlingLags               = 3       // wait for complete statistics, or for moves to a revived cell; most doublings of a spell
 	retentionLags              = 10      // time that a disconnected proxy still counts, and that a server that is gone is kept
 	deferrableBacklogShare     = 0.4     // share of the allowed backlog that deferrable orders may fill
 	urgentBacklogShare         = 0.9     // share of the allowed backlog that urgent orders may fill
@@ -32,7 +32,7 @@
 	idleLatencyShare           = 0.15    // share of the target latency that an op takes on an idle server
 	maxUnhealthyShare          = 1.0 / 3 // greatest share of a cell's ready servers that is withdrawn as unhealthy
 	unhealthyMarginShare       = 0.25    // how much more of the tries must fail at an unhealthy server than at others
-	fewTriesMargins            = 2       // margins added at minTries tries, where a few failures mean little; fewer at more tries
+	fewTriesMargins            = 2       // margins added at minTries tries, as few failures mean little; fewer at more tries
 	totalLossShare             = 0.9     // if more of its tries fail, withdrawing a server loses nothing
 	fullAdmissionShare         = 0.95    // if more of the work is admitted, arrivals contain hardly any repeats of rejected ops
 	overloadFailureShare       = 0.12    // if more of all tries fail, the fleet counts as overloaded
@@ -41,13 +41,13 @@
 	coldOverloadRatio          = 4.0     // a cold server fails under more than this many times the work that it can do
 	smallCellServers           = 2.0     // a cell with less work than this many servers do counts as small
 	mostlyWarmShare            = 2.0 / 3 // a cell with more than this share of its ready servers warm counts as mostly warm
-	minTries                   = 4       // with fewer tries the share that fails means nothing
+	minTries                   = 4       // with fewer tries the share that fails is not significant
 	minEasingRatio             = 0.6     // least factor that one easing applies to a weight; its reciprocal is the greatest
 	capacityTargetShare        = 0.85    // share of the servers' capacity that is admitted; also the factor of one overload trim
 	admissionGainPerLag        = 0.3     // greatest rise of the admitted share of the work in one feedback lag
 	minLevelShare              = 0.05    // share of each op type that is always admitted
 	fillRatioPerCrossZonePrice = 10.0    // how far above the even fill a cell may be filled, per unit of the cross-zone price
-	homeRatioPerCrossZonePrice = 100.0   // servers of the own area weigh 1+(ratio*price)^2 times in the choice of the home cell
+	homeRatioPerCrossZonePrice = 100.0   // cells of the own area weigh 1+(ratio*price)^2 times in the choice of a home cell
 	epsilon                    = 1e-9    // least divisor, against division by zero
 	minStandingTablesPerCell   = 2       // a cell has at least the servers of this many standing tables
 	minProxiesPerCell          = 5       // least number of the fleet's proxies for each cell
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -1,4 +1,4 @@
-// Package policy makes all decisions of vetchdoor: Assigner.Decide takes the events of one instance and returns
+// Package policy is the decision module of vetchdoor: Assigner.Decide takes the events of one instance and returns
 // the orders that follow. It performs no I/O and reads no clock. Package control has the interface, docs/design.md the
 // design and its exceptions.
 package policy
@@ -26,8 +26,8 @@
 	areaCount                   int // zones, or pairs of zones; each area has its own cells
 	cells                       []*cell
 	tables                      []*table // tables of the cells and, last, the common table
-	// crossCellOpTypes has the bits of the op types for which every proxy uses the common table, cellOpTypes those of the
-	// others; a cellOpTypes of 0 stands for all op types.
+	// crossCellOpTypes has the bits of the op types for which every proxy uses the common table, cellOpTypes the bits of the
+	// remaining op types; a cellOpTypes of 0 stands for all op types.
 	crossCellOpTypes, cellOpTypes uint16
 	orders                        []control.Order
 	checkpoint                    int  // number of the last checkpoint
--- a/policy/proxies.go
+++ b/policy/proxies.go
@@ -52,8 +52,8 @@
 	}
 }
 
-// confirmCheckpoint takes all lines of a proxy off the backlog once its newest message is in force. Confirmations of
-// older messages change nothing.
+// confirmCheckpoint takes all lines of a proxy off the backlog once the proxy has confirmed its newest message.
+// Confirmations of older messages change nothing.
 func (a *Assigner) confirmCheckpoint(inForce control.InForce) {
 	if p := a.proxies[inForce.Proxy]; p != nil && p.lastCheckpoint == inForce.Checkpoint {
 		a.backlogLines, p.unconfirmedLines = a.backlogLines-p.unconfirmedLines, 0
--- a/policy/scenario_test.go
+++ b/policy/scenario_test.go
@@ -15,13 +15,14 @@
 	"vetchdoor/policy"
 )
 
-// scenarioRunner plays a scenario: it simulates the list, the servers and the proxies around an Assigner and keeps
-// what the orders made the proxies hold. A scenario is a text with one statement per line and # before comments:
+// scenarioRunner plays a scenario: it simulates the list, the servers and the proxies around an Assigner and tracks
+// the tables, withdrawals and levels that the proxies hold after the orders. A scenario is a text with one statement per
+// line and # before comments:
 //
 //	given waiting=300 cap=5     start settings that differ from those of newRunner; shut=1: proxies keep withdrawals;
 //	                            across=2: op type 1 may go to any cell; packs=1: some ops go to one pack of two
 //	                            endpoints, which are 0 and 1, 2 and 3, and so on
-//	list 1/0 2/1:drain@5*2      the whole list: id/zone, then mode, time of start and weight where they matter
+//	list 1/0 2/1:drain@5*2      the whole list: id/zone, then optionally mode, time of start and weight
 //	change 2/1:gone             changes to the list
 //	join 7/0 12 8/1 3           proxies that join, with their zones and usual ops per second; also: leave 7
 //	hears 1,2 20 0 60           statistics of servers 1 and 2 in each period from now on: tries, failed tries and
@@ -81,7 +82,7 @@
 	r.t.Fatalf("%v, at %q: %s", r.now, r.statement, fmt.Sprintf(format, args...))
 }
 
-// parseNumber reads a number of a statement and fails the test if it is none.
+// parseNumber parses a number of a statement; the test fails if the text is not a number.
 func (r *scenarioRunner) parseNumber(text string) float64 {
 	v, err := strconv.ParseFloat(text, 64)
 	if err != nil {
@@ -188,8 +189,8 @@
 	}
 }
 
-// bind puts op types of a proxy on a table. Op types that were never bound use the standing table, for which
-// Everywhere stands here.
+// bind binds op types of a proxy to a table. Op types that were never bound use the standing table, which boundTables
+// represents by control.Everywhere.
 func (r *scenarioRunner) bind(order control.Bind) {
 	tables := r.boundTables[order.Proxy]
 	if tables == nil {
@@ -213,7 +214,7 @@
 	return false
 }
 
-// runUntil lets time pass, one report interval after the other; each ends with the statistics of the interval.
+// runUntil advances the time in steps of one report interval and delivers the statistics at the end of each.
 func (r *scenarioRunner) runUntil(until time.Duration) {
 	for r.now < until {
 		r.now += r.config.ReportInterval
--- a/policy/servers_test.go
+++ b/policy/servers_test.go
@@ -34,8 +34,8 @@
 	runtime.KeepAlive(r)
 }
 
-// A cold server must not be sent more than it bears (rule 4) even if all work of its cell suddenly comes to it, which
-// statistics show too late.
+// A cold server must not be overloaded (rule 4), even if it suddenly gets all work of its cell, which the statistics show
+// too late.
 func TestColdServerUnderBurstOfItsCell(t *testing.T) {
 	r := newRunner(t)
 	r.play("list 1/0*2 2/0*2 3/1*2 4/1*2\njoin 1/0 10 2/1 10\nhears 1,2,3,4 20 0 67\nasks 1,2 10\nrun 20\nchange 1/0@20*2\nrun 1")
@@ -46,8 +46,8 @@
 	}
 }
 
-// Lines that are reserved for a withdrawal must be released once it is in force, also where a proxy holds the server
-// in two tables. Otherwise a fleet that drains a server every few seconds fills the backlog with lines that no longer
+// Lines that are reserved for a withdrawal must be released once the proxies have confirmed it, also where a proxy holds
+// the server in two tables. Otherwise a fleet that drains a server every few seconds fills the backlog with lines that no longer
 // exist, and drains are missed.
 func TestDrainsAcrossCells(t *testing.T) {
 	for name, settings := range map[string]string{"one table": "given waiting=400", "two tables": "given waiting=400 across=2"} {
--- a/policy/warmup.go
+++ b/policy/warmup.go
@@ -30,8 +30,8 @@
 }
 
 // excludedWhileCold reports whether a cold server gets no weight: in an overloaded cell; early in its warm-up while
-// many tries fail; or in a busy cell whose whole work would overload it, if the cell is so small that the server soon
-// can bear that work.
+// many tries fail; or in a busy cell whose whole work would overload the server, if the cell has so little work that the
+// server can soon do all of it.
 func (a *Assigner) excludedWhileCold(e *endpoint) bool {
 	youngShare := youngWarmUpShare
 	if a.config.AvoidAfterFailures > 0 && float64(e.cell.warm) > mostlyWarmShare*float64(e.cell.ready) {
--- a/policy/withdrawals.go
+++ b/policy/withdrawals.go
@@ -14,14 +14,14 @@
 		return !a.config.KeepsWithdrawals || !p.placed || !a.hasServingLine(a.dueTable(p), nil)
 	}
 	if !slices.ContainsFunc(unbound, cannotBind) {
-		unbound = nil // all can be bound, so that they need no separate order for each withdrawn server
+		unbound = nil // all can be bound, and the binds convey the withdrawals
 	}
 	for _, e := range a.sortedEndpoints {
 		if e.withdrawn != e.usable() {
 			continue
 		}
 		holders, lastServing := slices.Clone(unbound), false
-		isHolder := func(p *proxy) bool { return slices.Contains(holders, p) } // counted already, through its other table
+		isHolder := func(p *proxy) bool { return slices.Contains(holders, p) } // counted already, through another table
 		for _, t := range []*table{e.cell.table, a.tables[len(a.tables)-1]} {  // no other table can contain the server
 			if tableUsers := a.tableUsers(t); e.sentWeight[t.id] > 0 && len(tableUsers) > 0 {
 				holders = append(holders, slices.DeleteFunc(tableUsers, isHolder)...)
