--- a/adapter/frame.go
+++ b/adapter/frame.go
@@ -1,5 +1,6 @@
-// Package adapter speaks the bench's protocol: it reads batches of events, hosts the instances that they are for, and
-// writes their orders back. The names and codes of the protocol are confined to this package, which makes no decision.
+// Package adapter implements the protocol of the bench, the program that evaluates decision modules: it reads batches of
+// events, hosts the instances to which the events are addressed, and writes the orders of the instances back. Only this
+// package contains the names and codes of the protocol. It makes no decision.
 package adapter
 
 import (
--- a/adapter/serve.go
+++ b/adapter/serve.go
@@ -98,9 +98,9 @@
 	return in.assigner.Decide(now, events), ""
 }
 
-// readRecord decodes one record, stores its event at the instance that it is for, and returns the id of the instance.
-// Events for instances that do not run are decoded and ignored. A define_list event is for no instance; everyPeer is
-// returned for it.
+// readRecord decodes one record, adds its event to those of the addressed instance, and returns the id of the instance.
+// Events for instances that do not run are decoded and ignored. A define_list event is addressed to no instance, and
+// readRecord returns everyPeer for it.
 func (h *host) readRecord(rec record, clockMilliseconds float64) (instanceID uint32, err error) {
 	f := &fields{remaining: rec.body}
 	if rec.code == eventDefineList {
--- a/adapter/wire.go
+++ b/adapter/wire.go
@@ -48,14 +48,14 @@
 
 const (
 	everyPeer    = math.MaxUint32 // receiver of a publish action that is for all peers; no instance has this id
-	maxTextBytes = math.MaxUint16 // longer texts are cut
+	maxTextBytes = math.MaxUint16 // longer texts are truncated
 	listSlots    = 16             // endpoint lists that can be defined at a time, numbered from 0
 )
 
 // milliseconds returns a duration in the protocol's unit of time.
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// listEntry is one entry of an endpoint list as the protocol has it. Its start is a time on the bench's clock, which
+// listEntry is one entry of an endpoint list in the protocol. Its start is a time on the clock of the bench, which
 // entriesFor converts to the clock of an instance.
 type listEntry struct {
 	entry               control.Entry
@@ -90,7 +90,7 @@
 	return number, entries, nil
 }
 
-// outcomeByStatus has the outcome of a probe by its status code.
+// outcomeByStatus maps the status code of a probe to its outcome.
 var outcomeByStatus = map[uint16]control.ProbeOutcome{
 	200: control.ProbeAnswered, 500: control.ProbeErrored, 503: control.ProbeRejected,
 	504: control.ProbeTimedOut, 502: control.ProbeUnreached, 598: control.ProbeBroken,
@@ -157,7 +157,7 @@
 	return binary.LittleEndian.AppendUint32(b, math.Float32bits(float32(v)))
 }
 
-// appendText appends a text after its length; a text longer than maxTextBytes is cut.
+// appendText appends a text after its length; a text longer than maxTextBytes is truncated.
 func appendText(b []byte, data string) []byte {
 	if len(data) > maxTextBytes {
 		data = data[:maxTextBytes]
--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,5 +1,5 @@
-// Command adapter hosts the decision module (package policy) for the bench, whose protocol it speaks on standard input
-// and output.
+// Command adapter hosts the decision module (package policy) for the bench, the program that evaluates decision modules. It
+// reads the events of the bench from standard input and writes orders to standard output.
 package main
 
 import (
--- a/control/control.go
+++ b/control/control.go
@@ -18,7 +18,7 @@
 // LongAgo is the start time of an endpoint whose start is unknown or long past.
 const LongAgo = time.Duration(-1 << 62)
 
-// Repeat is the effect of running an op more than once.
+// Repeat defines whether an op may run more than once.
 type Repeat int
 
 const (
--- a/members/members.go
+++ b/members/members.go
@@ -44,14 +44,14 @@
 
 // Config configures the gossip.
 type Config struct {
-	Name     string // unique name of the pilot
-	Bind     string // HOST:PORT, for both UDP and TCP
-	Peers    []string
+	Name     string   // unique name of the pilot
+	Bind     string   // HOST:PORT, for both UDP and TCP
+	Peers    []string // gossip addresses (HOST:PORT) of other pilots, which are dialled to join
 	Keys     []string // base64 of 16, 24 or 32 bytes each; the first one encrypts
 	Allow    []string // networks from which messages are accepted; empty: only loopback
 	Log      *slog.Logger
 	Status   func() PilotStatus // called once per Interval on a separate goroutine; must not block
-	Interval time.Duration
+	Interval time.Duration      // period in which changes of the status are published; 0: one second
 }
 
 // Members is a running gossip.
@@ -67,7 +67,7 @@
 	closeOnce sync.Once
 }
 
-// Start joins the gossip. Peers that cannot be reached are retried for as long as it runs.
+// Start joins the gossip. Peers that cannot be reached are dialled again until Close.
 func Start(config Config) (*Members, error) {
 	m := &Members{config: config, members: map[string]Member{}}
 	if m.config.Interval <= 0 {
--- a/roster/cache.go
+++ b/roster/cache.go
@@ -11,7 +11,7 @@
 	"vetchdoor/files"
 )
 
-// cached is the content of the file: the list, and a hash of it by which a truncated or altered copy is detected.
+// cached is the content of the cache file: the list, and a hash of it by which a truncated or altered copy is detected.
 type cached struct {
 	Form  int             `json:"form"`
 	Pilot string          `json:"pilot"`
@@ -19,7 +19,7 @@
 	List  json.RawMessage `json:"list"`
 }
 
-// form is the version of the file's layout.
+// form is the version of the layout of the cache file.
 const form = 1
 
 // sum returns the hash of a list and the name of its pilot.
--- a/roster/client.go
+++ b/roster/client.go
@@ -67,8 +67,8 @@
 	}
 }
 
-// silenceTimeout is how long the service may be silent before the client asks for the whole list, and then again before
-// the client closes the connection.
+// silenceTimeout is how long the service may send nothing before the client asks for the whole list. If the service sends
+// nothing for as long after that, the client closes the connection.
 const silenceTimeout = 15 * time.Second
 
 // await waits until a connection ends. It closes the connection if the service stays silent after a request, as the
--- a/roster/roster_test.go
+++ b/roster/roster_test.go
@@ -40,7 +40,7 @@
 	list    map[control.EndpointID]string
 }
 
-// follow runs a client that has version have already, until the test ends.
+// follow runs a client until the test ends. The client begins with version have of the list.
 func follow(t *testing.T, address string, have uint64) (*follower, *roster.Client) {
 	f := &follower{list: map[control.EndpointID]string{}}
 	c := &roster.Client{Address: address, Redial: 5 * time.Millisecond, Log: slog.New(slog.DiscardHandler),
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings parses the start settings of an instance, a JSON object, for the adapter and for the daemon that platform
-// runs. Read is the entry point.
+// Package settings parses the start settings of an instance, a JSON object, for the packages adapter and platform.
+// Read is the entry point.
 package settings
 
 import (
@@ -11,8 +11,8 @@
 	"vetchdoor/control"
 )
 
-// Settings are the parsed start settings of an instance: the facts for its decision module, and the names of what the module
-// refers to by index.
+// Settings are the parsed start settings of an instance: the configuration of its decision module, and the names of the
+// zones, machine types, op types and load values, which the decision module refers to by index.
 type Settings struct {
 	control.Config
 	Zones         []string
@@ -103,9 +103,9 @@
 	"latency_ms": control.Latency, "qps": control.Rate, "eps": control.ErrorRate,
 }
 
-// Read parses the start settings, in which times are in milliseconds. An effect of an op type that is not known, or missing,
-// is read as once-only, and such a group as the smallest one, so that an op is never repeated where that might not be
-// allowed. The error is that of the JSON decoder.
+// Read parses the start settings, in which times are in milliseconds. For an op type whose effect is unknown or
+// missing, it assumes once-only, and for an unknown or missing group the smallest group, so that no op is repeated where
+// that might not be allowed. The error is that of the JSON decoder.
 func Read(settings []byte) (*Settings, error) {
 	var decoded options
 	if err := json.Unmarshal(settings, &decoded); err != nil {
--- a/tenancy/binding.go
+++ b/tenancy/binding.go
@@ -110,11 +110,11 @@
 // duplicate.
 type Binding struct {
 	Placement
-	Pilot         string        `json:"pilot"` // the pilot whose update this is
-	Number        uint64        `json:"number"`
-	Held          bool          `json:"held,omitempty"`
-	LastPlacement Placement     `json:"wrote"` // where writes were last admitted
-	closedSince   time.Duration // since when no writes are admitted at LastPlacement
+	Pilot         string        `json:"pilot"`          // name of the pilot that sent the last applied update
+	Number        uint64        `json:"number"`         // number of that update
+	Held          bool          `json:"held,omitempty"` // writes are refused until an update ends the hold
+	LastPlacement Placement     `json:"wrote"`          // placement to which writes were last admitted
+	closedSince   time.Duration // time since which no writes are admitted at LastPlacement
 	open          bool          // writes are admitted at LastPlacement
 	ambiguous     bool          // writes may have been admitted at Placement as well as at LastPlacement
 }
--- a/tenancy/move.go
+++ b/tenancy/move.go
@@ -27,10 +27,10 @@
 type Phase byte
 
 const (
-	Settled  Phase = iota // no move: the tenant is where its record says; a proxy with the newest update admits its writes there
-	Holding               // the proxies get the update to hold the tenant's writes; not all have confirmed
-	Draining              // all proxies hold; writes that may still be in progress are waited out
-	Ready                 // all proxies hold and no write is in progress; the move ends on Event.Open
+	Settled  Phase = iota // no move: the tenant uses Record.Placement, and a proxy with the newest update admits writes there
+	Holding               // proxies were sent the update to hold the tenant's writes, and not all have confirmed it
+	Draining              // all proxies hold the writes; the move waits until no earlier write can be in progress
+	Ready                 // all proxies hold the writes and none is in progress; the move ends on Event.Open
 )
 
 var phases = [...]string{"settled", "holding", "draining", "ready"}
@@ -56,13 +56,13 @@
 	Number    uint64
 	Placement Placement
 	Held      bool // writes are refused with a retry-after time; reads are admitted
-	Clear     bool // names no tenant; clears the bindings of other pilots, and those of this one up to Number
+	Clear     bool // Tenant is empty; the update clears the bindings of other pilots, and those of this pilot up to Number
 }
 
 // Event is an input of Mover.Step. Exactly one field is set.
 type Event struct {
 	Joined      *Joined
-	Forgotten   *ProxyID // a proxy that is dead for good, or comes back without bindings
+	Forgotten   *ProxyID // a proxy that was removed permanently, or that restarts without its bindings
 	Confirmed   *Confirmation
 	MoveRequest *MoveRequest
 	Cancel      *string // a tenant: cancels its move, which returns to the old placement
--- a/tenancy/move_test.go
+++ b/tenancy/move_test.go
@@ -181,7 +181,7 @@
 	}
 }
 
-// deliver lets a try arrive at its target, which drops duplicates within the window.
+// deliver simulates the arrival of a try at its target, which drops duplicates within the window.
 func (w *simulation) deliver(i int) {
 	f := w.flights[i]
 	w.flights = slices.Delete(w.flights, i, i+1)
--- a/tenancy/quarantine.go
+++ b/tenancy/quarantine.go
@@ -9,11 +9,11 @@
 
 // Parameters of the quarantine. Shares are from 0 to 1; times are numbers of reporting periods.
 const (
-	unhealthyShare  = 0.12 // a pod or tenant with a larger share of its tries failing is unhealthy
+	unhealthyShare  = 0.12 // a pod or tenant with a larger share of its ops failing is unhealthy
 	unhealthyLoad   = 0.88 // a pod with this load is unhealthy
 	dominantShare   = 0.5  // a tenant that takes more of an unhealthy pod's busy time or failures may be the cause
 	unfairFactor    = 3.0  // a cause also uses more than this many times the mean busy time per tenant of the pod
-	ruinousShare    = 0.9  // a tenant is ruinous if this share of its tries fail, and unfairFactor times the others' share
+	ruinousShare    = 0.9  // a tenant is ruinous if this share of its ops fail, and less than this/unfairFactor of others' ops
 	ruinousMinOps   = 1.0  // ops per period below which a tenant is not considered ruinous
 	limitAfter      = 2    // bad periods in a row before a tenant is limited, and again before it is fenced
 	allowedFactor   = 2.0  // multiple of its fair usage that a limited tenant may still use
@@ -30,7 +30,7 @@
 	maxTenants      = 4096 // tenants tracked one by one; of new ones beyond that, the least busy are aggregated
 )
 
-// RetriesPerOp is how many tries beyond the first, per op, a proxy may make for a tenant that is not limited.
+// RetriesPerOp is the mean number of retries per op that a proxy may make for a tenant that is not limited.
 const RetriesPerOp = 0.2
 
 // opsAt estimates the tenant's ops at one pod, as a running mean per period. It divides the ops by the busy time that
@@ -202,7 +202,7 @@
 	}
 	out := slices.Clone(uses)
 	for i := range out {
-		if _, folded := newTenants[out[i].Tenant]; folded {
+		if _, aggregated := newTenants[out[i].Tenant]; aggregated {
 			out[i].Tenant = AggregatedTenant
 		}
 	}
--- a/tenancy/quarantine_test.go
+++ b/tenancy/quarantine_test.go
@@ -68,7 +68,7 @@
 			t.Errorf("%s: limits after six periods: %+v", c.name, limits)
 		}
 	}
-	// While the queues that a flood left still make ops fail, the busiest of the other tenants is not limited.
+	// While ops still fail because of queues that the flood left behind, the busiest remaining tenant is not limited.
 	q, limits := NewQuarantine(time.Second), map[string]Limit{}
 	runPeriods(q, 4, limits, flood, 0.6)
 	runPeriods(q, 3, limits, func(i int, u *Usage) {
--- a/tenancy/select.go
+++ b/tenancy/select.go
@@ -49,7 +49,7 @@
 				podsInZone[c.Zone]++
 			}
 		}
-		for _, c := range candidates { // a zone with no pods left does not hold up the others
+		for _, c := range candidates { // zones with no pods left also advance to the next round
 			if podsInZone[c.Zone] == round {
 				podsInZone[c.Zone]++
 			}
