--- a/policy/admission.go
+++ b/policy/admission.go
@@ -10,7 +10,7 @@
 // opType holds what the decisions need of one op type.
 type opType struct {
 	costSeconds, revenuePerSecond float64 // seconds of work per op, estimated as its target latency; revenue per second of work
-	level                         float64 // level last sent; negative before the first
+	level                         float64 // last level sent; negative before the first
 }
 
 // updateAdmission sets the share of the work that is admitted: the capacity of the servers over the offered work,
--- a/policy/cells.go
+++ b/policy/cells.go
@@ -14,7 +14,8 @@
 	area  int
 	// servers counts the listed servers; ready, warm and unhealthy count those of them that are in this state.
 	servers, ready, warm, unhealthy int
-	// live is set while the cell has capacity and answers; closedToCold is set while it is too loaded for cold servers.
+	// live is set while the cell has capacity and answers; closedToCold is set while its load or
+	// its share of failed tries is too high for cold servers, or its load is not known.
 	live, closedToCold bool
 	failures           failureTally // over its servers
 	// liveChangedAt is the last change of live; answeredAt is the time of the last statistics with an answered try.
@@ -25,8 +26,8 @@
 	demand, capacity, loadPercent, score, loadReports float64
 }
 
-// createCells lays out the cells of each area by the first list: as many as leave enough servers and proxies for
-// each.
+// createCells creates the cells of each area from the first list: as many as leave enough servers and proxies for
+// each cell.
 func (a *Assigner) createCells() {
 	serversByArea := make([]float64, a.areaCount)
 	for _, e := range a.sortedEndpoints {
@@ -127,7 +128,7 @@
 }
 
 // fillLimitPercent returns the fill up to which a cell accepts proxies. It is higher the more crossing zones costs,
-// for a proxy then stays in its zone although the load is uneven.
+// so that a proxy then stays in its zone although the load is uneven.
 func (a *Assigner) fillLimitPercent() float64 {
 	return evenFillPercent * min(fullLoadPercent/cmp.Or(a.loadPercent, moderatePercent),
 		1+fillRatioPerCrossZonePrice*a.config.CrossZonePrice)
--- a/policy/placement.go
+++ b/policy/placement.go
@@ -40,7 +40,7 @@
 }
 
 // usesCommonTable reports whether a proxy without room in its cell goes to the common table: every proxy in a small
-// fleet, else a proxy that is too heavy for any one cell.
+// fleet, else a proxy whose demand is too great for any single cell.
 func (a *Assigner) usesCommonTable(p *proxy) bool {
 	heavy := p.demand/max(a.demand, epsilon)*float64(len(a.cells))*evenFillPercent > a.fillLimitPercent()
 	smallFleet := 3*len(a.tables) <= a.config.Proxies &&
--- a/policy/reasons.go
+++ b/policy/reasons.go
@@ -38,7 +38,7 @@
 	return e.unhealthyWhy
 }
 
-// levelReason returns the reason for changing a level from previous, which is negative before the first.
+// levelReason returns the reason for changing a level from previous, which is negative before the first level is sent.
 func (a *Assigner) levelReason(previous, level float64) control.Why {
 	switch {
 	case previous < 0 && level == 1:
