--- a/pilot/desired.go
+++ b/pilot/desired.go
@@ -20,7 +20,7 @@
 	proxies        map[control.ProxyID]*proxyState
 	limits         map[string]runtime.Change // limits of tenants, with rates over all proxies
 	budget         noticeBudget
-	pendingNotices map[control.ProxyID]bool // proxies with notices that are not sent
+	pendingNotices map[control.ProxyID]bool // proxies with notices that are not sent yet
 	nextTurn       control.ProxyID          // proxy at which the next round of notices begins
 
 	knownTables map[uint64][]runtime.Line // contents of tables that proxies hold from earlier runs, by digest
@@ -31,26 +31,26 @@
 type tableState struct {
 	id     control.TableID
 	lines  map[control.EndpointID]float64 // weights by endpoint
-	levels map[int]runtime.Change         // by op type
+	levels map[int]runtime.Change         // levels of this table by op type
 }
 
 // proxyState is what a joined proxy has been sent in its session.
 type proxyState struct {
 	id                 control.ProxyID
 	standing           map[control.EndpointID]bool // endpoints of its standing table
-	heldDigests        []uint64                    // digests of the tables that it held when it joined, by op type
-	holdsUnknownTables bool                        // it holds tables of an earlier session, which may contain any endpoint
-	bound              []*tableState               // its table by op type; nil: its standing table, or one of an earlier run
-	sentWithdrawn      map[control.EndpointID]bool // endpoints that it was last sent as withdrawn
-	levelsSent         bool                        // it has been sent globalLevels
-	stateCleared       bool                        // the withdrawals that it held from earlier runs have been cleared
+	heldDigests        []uint64                    // digests of the tables that the proxy held when it joined, by op type
+	holdsUnknownTables bool                        // the proxy holds tables of an earlier session, which may contain any endpoint
+	bound              []*tableState               // the proxy's table by op type; nil: its standing table, or one of an earlier run
+	sentWithdrawn      map[control.EndpointID]bool // endpoints that the proxy was last sent as withdrawn
+	levelsSent         bool                        // the proxy has been sent globalLevels
+	stateCleared       bool                        // the withdrawals that the proxy held from earlier runs have been cleared
 	notices            notices
 	nextNumber         uint64           // number of the next message
 	changes            []runtime.Change // changes of the message being composed
 }
 
 // newDesiredState returns an empty state without a bound on notices. headLines is the number of lines that a message counts for
-// in addition to its changes; serverOf returns the place of an endpoint.
+// in addition to its changes; serverOf returns the address, zone and pack of an endpoint.
 func newDesiredState(opTypeCount, headLines int, serverOf func(control.EndpointID) (runtime.Server, bool)) *desiredState {
 	return &desiredState{serverOf: serverOf, opTypeCount: opTypeCount, headLines: headLines,
 		tables:       map[control.TableID]*tableState{},
@@ -173,7 +173,7 @@
 }
 
 // finishMessage returns the message composed for a proxy and starts the next one. A negative checkpoint means none;
-// noticeLines is the number of its lines that count against the notice budget.
+// noticeLines is the number of the message's lines that count against the notice budget.
 func (ds *desiredState) finishMessage(proxy *proxyState, checkpoint, noticeLines int) outgoing {
 	if !proxy.levelsSent {
 		proxy.levelsSent = true
@@ -233,7 +233,7 @@
 	for _, proxy := range joined {
 		if proxy.isBoundTo(t) {
 			if c.Verb == runtime.AddServer {
-				ds.addState(proxy, o.Endpoint) // first, so that the proxy never uses a withdrawn endpoint
+				ds.addState(proxy, o.Endpoint) // sent before the line, so that the proxy never uses a withdrawn endpoint
 			}
 			proxy.add(c)
 		}
--- a/pilot/desired_test.go
+++ b/pilot/desired_test.go
@@ -12,7 +12,7 @@
 	"vetchdoor/runtime"
 )
 
-// serverAt returns the place of an endpoint: zone 0 or 1, known for ids below 100.
+// serverAt returns the address and zone (0 or 1) of an endpoint, and whether its id is below 100, which means that it is known.
 func serverAt(e control.EndpointID) (runtime.Server, bool) {
 	return runtime.Server{Address: netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), uint16(8000+e)), Zone: int(e % 2)}, e < 100
 }
@@ -86,7 +86,7 @@
 		control.PutLine{Table: 0, Endpoint: 30, Weight: 1})
 }
 
-// The channel keeps its rate and its bound, and a proxy that accepts no messages delays only its own.
+// The channel keeps to its rate and its bound, and a proxy that accepts no messages delays only its own messages.
 func TestChannel(t *testing.T) {
 	c := newChannel(1000, 100)
 	msg := func(p control.ProxyID, n uint64, lines int) outgoing {
@@ -133,7 +133,8 @@
 	}
 }
 
-// Sums of one zone are added up. Sums beyond the rate wait, are added up while they wait, and are released oldest first.
+// The intake adds up what the proxies of one zone report of an endpoint. Sums beyond the rate wait, are added to later reports
+// while they wait, and are released oldest first.
 func TestIntake(t *testing.T) {
 	in := newIntake(3, 1)
 	in.add(time.Second, 1, 0, &runtime.Sums{Window: time.Second, Types: []runtime.TypeSum{{OpType: 0, Ops: 5, Unacked: 9}},
@@ -161,7 +162,7 @@
 }
 
 // A tenant's limit is sent to all joined proxies, with an equal part of the rate for each, and to those that join later with
-// their first message. A limit that was lifted is not sent to new proxies.
+// their first message. A limit that has been removed is not sent to proxies that join afterwards.
 func TestLimitsReachAll(t *testing.T) {
 	ds := newDesiredState(1, 3, serverAt)
 	ds.join(1, nil, false, 0)
--- a/pilot/fleet_test.go
+++ b/pilot/fleet_test.go
@@ -39,7 +39,7 @@
 	if x.list, err = stand.Start("127.0.0.1:0", entries()); err != nil {
 		t.Fatal(err)
 	}
-	for i := range x.pilots { // each file needs the other's address, so ports are chosen first
+	for i := range x.pilots { // each pilot's file names the other pilot's address, so ports are chosen first
 		f := pilotFile(x.list.Address())
 		f.Name, f.Instance, f.Instances = fmt.Sprint("p", i), i, 2
 		x.files[i] = f
--- a/pilot/host/host.go
+++ b/pilot/host/host.go
@@ -25,7 +25,7 @@
 // Callbacks is implemented by the daemon that runs the module. All methods are called on the loop.
 type Callbacks interface {
 	InitialEvents() []control.Event                    // events that a new module gets after control.Start
-	Execute(now time.Duration, orders []control.Order) // carries out the orders of one Decide call, without the Wakes
+	Execute(now time.Duration, orders []control.Order) // carries out the orders of one Decide call except SetTimer
 	HandlePanic()                                      // called after a panic of the module, whose state is lost
 }
 
@@ -174,8 +174,8 @@
 	}
 }
 
-// decide passes the queued events to the module, schedules the timers that it orders and leaves its other orders to the
-// callbacks.
+// decide passes the queued events to the module, schedules the timers that it orders and passes its other
+// orders to Callbacks.Execute.
 func (h *Host) decide() {
 	events := h.events
 	h.events = nil
@@ -202,7 +202,8 @@
 	h.Callbacks.Execute(now, others)
 }
 
-// scheduleWake queues a Ring event once a Wake's delay has passed, unless the module has been replaced since.
+// scheduleWake queues a control.TimerFired event once the delay of a control.SetTimer order has passed, unless the module has
+// been replaced since.
 func (h *Host) scheduleWake(w control.SetTimer) {
 	generation := h.generation
 	h.After(w.After, func() {
--- a/pilot/host/host_test.go
+++ b/pilot/host/host_test.go
@@ -79,7 +79,7 @@
 	return n
 }
 
-// startHost runs a host with a recordingModule whose first reply orders a Wake and a Note.
+// startHost runs a host with a recordingModule whose first reply consists of a SetTimer and a LogMessage order.
 func startHost(t *testing.T) *recordingModule {
 	s := &recordingModule{}
 	s.host = New(control.Config{Tick: time.Millisecond}, 7, slog.New(slog.DiscardHandler))
@@ -90,8 +90,8 @@
 	return s
 }
 
-// The first batch consists of Start and the initial events. A Wake order comes back as a Ring event and is not passed to
-// Execute.
+// The first batch consists of Start and the initial events. A SetTimer order results in a TimerFired event and is not
+// passed to Execute.
 func TestStartAndWake(t *testing.T) {
 	s := startHost(t)
 	s.waitFor(t, "the Ring event", func() bool {
@@ -123,7 +123,7 @@
 	})
 }
 
-// After a panic a new module is started. Wakes that the old module ordered do not reach the new one.
+// After a panic a new module is started. Timers that the old module set do not fire in the new one.
 func TestPanicStartsNewModule(t *testing.T) {
 	s := startHost(t)
 	s.mu.Lock()
--- a/pilot/list.go
+++ b/pilot/list.go
@@ -22,7 +22,8 @@
 	var known []roster.Entry
 	for _, e := range u.Entries {
 		if e.Mode == "gone" {
-			if old, ok := p.list[e.Endpoint]; ok { // the place is still needed to withdraw it from proxies
+			// The address, zone and pack are kept, because they are needed to withdraw the endpoint from proxies.
+			if old, ok := p.list[e.Endpoint]; ok {
 				e.Address, e.Zone, e.Pack = old.Address, old.Zone, old.Pack
 			}
 		}
@@ -121,7 +122,7 @@
 	pilot   string
 	log     *slog.Logger
 	mu      sync.Mutex
-	pending func() error // writes the newest version; nil if it is written
+	pending func() error // writes the newest version of the list; nil if it has been written
 	wake    chan struct{}
 	done    chan struct{}
 }
--- a/pilot/moves.go
+++ b/pilot/moves.go
@@ -18,21 +18,21 @@
 )
 
 // mover carries out the moves of tenants that tenancy.Mover decides. The records of a step are written to disk on another
-// goroutine, and only then are its orders sent to the proxies, in turn and when the channel has no other message to send. It
-// is used only on the loop.
+// goroutine, and only then are its binding updates sent to the proxies, in turn and when the channel has no other message to
+// send. The mover is used only on the loop.
 type mover struct {
 	*tenancy.Mover
 	store           *store.Store
 	writer          *storeWriter
-	wake            *time.Timer           // calls stepMover when the mover asked for it
-	sendingSessions []*session            // sessions with orders to send, in turn
+	wake            *time.Timer           // calls stepMover after the delay in tenancy.StepResult.Wake
+	sendingSessions []*session            // sessions with binding updates to send, in turn
 	moved           uint64                // number of moves that were completed
 	cancelled       uint64                // number of moves that were cancelled
-	recentEnds      []tenancy.MoveResult  // the latest ends of moves, for show move
+	recentEnds      []tenancy.MoveResult  // results of the latest moves, for show move
 	restoredLimits  []tenancy.LimitRecord // limits loaded from the store at the start
 }
 
-// sessionOrder is an order for one session of a proxy. It is not sent if the session has ended.
+// sessionOrder is a binding update for one session of a proxy. It is not sent if the session has ended.
 type sessionOrder struct {
 	tenancy.BindingUpdate
 	s *session
@@ -115,7 +115,7 @@
 	return done.Refused
 }
 
-// queueBindings queues orders whose records are on disk.
+// queueBindings queues binding updates whose records are on disk.
 func (p *Pilot) queueBindings(orders []sessionOrder) {
 	for _, order := range orders {
 		if p.sessions[order.s.id] != order.s { // the proxy left; it gets the binding when it joins again
@@ -163,7 +163,7 @@
 	return true
 }
 
-// waitingOrders returns the number of stored orders that are not sent.
+// waitingOrders returns the number of stored binding updates that are not sent.
 func (m *mover) waitingOrders() (n int) {
 	for _, s := range m.sendingSessions {
 		n += len(s.bindings)
@@ -189,7 +189,7 @@
 }
 
 // storeWriter writes the records of the mover's steps to the store, in order and in batches. A write that fails is retried
-// every second, and no order is sent before the records of its step and of all earlier steps are written.
+// every second, and no binding update is sent before the records of its step and of all earlier steps are written.
 type storeWriter struct {
 	store   *store.Store
 	log     *slog.Logger
@@ -198,9 +198,9 @@
 	records map[string]tenancy.Record // newest record of each tenant, to be stored
 	known   []tenancy.ProxyID         // proxies to be stored; nil: unchanged
 	limits  []tenancy.LimitRecord     // limits to be stored; nil: unchanged
-	orders  []sessionOrder            // orders to be sent once records is stored
-	pruneAt int                       // number of orders at which those of ended sessions are removed
-	err     error                     // of the last write
+	orders  []sessionOrder            // binding updates to be sent once records is stored
+	pruneAt int                       // length of orders at which those of ended sessions are removed
+	err     error                     // error of the last write; nil if it succeeded
 	wake    chan struct{}
 	stop    chan struct{}
 	done    chan struct{}
@@ -209,7 +209,8 @@
 // minPruneAt is the lowest value of storeWriter.pruneAt.
 const minPruneAt = 1 << 16
 
-// startStoreWriter starts the goroutine that writes to the store. It calls send with the orders whose records are written.
+// startStoreWriter starts the goroutine that writes to the store. It calls send with the binding updates whose records are
+// written.
 func startStoreWriter(s *store.Store, log *slog.Logger, send func([]sessionOrder)) *storeWriter {
 	w := &storeWriter{store: s, log: log, send: send, pruneAt: minPruneAt, records: map[string]tenancy.Record{},
 		wake: make(chan struct{}, 1), stop: make(chan struct{}), done: make(chan struct{})}
@@ -217,8 +218,8 @@
 	return w
 }
 
-// add queues the result of a step. While writes fail, memory is bounded by one record per tenant and the orders of current
-// sessions, for which isCurrent reports true.
+// add queues the result of a step. While writes fail, memory is bounded by one record per tenant and the binding updates
+// of current sessions, for which isCurrent reports true.
 func (w *storeWriter) add(result tenancy.StepResult, orders []sessionOrder, isCurrent func(sessionOrder) bool) {
 	w.mu.Lock()
 	for _, r := range result.Records {
@@ -253,7 +254,8 @@
 	w.wakeUp()
 }
 
-// run writes what is queued until stop is closed, and then once more. Orders of that last write are not sent.
+// run writes what is queued until stop is closed, and then once more unless a failed write is being retried. The binding
+// updates of that last write are not sent.
 func (w *storeWriter) run() {
 	defer close(w.done)
 	for {
@@ -370,7 +372,7 @@
 	return p.requestMove(words[2], where, len(where) == 0, waitForOpen)
 }
 
-// requestMove requests a move of a tenant to a seat, given as changes to its present seat, or to a new draw.
+// requestMove requests a move of a tenant to a placement, given as changes to its present one, or to a new draw of pods.
 func (p *Pilot) requestMove(name string, where []string, newDraw, waitForOpen bool) error {
 	if p.mover == nil {
 		return p.applyCommand(tenancy.Event{})
@@ -485,7 +487,7 @@
 	return nil
 }
 
-// formatProxyIDs formats the ids of at most eight proxies and the number of the others.
+// formatProxyIDs formats the ids of at most eight proxies and the number of further ids.
 func formatProxyIDs(ids []tenancy.ProxyID) string {
 	const maxIDs = 8
 	s := ""
--- a/pilot/moves_test.go
+++ b/pilot/moves_test.go
@@ -84,7 +84,7 @@
 	return func() bool { return strings.Contains(r.command(cmd), want) }
 }
 
-// tenantSeat returns a proxy's line for a tenant; empty if it has none.
+// tenantSeat returns a proxy's show tenant line for a tenant, which contains its placement; empty if there is none.
 func tenantSeat(p *proxy.Proxy, name string) string {
 	for line := range strings.Lines(p.TenantInfo(name)) {
 		if strings.HasPrefix(line, "="+name+",") {
@@ -94,7 +94,7 @@
 	return ""
 }
 
-// waitSeated waits until proxies have the tenant delo at a seat, with its writes permitted.
+// waitSeated waits until the proxies have the given placement of the tenant delo, with its writes permitted.
 func (r *movesRig) waitSeated(want string, ps ...*proxy.Proxy) {
 	r.t.Helper()
 	for _, p := range ps {
@@ -119,8 +119,8 @@
 	return a.StatusCode, a.Header.Get("Retry-After") + " " + string(text)
 }
 
-// A tenant is moved several times, at last to its home seat. A proxy that starts without a pilot has the seat from its file,
-// and a proxy without a file gets it when it joins.
+// A tenant is moved several times, at last to its default placement. A proxy that starts without a pilot has the placement
+// from its file, and a proxy without a file gets it when it joins.
 func TestMove(t *testing.T) {
 	r := newMovesRig(t, nil)
 	x, y, _ := r.twoProxies()
@@ -187,13 +187,13 @@
 	if status, text := postWrite(t, x); status != 503 || !strings.HasPrefix(text, "1 the tenant is being moved") {
 		t.Errorf("%d %s", status, text)
 	}
-	r.command("move tenant delo draw 7") // while the first move is held up
+	r.command("move tenant delo draw 7") // the first move is still waiting for a confirmation
 	r.waitFor("waits", r.replyContains("show move", "Waiting: 1\n"))
 	r.command("cancel move delo")
 	r.waitFor("cancelled", r.replyContains("show move", "Cancelled: 1\n"))
 	r.waitFor("begins", r.replyContains("show move", "pods *,draw 7 size 0 pods *,"))
 	stall(0)
-	y.Kill() // it restarts with the bindings in its file
+	y.Kill() // the proxy is restarted with the bindings in its file
 	again := startProxy(t, r.proxyFile(2, r.p.Address()), nil)
 	r.waitSeated("draw 7 size 0 pods *", x, again)
 }
--- a/pilot/notices.go
+++ b/pilot/notices.go
@@ -11,16 +11,16 @@
 	"vetchdoor/tenancy"
 )
 
-// Notices are lines that the pilot sends without an order of the module: new places of endpoints that moved, and limits of
-// tenants. The module fills the channel by counting only the lines that it ordered, so notices are confined to a part of the
-// channel that is withheld from the module. A notice that does not fit is kept as a mark, not as a line: an endpoint that
-// moves again before the notice is sent takes only one line.
+// Notices are lines that the pilot sends without an order of the module: the new location (address, zone and pack) of endpoints
+// whose location changed, and limits of tenants. The module fills the channel by counting only the lines that it ordered, so
+// notices are confined to a part of the channel that is withheld from the module. A notice that does not fit is kept as a mark,
+// not as a line: an endpoint that changes its location again before the notice is sent takes only one line.
 
 // notices are the pending notices of one proxy.
 type notices struct {
-	movedEndpoints   map[control.EndpointID]bool // endpoints whose new place is not sent
-	changedLimits    map[string]bool             // tenants whose changed limit is not sent
-	unconfirmedLines int                         // lines sent to the proxy and not confirmed
+	movedEndpoints   map[control.EndpointID]bool // endpoints whose new location is not sent yet
+	changedLimits    map[string]bool             // tenants whose changed limit is not sent yet
+	unconfirmedLines int                         // lines of notices queued for or sent to the proxy and not confirmed
 	notBefore        time.Duration               // earliest time of the next message that consists of notices alone
 }
 
@@ -32,13 +32,13 @@
 // messages that consist of notices alone to one proxy.
 type noticeBudget struct {
 	maxLines, usedLines int
-	minInterval         time.Duration // between two such messages to one proxy; 0: no bound
+	minInterval         time.Duration // least time between two messages of notices alone to one proxy; 0: no bound
 }
 
 // freeLines returns the number of lines left in the budget.
 func (n noticeBudget) freeLines() int { return n.maxLines - n.usedLines }
 
-// markMoved marks endpoints whose place changed for all proxies that have them in a table.
+// markMoved marks endpoints whose location changed for all proxies that have them in a table.
 func (ds *desiredState) markMoved(endpoints []control.EndpointID) {
 	for id, proxy := range ds.proxies {
 		for _, e := range endpoints {
@@ -64,7 +64,7 @@
 }
 
 // noticeMessages returns messages of pending notices as far as the budget allows, serving the proxies in turn. wait is the time
-// until minInterval permits the next message to one of the others; it is negative if none waits for that.
+// until minInterval permits the next message to one of the skipped proxies; it is negative if no proxy waits for that.
 func (ds *desiredState) noticeMessages(now time.Duration) (messages []outgoing, wait time.Duration) {
 	wait = -1
 	if len(ds.pendingNotices) == 0 || ds.budget.freeLines() <= ds.headLines {
@@ -126,7 +126,7 @@
 	return lines
 }
 
-// serverChanges returns changes that give a proxy the present place of an endpoint in each of its tables that contain it.
+// serverChanges returns changes that give a proxy the present location of an endpoint in each of its tables that contain it.
 func (ds *desiredState) serverChanges(proxy *proxyState, e control.EndpointID) (changes []runtime.Change) {
 	at, ok := ds.serverOf(e)
 	if !ok {
@@ -160,7 +160,7 @@
 	return c
 }
 
-// spendBudget charges lines of notices to a proxy to the budget; a negative number returns lines to it.
+// spendBudget charges a proxy's lines of notices to the budget; a negative number returns lines to the budget.
 func (ds *desiredState) spendBudget(proxy *proxyState, lines int) {
 	proxy.notices.unconfirmedLines += lines
 	ds.budget.usedLines += lines
--- a/pilot/notices_test.go
+++ b/pilot/notices_test.go
@@ -9,7 +9,7 @@
 )
 
 // Notices must not exceed their part of the channel, and no proxy may be starved. A notice that does not fit waits, with the
-// newest place only, until other notices are confirmed or their proxy leaves.
+// newest location only, until notices of other proxies are confirmed or such a proxy leaves.
 func TestNoticeBudget(t *testing.T) {
 	ds := newDesiredState(1, 3, serverAt)
 	bound := []control.Order{control.PutLine{Endpoint: 5, Weight: 1}, control.PutLine{Endpoint: 6, Weight: 1}}
--- a/pilot/pilot.go
+++ b/pilot/pilot.go
@@ -257,7 +257,8 @@
 }
 
 // sendNotices enqueues pending notices as far as the notice budget allows. Where messages per proxy are capped, each proxy gets
-// at most one message of notices within the cap's span; files.Facts reserves room for it beside the module's messages.
+// at most one message that consists of notices alone in each MessageCapWindow; files.Pilot.ControlConfig lowers the module's
+// MessageCap by one for it.
 func (p *Pilot) sendNotices() {
 	messages, wait := p.desired.noticeMessages(p.host.Now())
 	p.enqueueMessages(p.host.Now(), messages)
--- a/pilot/pilot_test.go
+++ b/pilot/pilot_test.go
@@ -32,8 +32,8 @@
 
 func TestMain(m *testing.M) { leak.Main(m) }
 
-// scriptedModule is a decision module that returns the orders set by a test and records the events that it gets. A Ring event
-// with label 666 makes it panic.
+// scriptedModule is a decision module that returns the orders set by a test and records the events that it gets. A
+// TimerFired event with label 666 makes it panic.
 type scriptedModule struct {
 	mu         sync.Mutex
 	events     []control.Event
@@ -272,7 +272,7 @@
 }
 
 // A message takes effect once, and the module sees one confirmation and no Left event, if the stream breaks before the message
-// arrives, while it is applied, after it is applied, or while it is confirmed.
+// arrives, while the proxy applies it, after the proxy has applied it, or while the proxy confirms it.
 func TestResendAfterDisconnect(t *testing.T) {
 	for _, phase := range []string{"before", "during", "after", "confirm lost"} {
 		t.Run(phase, func(t *testing.T) {
--- a/pilot/records.go
+++ b/pilot/records.go
@@ -199,8 +199,8 @@
 	}
 }
 
-// recordSent starts tracking the checkpoint of one reply, if it has one, at the proxies whose messages carry it. There may be
-// none.
+// recordSent starts tracking the checkpoint of one reply, if it has one, at the proxies whose messages carry it. It may
+// be that no message carries it.
 func (r *recorder) recordSent(orders []control.Order, messages []outgoing) {
 	if r == nil {
 		return
@@ -238,7 +238,8 @@
 	r.enqueue(0, func() { r.confirmCheckpoint(id, number, took) })
 }
 
-// confirmCheckpoint marks the oldest open checkpoint with that number as confirmed by a proxy, and closes it once all have.
+// confirmCheckpoint marks the oldest open checkpoint with that number as confirmed by a proxy, and closes
+// it once all proxies have confirmed it.
 func (r *recorder) confirmCheckpoint(id control.ProxyID, number int, took time.Duration) {
 	for i, c := range r.openCheckpoints {
 		if confirmed, there := c.sent[id]; there && !confirmed && c.number == number {
--- a/pilot/session.go
+++ b/pilot/session.go
@@ -19,11 +19,11 @@
 	conn             *connection             // nil while the proxy is disconnected
 	generation       int                     // number of connects and disconnects, so that the timer of an earlier disconnect is ignored
 	unconfirmed      []outgoing              // messages sent and not confirmed, oldest first
-	unconfirmedLines int                     // total of the lines in unconfirmed
-	digests          []uint64                // of the tables that the proxy held when it joined
+	unconfirmedLines int                     // total number of lines of the messages in unconfirmed
+	digests          []uint64                // digests, by op type, of the tables that the proxy held when it joined
 	standing         bool                    // the proxy held only its standing tables when it joined
 	announced        bool                    // control.Joined was queued for the module
-	bindings         []tenancy.BindingUpdate // orders of the mover that are stored but not sent
+	bindings         []tenancy.BindingUpdate // binding updates of the mover that are stored but not sent
 }
 
 // newSession starts a session with the tables that the proxy reports in its hello.
@@ -74,7 +74,7 @@
 // missing or do not fit, so that the session cannot be resumed.
 func (p *Pilot) resume(s *session, applied uint64) bool {
 	for len(s.unconfirmed) > 0 && s.unconfirmed[0].Number <= applied {
-		p.confirm(s, s.unconfirmed[0]) // applied, but the confirmation was lost with the stream
+		p.confirm(s, s.unconfirmed[0]) // the proxy applied the message, but its confirmation was lost with the stream
 	}
 	if len(s.unconfirmed) > 0 && s.unconfirmed[0].Number != applied+1 {
 		return false
--- a/pilot/streams.go
+++ b/pilot/streams.go
@@ -15,11 +15,11 @@
 	pilot        *Pilot
 	stream       *stream.Conn
 	blocks       *runtime.BlockReader
-	refused      bool // it sent a malformed block, so its data is ignored; used only by Data
+	refused      bool // the peer sent a malformed block, so further data is ignored; used only by Data
 	id           control.ProxyID
-	joined       bool // its hello was answered with a welcome; set on the loop
+	joined       bool // the proxy's hello was answered with a welcome; set on the loop
 	opened       time.Time
-	lastReceived time.Time // set on the loop
+	lastReceived time.Time // when the last complete block arrived, at first when accepted; set on the loop
 }
 
 // maxBlockBytes bounds the size of one received block, in bytes.
@@ -139,15 +139,16 @@
 	p.sendGoAway(c, runtime.GoAway{Reason: reason})
 }
 
-// sendGoAway sends the message and ends the stream once it is written.
+// sendGoAway sends a go-away message and ends the stream once the message is written.
 func (p *Pilot) sendGoAway(c *connection, g runtime.GoAway) {
 	delete(p.connections, c)
 	_ = c.stream.Send(g.Append(nil))
 	c.stream.CloseGracefully()
 }
 
-// checkConnections closes streams that sent nothing for the silence timeout, and connections without a hello after it. It pings
-// the joined proxies and does the other periodic work of the loop.
+// checkConnections closes the streams of joined proxies that sent nothing for the silence timeout, and connections on which no
+// proxy joined within the silence timeout after they were opened. It pings the joined proxies and does the other periodic work
+// of the loop.
 func (p *Pilot) checkConnections() {
 	p.records.expireCheckpoints()
 	p.forgetGoneEndpoints()
--- a/proxy/bindings.go
+++ b/proxy/bindings.go
@@ -22,8 +22,8 @@
 // recently. A value is immutable once published; every change makes a new one.
 type bindings struct {
 	byTenant  map[string]tenancy.Binding
-	pilot     string        // the pilot whose binding orders are included up to number upTo; empty if no pilot's are complete
-	upTo      uint64        // number up to which the orders of pilot are included
+	pilot     string        // the pilot whose binding updates are included up to number upTo; empty if no pilot's are complete
+	upTo      uint64        // number up to which the updates of pilot are included
 	writeWait time.Duration // longest time a write can be in progress plus the longest deduplication window of a group
 
 	// unsynced is true if bindings are persisted, so that tenants may have been moved, but no pilot has yet sent this proxy
@@ -101,7 +101,7 @@
 }
 
 // bindingStore persists bindings in a file of JSON lines. The newest line of a tenant counts. The last line without a tenant
-// states up to which order of which pilot the bindings are complete. A goroutine writes the file; the application of a
+// states up to which update of which pilot the bindings are complete. A goroutine writes the file; the application of a
 // message waits for it for at most maxSaveWait.
 type bindingStore struct {
 	path      string
@@ -118,12 +118,12 @@
 }
 
 // storedLine is one line of the file. A line with a tenant sets or removes the tenant's binding. A line without one states
-// up to which order of which pilot the bindings are complete.
+// up to which update of which pilot the bindings are complete.
 type storedLine struct {
 	Tenant  *string          `json:"tenant,omitempty"`
 	Binding *tenancy.Binding `json:"binding,omitempty"` // nil: the tenant has its default placement
 	Pilot   string           `json:"pilot,omitempty"`
-	UpTo    uint64           `json:"up_to,omitempty"` // number of the last order included
+	UpTo    uint64           `json:"up_to,omitempty"` // number of the last update included
 }
 
 // maxSaveWait is how long the application of a message waits for its bindings to be written to disk.
@@ -177,7 +177,7 @@
 	return append(append(out, text...), '\n')
 }
 
-// appendOwner appends the line that states up to which order of which pilot the bindings are complete.
+// appendOwner appends the line that states up to which update of which pilot the bindings are complete.
 func (b *bindings) appendOwner(out []byte) []byte {
 	return appendLine(out, storedLine{Pilot: b.pilot, UpTo: b.upTo})
 }
--- a/proxy/pilot_client.go
+++ b/proxy/pilot_client.go
@@ -145,8 +145,8 @@
 	return h
 }
 
-// watch returns when the stream has ended. It closes the stream itself if ctx ends, the pilot is silent for too long, or the
-// preferred pilot has room again. It notifies the selector of the welcome, and reports whether it received one.
+// watch returns when the stream has ended, or once it has closed the stream because ctx has ended, the pilot has been silent for
+// too long, or the preferred pilot has room again. It notifies the selector of the welcome, and reports whether it received one.
 func (c *pilotClient) watch(ctx context.Context, s *pilotStream, conn *stream.Conn, address string) (welcomed bool) {
 	check := time.NewTicker(c.silenceTimeout / checksPerSilence)
 	defer check.Stop()
--- a/proxy/tenants.go
+++ b/proxy/tenants.go
@@ -16,7 +16,7 @@
 	"vetchdoor/tenancy/match"
 )
 
-// tenants attributes ops to tenants and confines each tenant to its subset of the servers.
+// tenants attributes ops to tenants and restricts each tenant to its subset of the servers.
 type tenants struct {
 	matcher    *match.Matcher
 	subsetSize int                           // pods in a tenant's subset; 0: all
@@ -48,7 +48,7 @@
 	mu     sync.Mutex           // guards the fields below
 	budget tenancy.RetryBudget  // tries beyond the first
 	credit tenancy.BorrowCredit // success rate; decides whether the tenant may borrow a pod
-	lent   tenancy.BorrowState  // where the tenant's writes went last
+	lent   tenancy.BorrowState  // pod to which the tenant's latest writes were sent
 
 	allowance tenancy.Allowance // op rate and ops in progress
 }
@@ -110,7 +110,7 @@
 }
 
 // admit reports whether the tenant's limit admits an op of the given revenue rank, and counts the op as in progress if so.
-// It also adds the op's share of a retry to the tenant's budget. A nil tenant admits every op.
+// It also credits the tenant's retry budget with the retries that one op earns (Limit.Tries). A nil tenant admits every op.
 func (t *tenant) admit(l tenancy.Limit, rank float64, now time.Duration) bool {
 	if t == nil {
 		return true
@@ -152,7 +152,7 @@
 	validUntil time.Duration // when candidates must be recomputed, since the proxy's start
 	cache      subsetCache
 
-	zones map[tenancy.PodID]*zonePods // by the pod ID that stands for the zone, see tenancy.ZoneOf
+	zones map[tenancy.PodID]*zonePods // by the pod ID that stands for the zone, see tenancy.ZoneGroup
 }
 
 // zonePods are the pods of a zone that have a server in a table, and the cached subsets of tenants among them. The pods are
