--- a/pilot/admin.go
+++ b/pilot/admin.go
@@ -77,7 +77,7 @@
 	if m := p.mover; m != nil {
 		moving, waiting := m.ActiveMoves(p.host.Now())
 		fmt.Fprintf(w, "Moves: %d\nMoves_waiting: %d\nMoved: %d\nMoves_cancelled: %d\nBindings_waiting: %d\n", len(moving), waiting,
-			m.moved, m.cancelled, m.waitingOrders())
+			m.moved, m.cancelled, m.waitingUpdates())
 	}
 }
 
--- a/pilot/desired.go
+++ b/pilot/desired.go
@@ -301,7 +301,8 @@
 }
 
 // adoptTable adds a table to a proxy's message as the difference to a table that the proxy holds from an earlier run for one of
-// the op types. It reports false, and adds nothing, if no such table is known or the difference is longer than the table.
+// the op types. It reports false, and adds nothing, if no such table is known or the changes, including the one that names the
+// adopted table, outnumber the lines of the new table.
 func (ds *desiredState) adoptTable(proxy *proxyState, t *tableState, opTypes uint16) bool {
 	var best []runtime.Change
 	for i, d := range proxy.heldDigests {
--- a/pilot/desired_test.go
+++ b/pilot/desired_test.go
@@ -100,11 +100,11 @@
 	if c.push(msg(1, 9, 1)) {
 		t.Fatal("message beyond the bound accepted")
 	}
-	shut := func(id control.ProxyID, lines int) bool { return id != 0 }
+	accepts := func(id control.ProxyID, lines int) bool { return id != 0 }
 	var sent []uint64
 	now := time.Second
 	for {
-		m, ok, wait := c.next(now, shut)
+		m, ok, wait := c.next(now, accepts)
 		if !ok && wait < 0 {
 			break
 		}
--- a/pilot/forget_test.go
+++ b/pilot/forget_test.go
@@ -10,9 +10,9 @@
 	"vetchdoor/roster"
 )
 
-// A server that is gone from the list is forgotten once no table contains it and it is not withdrawn any more; the module's
-// part of this is tested in package policy. Otherwise a pilot would keep every server that was ever listed, in memory and on
-// disk.
+// The pilot deletes a server that is gone from the list once no table contains it and it is not withdrawn any more; the same in
+// the decision module is tested in package policy. Otherwise a pilot would keep every server that was ever listed, in memory
+// and on disk.
 func TestForgetsGoneServers(t *testing.T) {
 	r := newRig(t)
 	r.p.post(func() { r.p.keepGone = 0 })
--- a/pilot/host/host.go
+++ b/pilot/host/host.go
@@ -59,11 +59,11 @@
 
 // New returns a host with the default module and a silence timeout of 10 s. A tick that is not positive becomes 5 ms.
 // Now counts from this call.
-func New(facts control.Config, seed uint64, log *slog.Logger) *Host {
-	if facts.Tick <= 0 {
-		facts.Tick = 5 * time.Millisecond
+func New(config control.Config, seed uint64, log *slog.Logger) *Host {
+	if config.Tick <= 0 {
+		config.Tick = 5 * time.Millisecond
 	}
-	return &Host{Facts: facts, Seed: seed, Log: log, SilenceTimeout: 10 * time.Second, epoch: time.Now(),
+	return &Host{Facts: config, Seed: seed, Log: log, SilenceTimeout: 10 * time.Second, epoch: time.Now(),
 		inbox: make(chan func(), 1024), stop: make(chan struct{}), stopped: make(chan struct{}),
 		NewDecider: func() Decider { return &policy.Assigner{} }}
 }
@@ -193,8 +193,8 @@
 	}
 	others := orders[:0:0]
 	for _, o := range orders {
-		if wake, ok := o.(control.SetTimer); ok {
-			h.scheduleWake(wake)
+		if timer, ok := o.(control.SetTimer); ok {
+			h.scheduleTimer(timer)
 		} else {
 			others = append(others, o)
 		}
@@ -202,9 +202,9 @@
 	h.Callbacks.Execute(now, others)
 }
 
-// scheduleWake queues a control.TimerFired event once the delay of a control.SetTimer order has passed, unless the module has
+// scheduleTimer queues a control.TimerFired event once the delay of a control.SetTimer order has passed, unless the module has
 // been replaced since.
-func (h *Host) scheduleWake(w control.SetTimer) {
+func (h *Host) scheduleTimer(w control.SetTimer) {
 	generation := h.generation
 	h.After(w.After, func() {
 		if h.generation == generation {
--- a/pilot/host/host_test.go
+++ b/pilot/host/host_test.go
@@ -135,7 +135,7 @@
 	s.waitFor(t, "the Start event of the second module", func() bool {
 		return s.countEvents(func(e control.Event) bool { x, ok := e.(control.Start); return ok && x.Seed == 8 }) == 1
 	})
-	s.host.Post(func() { s.host.scheduleWake(control.SetTimer{After: 100 * time.Millisecond, Label: 78}) })
+	s.host.Post(func() { s.host.scheduleTimer(control.SetTimer{After: 100 * time.Millisecond, Label: 78}) })
 	s.waitFor(t, "the Ring event of the second module", func() bool {
 		return s.countEvents(func(e control.Event) bool { return e == control.TimerFired{Label: 78} }) == 1
 	})
--- a/pilot/intake.go
+++ b/pilot/intake.go
@@ -17,12 +17,12 @@
 	measureCount   int                           // length of a valid load report
 	isKnown        func(control.EndpointID) bool // endpoints whose sums are kept; nil: all
 	opTypeCount    int                           // number of op types; 0: not checked
-	digests        map[digestKey]*pendingSum
+	endpoints      map[endpointKey]*pendingSum
 	arrivals       map[arrivalKey]*pendingSum
 }
 
-// digestKey identifies the sum of the tries that the proxies of one zone made at an endpoint.
-type digestKey struct {
+// endpointKey identifies the sum of the tries that the proxies of one zone made at an endpoint.
+type endpointKey struct {
 	zone     int
 	endpoint control.EndpointID
 }
@@ -43,7 +43,7 @@
 
 // newIntake returns an intake with a rate in lines per second, for load reports with the given number of measures.
 func newIntake(linesPerSecond float64, measureCount int) *intake {
-	return &intake{linesPerSecond: linesPerSecond, measureCount: measureCount, digests: map[digestKey]*pendingSum{},
+	return &intake{linesPerSecond: linesPerSecond, measureCount: measureCount, endpoints: map[endpointKey]*pendingSum{},
 		arrivals: map[arrivalKey]*pendingSum{}}
 }
 
@@ -60,7 +60,7 @@
 		if in.isKnown != nil && !in.isKnown(e.Endpoint) {
 			continue
 		}
-		sum := pendingSumFor(in.digests, digestKey{zone, e.Endpoint}, now, s.Window)
+		sum := pendingSumFor(in.endpoints, endpointKey{zone, e.Endpoint}, now, s.Window)
 		failed := min(e.Failed, e.Tries)
 		sum.count, sum.failed = sum.count+e.Tries, sum.failed+failed
 		sum.totalLatency += e.Latency * time.Duration(e.Tries-failed)
@@ -101,9 +101,9 @@
 		event func() control.Event
 	}
 	var lines []waitingLine
-	for k, sum := range in.digests {
+	for k, sum := range in.endpoints {
 		lines = append(lines, waitingLine{sum.from, [3]int{0, k.zone, int(k.endpoint)}, func() control.Event {
-			delete(in.digests, k)
+			delete(in.endpoints, k)
 			d := control.EndpointStats{Zone: k.zone, Endpoint: k.endpoint, Tries: sum.count, Failed: sum.failed, Window: sum.to - sum.from,
 				Load: sum.load}
 			if sum.count > sum.failed {
--- a/pilot/lifecycle.go
+++ b/pilot/lifecycle.go
@@ -70,8 +70,8 @@
 	go func() { defer p.background.Done(); p.host.RunWatchdog() }()
 	p.log.Info("pilot runs", "listen", p.ln.Address(), "run", p.run, "list", len(p.list)) // reads p.list before the loop owns it
 	p.sendTimer = p.host.After(time.Hour, p.pump)
-	p.host.Every(p.facts.ReportInterval, func() {
-		for _, e := range p.intake.drain(p.facts.ReportInterval) {
+	p.host.Every(p.config.ReportInterval, func() {
+		for _, e := range p.intake.drain(p.config.ReportInterval) {
 			p.host.Enqueue(e)
 		}
 		p.limitTenants()
--- a/pilot/list_test.go
+++ b/pilot/list_test.go
@@ -35,7 +35,7 @@
 	})
 }
 
-// A server whose pack changes is sent to the proxies again, as one whose address changes. Writes are grouped by pack, so
+// A server whose pack or address changes is sent to the proxies again. Writes are grouped by pack, so
 // proxies that joined before and after the change would otherwise send the same group's writes to different servers.
 func TestListedServerMoves(t *testing.T) {
 	for name, change := range map[string]func(*roster.Entry){
@@ -138,7 +138,7 @@
 	}
 	most := 0
 	r.waitFor("the sums of the listed servers", func() bool {
-		r.onLoop(func() { most = max(most, len(r.p.intake.digests)+len(r.p.intake.arrivals)) })
+		r.onLoop(func() { most = max(most, len(r.p.intake.endpoints)+len(r.p.intake.arrivals)) })
 		return countEvents[control.EndpointStats](r.module) >= 4 && countEvents[control.Arrivals](r.module) >= 1
 	})
 	if most > 5 {
--- a/pilot/moves.go
+++ b/pilot/moves.go
@@ -32,8 +32,8 @@
 	restoredLimits  []tenancy.LimitRecord // limits loaded from the store at the start
 }
 
-// sessionOrder is a binding update for one session of a proxy. It is not sent if the session has ended.
-type sessionOrder struct {
+// sessionUpdate is a binding update for one session of a proxy. It is not sent if the session has ended.
+type sessionUpdate struct {
 	tenancy.BindingUpdate
 	s *session
 }
@@ -61,7 +61,7 @@
 		return err
 	}
 	waits := tenancy.MoveLimits{MaxHold: f.MaxHold.AsDuration(), MaxConcurrent: f.MaxConcurrent}
-	waits.WriteLifetime, waits.DedupWindow = tenancy.MoveDurations(p.facts.OpTypes, p.file.Service.WriteLifetime.AsDuration())
+	waits.WriteLifetime, waits.DedupWindow = tenancy.MoveDurations(p.config.OpTypes, p.file.Service.WriteLifetime.AsDuration())
 	if waits.MaxHold <= 0 {
 		waits.MaxHold = 10 * (waits.WriteLifetime + waits.DedupWindow)
 	}
@@ -71,7 +71,7 @@
 	p.mover = &mover{Mover: tenancy.NewMover(waits, stored.CreatedAt, stored.Records, stored.KnownProxies), store: s,
 		wake:           p.host.After(0, func() { p.stepMover() }),
 		restoredLimits: stored.Limits}
-	p.mover.writer = startStoreWriter(s, p.log, func(orders []sessionOrder) { p.post(func() { p.queueBindings(orders) }) })
+	p.mover.writer = startStoreWriter(s, p.log, func(orders []sessionUpdate) { p.post(func() { p.queueBindings(orders) }) })
 	p.log.Info("store of tenants opened; moves of tenants enabled", "store", f.Store, "moved", len(stored.Records),
 		"proxies", len(stored.KnownProxies))
 	return nil
@@ -104,19 +104,19 @@
 		m.wake.Reset(done.Wake)
 	}
 	if len(done.Records) > 0 || done.KnownProxies != nil || len(done.Updates) > 0 {
-		orders := make([]sessionOrder, 0, len(done.Updates))
+		orders := make([]sessionUpdate, 0, len(done.Updates))
 		for _, o := range done.Updates {
 			if s := p.sessions[control.ProxyID(o.Proxy)]; s != nil {
-				orders = append(orders, sessionOrder{o, s})
+				orders = append(orders, sessionUpdate{o, s})
 			}
 		}
-		m.writer.add(done, orders, func(b sessionOrder) bool { return p.sessions[b.s.id] == b.s })
+		m.writer.add(done, orders, func(b sessionUpdate) bool { return p.sessions[b.s.id] == b.s })
 	}
 	return done.Refused
 }
 
 // queueBindings queues binding updates whose records are on disk.
-func (p *Pilot) queueBindings(orders []sessionOrder) {
+func (p *Pilot) queueBindings(orders []sessionUpdate) {
 	for _, order := range orders {
 		if p.sessions[order.s.id] != order.s { // the proxy left; it gets the binding when it joins again
 			continue
@@ -163,8 +163,8 @@
 	return true
 }
 
-// waitingOrders returns the number of stored binding updates that are not sent.
-func (m *mover) waitingOrders() (n int) {
+// waitingUpdates returns the number of stored binding updates that are not sent.
+func (m *mover) waitingUpdates() (n int) {
 	for _, s := range m.sendingSessions {
 		n += len(s.bindings)
 	}
@@ -193,12 +193,12 @@
 type storeWriter struct {
 	store   *store.Store
 	log     *slog.Logger
-	send    func([]sessionOrder)
+	send    func([]sessionUpdate)
 	mu      sync.Mutex
 	records map[string]tenancy.Record // newest record of each tenant, to be stored
 	known   []tenancy.ProxyID         // proxies to be stored; nil: unchanged
 	limits  []tenancy.LimitRecord     // limits to be stored; nil: unchanged
-	orders  []sessionOrder            // binding updates to be sent once records is stored
+	orders  []sessionUpdate           // binding updates to be sent once records is stored
 	pruneAt int                       // length of orders at which those of ended sessions are removed
 	err     error                     // error of the last write; nil if it succeeded
 	wake    chan struct{}
@@ -211,7 +211,7 @@
 
 // startStoreWriter starts the goroutine that writes to the store. It calls send with the binding updates whose records are
 // written.
-func startStoreWriter(s *store.Store, log *slog.Logger, send func([]sessionOrder)) *storeWriter {
+func startStoreWriter(s *store.Store, log *slog.Logger, send func([]sessionUpdate)) *storeWriter {
 	w := &storeWriter{store: s, log: log, send: send, pruneAt: minPruneAt, records: map[string]tenancy.Record{},
 		wake: make(chan struct{}, 1), stop: make(chan struct{}), done: make(chan struct{})}
 	go w.run()
@@ -220,7 +220,7 @@
 
 // add queues the result of a step. While writes fail, memory is bounded by one record per tenant and the binding updates
 // of current sessions, for which isCurrent reports true.
-func (w *storeWriter) add(result tenancy.StepResult, orders []sessionOrder, isCurrent func(sessionOrder) bool) {
+func (w *storeWriter) add(result tenancy.StepResult, orders []sessionUpdate, isCurrent func(sessionUpdate) bool) {
 	w.mu.Lock()
 	for _, r := range result.Records {
 		w.records[r.Tenant] = r
@@ -229,7 +229,7 @@
 		w.known = result.KnownProxies
 	}
 	if w.orders = append(w.orders, orders...); len(w.orders) > w.pruneAt {
-		w.orders = slices.DeleteFunc(w.orders, func(b sessionOrder) bool { return !isCurrent(b) })
+		w.orders = slices.DeleteFunc(w.orders, func(b sessionUpdate) bool { return !isCurrent(b) })
 		w.pruneAt = max(minPruneAt, 2*len(w.orders))
 	}
 	w.mu.Unlock()
@@ -379,22 +379,22 @@
 	}
 	name = runtime.TenantName(name)
 	r, _ := p.mover.RecordOf(name)
-	seat := r.Placement
+	placement := r.Placement
 	if newDraw {
-		seat.Draw++
-		seat.Pods = nil
+		placement.Draw++
+		placement.Pods = nil
 	} else {
 		var err error
-		if seat, err = runtime.ParseSeat(where, seat); err != nil {
+		if placement, err = runtime.ParseSeat(where, placement); err != nil {
 			return err
 		}
 	}
-	for _, pod := range seat.Pods {
+	for _, pod := range placement.Pods {
 		if !p.hasPod(pod) {
 			return fmt.Errorf("pod %s has no server on the list", tenancy.AppendPods(nil, []tenancy.PodID{pod}))
 		}
 	}
-	return p.applyCommand(tenancy.Event{MoveRequest: &tenancy.MoveRequest{Tenant: name, To: seat, ManualOpen: waitForOpen}})
+	return p.applyCommand(tenancy.Event{MoveRequest: &tenancy.MoveRequest{Tenant: name, To: placement, ManualOpen: waitForOpen}})
 }
 
 // hasPod reports whether the list has a server of a pod.
@@ -449,7 +449,7 @@
 		if p.quarantine != nil {
 			use = p.quarantine.UsageOf(name)
 		}
-		period := p.facts.ReportInterval.Seconds()
+		period := p.config.ReportInterval.Seconds()
 		fmt.Fprintf(w, "%s,%g,%g,%g,%t,%g,%s,%s,%d,%.3g,%.3g,%.3g,\n", runtime.Quote("="+name), limit.Rate, limit.Tries, limit.Hand,
 			limit.Fenced,
 			limit.Room, r.Placement, r.Phase, r.Number,
@@ -473,7 +473,7 @@
 	fmt.Fprintf(w,
 		"Moving: %d\nWaiting: %d\nMoved: %d\nCancelled: %d\nOrders_waiting: %d\nProxies_joined: %d\nProxies_away: %s\n",
 		len(moving), waiting,
-		p.mover.moved, p.mover.cancelled, p.mover.waitingOrders(), len(joined), formatProxyIDs(away))
+		p.mover.moved, p.mover.cancelled, p.mover.waitingUpdates(), len(joined), formatProxyIDs(away))
 	if err := p.mover.writer.lastError(); err != nil {
 		fmt.Fprintf(w, "Store: %v\n", err)
 	}
--- a/pilot/moves_test.go
+++ b/pilot/moves_test.go
@@ -84,8 +84,8 @@
 	return func() bool { return strings.Contains(r.command(cmd), want) }
 }
 
-// tenantSeat returns a proxy's show tenant line for a tenant, which contains its placement; empty if there is none.
-func tenantSeat(p *proxy.Proxy, name string) string {
+// tenantPlacement returns a proxy's show tenant line for a tenant, which contains its placement; empty if there is none.
+func tenantPlacement(p *proxy.Proxy, name string) string {
 	for line := range strings.Lines(p.TenantInfo(name)) {
 		if strings.HasPrefix(line, "="+name+",") {
 			return strings.TrimSpace(line)
@@ -94,12 +94,12 @@
 	return ""
 }
 
-// waitSeated waits until the proxies have the given placement of the tenant delo, with its writes permitted.
-func (r *movesRig) waitSeated(want string, ps ...*proxy.Proxy) {
+// waitPlaced waits until the proxies have the given placement of the tenant delo, with its writes permitted.
+func (r *movesRig) waitPlaced(want string, ps ...*proxy.Proxy) {
 	r.t.Helper()
 	for _, p := range ps {
 		r.waitFor(want, func() bool {
-			s := tenantSeat(p, "delo")
+			s := tenantPlacement(p, "delo")
 			return strings.Contains(s, want) && strings.HasSuffix(s, ",open,")
 		})
 	}
@@ -127,21 +127,21 @@
 	if got := r.command("move tenant delo"); strings.TrimSpace(got) != "" {
 		t.Fatal(got)
 	}
-	r.waitSeated("draw 1 size 0 pods *", x, y)
+	r.waitPlaced("draw 1 size 0 pods *", x, y)
 	r.waitFor("ended", r.replyContains("show move", "Moved: 1\n"))
 	r.command("set tenant =delo subset size 3 pods 0.0")
-	r.waitSeated("draw 1 size 3 pods 0.0", x, y)
+	r.waitPlaced("draw 1 size 3 pods 0.0", x, y)
 	y.Kill()
 	f := r.proxyFile(2, "127.0.0.1:1") // no pilot listens there
 	alone := startProxy(t, f, nil)
-	if s := tenantSeat(alone, "delo"); !strings.Contains(s, "draw 1 size 3 pods 0.0") || !strings.HasSuffix(s, ",open,") {
+	if s := tenantPlacement(alone, "delo"); !strings.Contains(s, "draw 1 size 3 pods 0.0") || !strings.HasSuffix(s, ",open,") {
 		t.Errorf("a proxy restarted without a pilot has %q", s)
 	}
 	alone.Kill()
 	f = r.proxyFile(2, r.p.Address())
 	f.Tenants.Bindings = filepath.Join(r.dir, "new")
 	y2 := startProxy(t, f, nil)
-	r.waitSeated("draw 1 size 3 pods 0.0", y2)
+	r.waitPlaced("draw 1 size 3 pods 0.0", y2)
 	r.command("set tenant delo subset home")
 	r.waitFor("home", r.replyContains("show move", "Moved: 3\n"))
 	r.waitFor("the proxies to remove the binding", func() bool {
@@ -179,7 +179,7 @@
 	x, y, stall := r.twoProxies()
 	stall(time.Hour)
 	r.command("move tenant delo")
-	held := func() bool { return strings.HasSuffix(tenantSeat(x, "delo"), ",held,") }
+	held := func() bool { return strings.HasSuffix(tenantPlacement(x, "delo"), ",held,") }
 	r.waitFor("held", held)
 	r.waitFor("show move to name the held tenant", r.replyContains("show move",
 		"=delo,holding,draw 0 size 0 pods *,draw 1 size 0 pods *,"))
@@ -195,7 +195,7 @@
 	stall(0)
 	y.Kill() // the proxy is restarted with the bindings in its file
 	again := startProxy(t, r.proxyFile(2, r.p.Address()), nil)
-	r.waitSeated("draw 7 size 0 pods *", x, again)
+	r.waitPlaced("draw 7 size 0 pods *", x, again)
 }
 
 // A pilot that is killed in any phase of a move completes the move after its restart, from its store. A move does not wait
@@ -214,7 +214,7 @@
 			if phase == "holding" {
 				y.Kill()
 			}
-			if !strings.HasSuffix(tenantSeat(x, "delo"), ",held,") && phase == "ready" {
+			if !strings.HasSuffix(tenantPlacement(x, "delo"), ",held,") && phase == "ready" {
 				t.Error("writes permitted although the pilot was killed during the move")
 			}
 			r.start(r.file)
@@ -229,7 +229,7 @@
 			if got := r.command("open move delo"); strings.TrimSpace(got) != "" {
 				t.Error(got)
 			}
-			r.waitSeated("draw 1 size 0 pods *", x)
+			r.waitPlaced("draw 1 size 0 pods *", x)
 		})
 	}
 }
@@ -242,7 +242,7 @@
 	r.command("move tenant delo")
 	r.waitFor("cancelled", r.replyContains("show move", "Cancelled: 1\n"))
 	r.waitFor("the writes to be permitted at the old seat", func() bool {
-		s := tenantSeat(x,
+		s := tenantPlacement(x,
 			"delo")
 		return !strings.HasSuffix(s, ",held,")
 	})
@@ -261,7 +261,7 @@
 	x := startProxy(t, f, nil)
 	r.waitJoined(1)
 	r.command("move tenant delo")
-	r.waitSeated("draw 1 size 0 pods *", x)
+	r.waitPlaced("draw 1 size 0 pods *", x)
 	r.p.Kill()
 	r.waitFor("the proxy to take over the other pilot's bindings", func() bool {
 		return strings.Contains(x.Info(), "\nPilot: q\n") && strings.Contains(x.Info(), "\nBindings: 0\n")
--- a/pilot/peer_notes.go
+++ b/pilot/peer_notes.go
@@ -32,7 +32,7 @@
 		p.log.Warn("note to peers too long; not sent", "bytes", len(o.Data))
 		return
 	}
-	note := runtime.Note{From: p.facts.Instance, Data: o.Data}.Append(nil)
+	note := runtime.Note{From: p.config.Instance, Data: o.Data}.Append(nil)
 	for _, peer := range p.file.Peers {
 		if o.To >= 0 && o.To != peer.Instance || p.pendingNotes.Load() >= maxPendingNotes {
 			continue
--- a/pilot/pilot.go
+++ b/pilot/pilot.go
@@ -30,10 +30,10 @@
 
 // Pilot is one instance of the daemon.
 type Pilot struct {
-	file  *files.Pilot
-	log   *slog.Logger
-	facts control.Config
-	host  *host.Host
+	file   *files.Pilot
+	log    *slog.Logger
+	config control.Config
+	host   *host.Host
 
 	// Records, if not nil at Start, gets a record of each decision. Its handler must not block.
 	Records *slog.Logger
@@ -105,7 +105,7 @@
 		connections:    map[*connection]bool{},
 		silenceTimeout: file.SilenceTimeout.AsDuration(), resumeWithin: file.ResumeWindow.AsDuration(), probePool: &upstream.Pool{}}
 	p.host = host.New(file.ControlConfig(), seed, p.log)
-	p.host.Callbacks, p.facts = p, p.host.Facts
+	p.host.Callbacks, p.config = p, p.host.Facts
 	if p.silenceTimeout <= 0 {
 		p.silenceTimeout = 10 * time.Second
 	}
@@ -123,13 +123,13 @@
 // InitialEvents resets all state that depends on the module and returns the known list as the first event of the new module.
 // Limits of tenants are kept.
 func (p *Pilot) InitialEvents() (events []control.Event) {
-	p.desired = newDesiredState(len(p.facts.OpTypes), int(p.facts.MessageOverheadLines), p.serverOf)
-	if p.desired.budget.maxLines = p.file.ReservedLines(); p.facts.MessageCap > 0 {
-		p.desired.budget.minInterval = p.facts.MessageCapWindow
+	p.desired = newDesiredState(len(p.config.OpTypes), int(p.config.MessageOverheadLines), p.serverOf)
+	if p.desired.budget.maxLines = p.file.ReservedLines(); p.config.MessageCap > 0 {
+		p.desired.budget.minInterval = p.config.MessageCapWindow
 	}
-	p.channel = newChannel(p.facts.LinesPerSecond, float64(p.file.Channel.MaxWaitingLines))
-	p.intake = newIntake(p.facts.ReportLinesPerSecond, len(p.facts.Measures))
-	p.intake.opTypeCount = len(p.facts.OpTypes)
+	p.channel = newChannel(p.config.LinesPerSecond, float64(p.file.Channel.MaxWaitingLines))
+	p.intake = newIntake(p.config.ReportLinesPerSecond, len(p.config.Measures))
+	p.intake.opTypeCount = len(p.config.OpTypes)
 	p.intake.isKnown = func(id control.EndpointID) bool { _, ok := p.list[id]; return ok }
 	if p.tenantUses, p.podLoadSums = nil, map[tenancy.PodID]*[2]float64{}; p.file.Tenants {
 		var sentences []tenancy.LimitRecord
@@ -138,7 +138,7 @@
 		} else if p.mover != nil {
 			sentences = p.mover.restoredLimits
 		}
-		p.quarantine = tenancy.NewQuarantine(p.facts.ReportInterval)
+		p.quarantine = tenancy.NewQuarantine(p.config.ReportInterval)
 		p.quarantine.Restore(sentences)
 		for _, s := range sentences {
 			p.desired.limits[s.Tenant] = runtime.SetTenantChange(s.Limit)
--- a/pilot/pilot_test.go
+++ b/pilot/pilot_test.go
@@ -427,11 +427,11 @@
 	return all
 }
 
-// helloFormat is a hello block with a proxy's id and token.
+// helloFormat is the format of a hello block; its arguments are a proxy's id and token.
 const helloFormat = "hello %d token %s zone 0 rate 1 holds - 0 0 window 100 standing -\n\n"
 
-// Streams with malformed data, another proxy's id or an unknown zone are closed, and other streams are not affected. A new
-// stream of a proxy replaces its half-open one.
+// Streams with malformed data, a second hello, an unknown zone, or the id of a joined proxy with another token are closed, and
+// other streams are not affected. A new stream of a proxy replaces its half-open one.
 func TestInvalidStreams(t *testing.T) {
 	r := newRig(t)
 	good, in := dialRaw(t, r.p.Address())
@@ -622,7 +622,8 @@
 	}
 }
 
-// Sums by tenant lead to a limit on the one tenant that harms the others. A tenant's name may contain a space.
+// The sums that proxies report by tenant lead to a limit on the one tenant that harms the others. A tenant's name may contain a
+// space.
 func TestTenantLimits(t *testing.T) {
 	f := pilotFile("127.0.0.1:1")
 	f.Tenants = true
--- a/pilot/reconcile_test.go
+++ b/pilot/reconcile_test.go
@@ -19,8 +19,8 @@
 	return out
 }
 
-// A restarted pilot asks one proxy for the tables that all proxies hold, and sends each only the differences. The proxies end
-// up with exactly the tables of the new run.
+// A restarted pilot asks one proxy for the tables that all proxies hold, and sends each proxy only the differences. The
+// proxies end up with exactly the tables of the new run.
 func TestReconcile(t *testing.T) {
 	r := newRig(t)
 	f := *r.p.file
@@ -52,15 +52,15 @@
 	})
 }
 
-// A proxy that reports the digest of a table but does not send its contents, or sends others, gets whole tables after a short
-// wait.
+// A proxy that reports the digest of a table but does not send its contents, or sends contents that do not match the
+// digest, gets whole tables after a short wait.
 func TestReconcileWrongTables(t *testing.T) {
 	for _, wrongTable := range []string{"", "table 1234\nserver e0 127.0.0.1:1 weight 1 zone 0 pack 0\n\n"} {
 		r := newRig(t)
 		c, in := dialRaw(t, r.p.Address())
 		fmt.Fprintf(c, "hello 1 token x zone 0 rate 1 holds q 7 3 window 1000 standing - digests 1234\n\n%s", wrongTable)
 		readUntil(t, in, "\nsend tables 1234\n")
-		r.waitJoined(1) // without the contents of the table
+		r.waitJoined(1) // announced without the right contents of the table
 		r.order(append(table(1, 2), control.Bind{Proxy: 1}, control.Checkpoint{Number: 1})...)
 		all := readUntil(t, in, "set map")
 		if strings.Contains(all, "adopt") || strings.Count(all, "add server") != 2 {
@@ -70,7 +70,8 @@
 	}
 }
 
-// A table is sent as the difference to one that the proxy holds, or whole if the difference is as long.
+// A table is sent as the difference to one that the proxy holds, or whole if the difference has as many lines as
+// the table.
 func TestAdopt(t *testing.T) {
 	line := func(i int, w float64) runtime.Line {
 		s, _ := serverAt(control.EndpointID(i))
@@ -143,8 +144,8 @@
 	}
 }
 
-// reconcile must not use the nil connection of a session that was dropped while the proxy was welcomed, as when the channel
-// overflows.
+// reconcile must not use the nil connection of a session that was dropped while the proxy was welcomed, which happens when the
+// channel overflows.
 func TestReconcileAfterDrop(t *testing.T) {
 	r := newRig(t)
 	c, in := dialRaw(t, r.p.Address())
--- a/pilot/records_test.go
+++ b/pilot/records_test.go
@@ -126,9 +126,9 @@
 	}
 	all.Wait()
 	closeAfter(t, got, 1000)
-	m, bad, torn := got.Got()
-	if len(m) != 1000 || len(bad) > 0 || torn > 0 {
-		t.Fatalf("%d records, %v, %d torn", len(m), bad, torn)
+	m, bad, corrupt := got.Got()
+	if len(m) != 1000 || len(bad) > 0 || corrupt > 0 {
+		t.Fatalf("%d records, %v, %d torn", len(m), bad, corrupt)
 	}
 	next := map[string]int{}
 	for _, x := range m {
@@ -161,7 +161,8 @@
 	}
 }
 
-// BenchmarkGrowth measures the same without records, for growing numbers of servers and as many proxies.
+// BenchmarkGrowth measures one report period of the module like BenchmarkDecide, without records, for growing numbers of servers
+// and as many proxies.
 func BenchmarkGrowth(b *testing.B) {
 	for _, n := range []int{50, 100, 200, 400, 800} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) { benchmarkDecide(b, "off", n, n) })
@@ -210,11 +211,11 @@
 	var took []time.Duration
 	for b.Loop() {
 		now += time.Second
-		sick := rng.IntN(servers)
+		failing := rng.IntN(servers)
 		for i := range servers {
 			d := control.EndpointStats{Endpoint: control.EndpointID(i), Tries: 50, Failed: rng.IntN(2), Latency: 50 * time.Millisecond,
 				Window: time.Second, Load: []float64{0.5 + 0.3*rng.Float64()}}
-			if i/10 == sick/10 {
+			if i/10 == failing/10 {
 				d.Failed, d.Load[0] = 45, 0.1
 			}
 			events = append(events, d)
--- a/pilot/session.go
+++ b/pilot/session.go
@@ -57,7 +57,7 @@
 		return
 	}
 	_ = s.conn.stream.Send(runtime.TableRequest(unknown).Append(nil))
-	wait := max(time.Duration(reconcileShare*float64(p.facts.DrainGrace)), time.Millisecond)
+	wait := max(time.Duration(reconcileShare*float64(p.config.DrainGrace)), time.Millisecond)
 	time.AfterFunc(wait, func() { p.post(func() { p.announce(s) }) })
 }
 
--- a/pilot/streams.go
+++ b/pilot/streams.go
@@ -108,7 +108,7 @@
 	case runtime.Refused:
 		p.handleRefused(s, b)
 	case *runtime.TableContents:
-		p.handleHolding(b)
+		p.handleTableContents(b)
 	case *runtime.Sums:
 		p.intake.add(p.host.Now(), s.id, s.zone, b)
 		p.addTenantSums(b)
@@ -123,8 +123,9 @@
 	p.drop(s)
 }
 
-// handleHolding stores the contents of a table that a proxy holds, and announces the proxies whose tables are now all known.
-func (p *Pilot) handleHolding(h *runtime.TableContents) {
+// handleTableContents stores the contents of a table that a proxy holds, and announces the proxies whose tables are now all
+// known.
+func (p *Pilot) handleTableContents(h *runtime.TableContents) {
 	p.desired.learnTable(h)
 	for _, id := range slices.Sorted(maps.Keys(p.sessions)) {
 		if s := p.sessions[id]; !s.announced && len(p.desired.unknownDigests(s.digests)) == 0 {
--- a/proxy/bindings.go
+++ b/proxy/bindings.go
@@ -50,12 +50,12 @@
 	next := *b
 	after, changed := &next, map[string]tenancy.Binding{}
 	after.byTenant = maps.Clone(b.byTenant)
-	setBinding := func(tenant string, number uint64, seat tenancy.Placement, held bool) {
+	setBinding := func(tenant string, number uint64, placement tenancy.Placement, held bool) {
 		binding, ok := after.byTenant[tenant]
 		if !ok {
 			binding = tenancy.NewBinding()
 		}
-		after.byTenant[tenant] = binding.Apply(now, after.writeWait, m.Pilot, number, seat, held)
+		after.byTenant[tenant] = binding.Apply(now, after.writeWait, m.Pilot, number, placement, held)
 		changed[tenant] = after.byTenant[tenant]
 	}
 	for _, c := range m.Changes {
@@ -177,7 +177,7 @@
 	return append(append(out, text...), '\n')
 }
 
-// appendOwner appends the line that states up to which update of which pilot the bindings are complete.
+// appendOwner appends the line, without a tenant, that states up to which update of which pilot the bindings are complete.
 func (b *bindings) appendOwner(out []byte) []byte {
 	return appendLine(out, storedLine{Pilot: b.pilot, UpTo: b.upTo})
 }
@@ -212,7 +212,7 @@
 	case s.wake <- struct{}{}:
 	default:
 	}
-	if lagging { // the disk is already too slow or failing: do not wait until a write has succeeded
+	if lagging { // the disk is too slow or failing: skip the wait until a later write has succeeded
 		return
 	}
 	select {
--- a/proxy/pilot_stream.go
+++ b/proxy/pilot_stream.go
@@ -155,15 +155,15 @@
 
 // handleSendTables sends the lines of the requested tables. Tables that are no longer in force are skipped.
 func (s *pilotStream) handleSendTables(c *stream.Conn, cmd runtime.Command) error {
-	ask, err := runtime.ParseTableRequest(cmd)
+	requested, err := runtime.ParseTableRequest(cmd)
 	if err != nil {
 		return err
 	}
 	held := s.client.proxy.current.Load()
-	for _, digest := range ask {
+	for _, digest := range requested {
 		if table := held.tableByDigest(digest); table != nil {
-			holding := runtime.TableContents{Digest: digest, Lines: table.wireLines()}
-			_ = c.Send(holding.Append(nil))
+			contents := runtime.TableContents{Digest: digest, Lines: table.wireLines()}
+			_ = c.Send(contents.Append(nil))
 		}
 	}
 	return nil
--- a/proxy/placement.go
+++ b/proxy/placement.go
@@ -128,11 +128,11 @@
 
 // writeOf returns what the group of a tenant's write is drawn by, without the write's key.
 func (t *tenants) writeOf(kind groupKind, owner *tenant, current *bindings) tenancy.Write {
-	seat := current.byTenant[owner.name].Placement
+	placement := current.byTenant[owner.name].Placement
 	if kind.isZone() {
-		seat = seat.InZones()
+		placement = placement.InZones()
 	}
-	return tenancy.Write{Tenant: owner.name, Placement: seat, Count: t.subsetSize}
+	return tenancy.Write{Tenant: owner.name, Placement: placement, Count: t.subsetSize}
 }
 
 // packSubset returns the packs that a tenant's deduplicated writes may go to. The table, the limit and the time are ignored,
@@ -146,19 +146,19 @@
 // not agree on the pods, because all servers of the zone recognize each other's repeats.
 func (t *tenants) podsInZone(kind groupKind, owner *tenant, table *table, current *bindings, zone tenancy.PodID,
 	zoneCount int) []tenancy.PodID {
-	seat := current.byTenant[owner.name].Placement
+	placement := current.byTenant[owner.name].Placement
 	count := t.subsetSize
-	if seat.Size > 0 {
-		count = seat.Size
+	if placement.Size > 0 {
+		count = placement.Size
 	}
-	if count == 0 && len(seat.Pods) == 0 {
+	if count == 0 && len(placement.Pods) == 0 {
 		return nil
 	}
 	inZone := table.subsets.zones[zone]
 	if inZone == nil {
 		return nil
 	}
-	seat.Size = (count + zoneCount - 1) / zoneCount
-	return inZone.subsets[kind].getOrDraw(tenancy.Write{Tenant: owner.name, Placement: seat, Count: seat.Size},
+	placement.Size = (count + zoneCount - 1) / zoneCount
+	return inZone.subsets[kind].getOrDraw(tenancy.Write{Tenant: owner.name, Placement: placement, Count: placement.Size},
 		func(w tenancy.Write) []tenancy.PodID { return w.Placement.SelectFrom(w.Tenant, inZone.live, w.Count) })
 }
--- a/proxy/tenants.go
+++ b/proxy/tenants.go
@@ -183,9 +183,9 @@
 
 // cachedSubset is a tenant's subset of pods or groups, with the parameters that it was drawn by.
 type cachedSubset struct {
-	seat  tenancy.Placement
-	count int
-	pods  []tenancy.PodID
+	placement tenancy.Placement
+	count     int
+	pods      []tenancy.PodID
 }
 
 // getOrDraw returns the subset of a write's tenant. It calls draw if no subset is cached for the tenant's current placement
@@ -197,7 +197,7 @@
 		s.byTenant = map[string]cachedSubset{}
 	}
 	cached, ok := s.byTenant[w.Tenant]
-	if ok && cached.count == w.Count && cached.seat.Equal(w.Placement) {
+	if ok && cached.count == w.Count && cached.placement.Equal(w.Placement) {
 		return cached.pods
 	}
 	cached = cachedSubset{w.Placement, w.Count, draw(w)}
@@ -243,18 +243,18 @@
 	if t == nil || len(table.lines) == 0 {
 		return nil
 	}
-	seat := current.byTenant[owner.name].Placement
-	if t.subsetSize == 0 && seat.Size == 0 && len(seat.Pods) == 0 {
+	placement := current.byTenant[owner.name].Placement
+	if t.subsetSize == 0 && placement.Size == 0 && len(placement.Pods) == 0 {
 		return nil
 	}
 	count := t.subsetSize
-	if seat.Size > 0 {
-		count = seat.Size
+	if placement.Size > 0 {
+		count = placement.Size
 	}
 	if count > 1 { // a subset of one pod is not enlarged: a second pod would not have what was written to the first
 		count = int(math.Ceil(float64(count) * limit.Room))
 	}
-	pods := table.subsets.subsetFor(tenancy.Write{Tenant: owner.name, Placement: seat, Count: count}, now)
+	pods := table.subsets.subsetFor(tenancy.Write{Tenant: owner.name, Placement: placement, Count: count}, now)
 	if limit.Fenced && len(pods) > 1 {
 		return pods[:1]
 	}
