--- a/pilot/address_changes_test.go
+++ b/pilot/address_changes_test.go
@@ -18,8 +18,8 @@
 	r.proxy(1, r.p.Address(), nil)
 	r.waitJoined(1)
 	r.order(append(table(1, 2), control.Bind{Proxy: 1})...)
-	const mostWaiting, lines = 8000, 4 // the channel's bound in lines, and the lines of a message with one change
-	for i := range mostWaiting * 9 / 10 / lines {
+	const maxWaitingLines, lines = 8000, 4 // the channel's bound in lines, and the lines of a message with one change
+	for i := range maxWaitingLines * 9 / 10 / lines {
 		r.order(control.PutLine{Table: 0, Endpoint: 1, Weight: float64(i + 2)})
 	}
 	for i := range 400 {
--- a/pilot/pilot.go
+++ b/pilot/pilot.go
@@ -132,15 +132,15 @@
 	p.intake.opTypeCount = len(p.config.OpTypes)
 	p.intake.isKnown = func(id control.EndpointID) bool { _, ok := p.list[id]; return ok }
 	if p.tenantUses, p.podLoadSums = nil, map[tenancy.PodID]*[2]float64{}; p.file.Tenants {
-		var sentences []tenancy.LimitRecord
+		var limitRecords []tenancy.LimitRecord
 		if p.quarantine != nil {
-			sentences = p.quarantine.LimitRecords()
+			limitRecords = p.quarantine.LimitRecords()
 		} else if p.mover != nil {
-			sentences = p.mover.restoredLimits
+			limitRecords = p.mover.restoredLimits
 		}
 		p.quarantine = tenancy.NewQuarantine(p.config.ReportInterval)
-		p.quarantine.Restore(sentences)
-		for _, s := range sentences {
+		p.quarantine.Restore(limitRecords)
+		for _, s := range limitRecords {
 			p.desired.limits[s.Tenant] = runtime.SetTenantChange(s.Limit)
 		}
 	}
@@ -326,12 +326,13 @@
 	case control.LogMessage:
 		p.log.Info("note from the decision module", "text", o.Text)
 	case control.WatchList: // nothing to do: the list is always followed
-	default: // not reached by the orders that exist today
+	default: // not reached: every present order type is handled here, in translate or by package host
 		p.log.Warn("unsupported order from the decision module", "order", fmt.Sprintf("%T", o))
 	}
 }
 
-// serverOf returns the address, zone and pack of a listed endpoint. It reports false if the address is not known.
+// serverOf returns the address, zone and pack of a listed endpoint. It reports false if the endpoint is not listed or
+// has no address.
 func (p *Pilot) serverOf(id control.EndpointID) (runtime.Server, bool) {
 	e, ok := p.list[id]
 	if !ok || e.Address == (netip.AddrPort{}) {
--- a/pilot/records.go
+++ b/pilot/records.go
@@ -32,7 +32,7 @@
 	run             uint64
 	sequence        uint64
 	versions        map[control.TableID]uint64 // number of changes of each table in this run
-	openCheckpoints []*checkpoint              // sent and not confirmed by all proxies, oldest first
+	openCheckpoints []*checkpoint              // checkpoints sent and not yet confirmed by all proxies, oldest first
 }
 
 // job is an event to be written as one or more records.
@@ -49,8 +49,8 @@
 type checkpoint struct {
 	number  int
 	at      time.Duration
-	sent    map[control.ProxyID]bool // proxies that it was sent to; true once confirmed
-	missing int                      // number of proxies that have not confirmed it
+	sent    map[control.ProxyID]bool // proxies that the checkpoint was sent to; true once the proxy has confirmed it
+	missing int                      // number of proxies that have not confirmed the checkpoint
 	slowest time.Duration            // longest time until a confirmation
 }
 
@@ -81,7 +81,7 @@
 	return r
 }
 
-// enqueue queues a job of about that many records, or counts them as dropped if the queue is full.
+// enqueue queues a job that writes about the given number of records, or counts these as dropped if the queue is full.
 func (r *recorder) enqueue(records int, write func()) {
 	if r == nil {
 		return
--- a/proxy/stop_test.go
+++ b/proxy/stop_test.go
@@ -21,8 +21,8 @@
 	lost           error // a request was written and got no complete response
 }
 
-// keepAsking sends requests one after another on one connection until a response announces that the connection closes.
-func keepAsking(address string) (out stopOutcome) {
+// sendUntilClose sends requests one after another on one connection until a response announces that the connection closes.
+func sendUntilClose(address string) (out stopOutcome) {
 	c, err := net.Dial("tcp", address)
 	if err != nil {
 		return stopOutcome{lost: err}
@@ -71,7 +71,7 @@
 	var all sync.WaitGroup
 	outcomes := make([]stopOutcome, clients)
 	for i := range clients {
-		all.Go(func() { outcomes[i] = keepAsking(p.Address()) })
+		all.Go(func() { outcomes[i] = sendUntilClose(p.Address()) })
 	}
 	for p.counters.acked.Load() < 4*clients {
 		time.Sleep(time.Millisecond)
--- a/proxy/tables.go
+++ b/proxy/tables.go
@@ -352,11 +352,11 @@
 }
 
 // level returns the level in force for an op type. The share is the lower of the table's own and the one for all tables. The
-// retry policy is the table's own if it has a level, else the one for all tables, else usual.
-func (t *tables) level(opType int, usual control.RetryPolicy) level {
+// retry policy is the table's own if it has a level, else the one for all tables, else defaultPolicy.
+func (t *tables) level(opType int, defaultPolicy control.RetryPolicy) level {
 	all, ok := t.levels[opType]
 	if !ok {
-		all = level{1, usual}
+		all = level{1, defaultPolicy}
 	}
 	if own, ok := t.byOpType[opType].levels[opType]; ok {
 		return level{min(own.share, all.share), own.retry}
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -56,8 +56,8 @@
 	nc        netpoll.Connection
 	parser    *http1.Parser
 	address   string
-	idleSince time.Time // when it was last returned to the pool
-	reused    bool      // it has carried a request before
+	idleSince time.Time // when the connection was last returned to the pool
+	reused    bool      // the connection has carried a request before
 }
 
 // errPoolFull is the failure when the maximum number of connections to a server is in use.
@@ -192,7 +192,7 @@
 // receive reads a final response and skips interim ones before it. begun reports whether any byte of a response arrived.
 func (c *conn) receive(deadline time.Time, isHead bool) (m *http1.Message, begun bool, err error) {
 	r := c.nc.Reader()
-	var ended error // why no more bytes will arrive; nil while they may
+	var ended error // why no more bytes will arrive; nil while more may arrive
 	for {
 		n := r.Len()
 		begun = begun || n > 0
