--- a/pilot/host/host.go
+++ b/pilot/host/host.go
@@ -25,7 +25,7 @@
 // Callbacks is implemented by the daemon that runs the module. All methods are called on the loop.
 type Callbacks interface {
 	InitialEvents() []control.Event                    // events that a new module gets after control.Start
-	Execute(now time.Duration, orders []control.Order) // carries out the orders of one Decide call, without the Wakes
+	Execute(now time.Duration, orders []control.Order) // carries out the orders of one Decide call except SetTimer
 	HandlePanic()                                      // called after a panic of the module, whose state is lost
 }
 
@@ -59,11 +59,11 @@
 
 // New returns a host with the default module and a silence timeout of 10 s. A tick that is not positive becomes 5 ms.
 // Now counts from this call.
-func New(facts control.Config, seed uint64, log *slog.Logger) *Host {
-	if facts.Tick <= 0 {
-		facts.Tick = 5 * time.Millisecond
+func New(config control.Config, seed uint64, log *slog.Logger) *Host {
+	if config.Tick <= 0 {
+		config.Tick = 5 * time.Millisecond
 	}
-	return &Host{Facts: facts, Seed: seed, Log: log, SilenceTimeout: 10 * time.Second, epoch: time.Now(),
+	return &Host{Facts: config, Seed: seed, Log: log, SilenceTimeout: 10 * time.Second, epoch: time.Now(),
 		inbox: make(chan func(), 1024), stop: make(chan struct{}), stopped: make(chan struct{}),
 		NewDecider: func() Decider { return &policy.Assigner{} }}
 }
@@ -174,8 +174,8 @@
 	}
 }
 
-// decide passes the queued events to the module, schedules the timers that it orders and leaves its other orders to the
-// callbacks.
+// decide passes the queued events to the module, schedules the timers that it orders and passes its other
+// orders to Callbacks.Execute.
 func (h *Host) decide() {
 	events := h.events
 	h.events = nil
@@ -193,8 +193,8 @@
 	}
 	others := orders[:0:0]
 	for _, o := range orders {
-		if wake, ok := o.(control.SetTimer); ok {
-			h.scheduleWake(wake)
+		if timer, ok := o.(control.SetTimer); ok {
+			h.scheduleTimer(timer)
 		} else {
 			others = append(others, o)
 		}
@@ -202,8 +202,9 @@
 	h.Callbacks.Execute(now, others)
 }
 
-// scheduleWake queues a Ring event once a Wake's delay has passed, unless the module has been replaced since.
-func (h *Host) scheduleWake(w control.SetTimer) {
+// scheduleTimer queues a control.TimerFired event once the delay of a control.SetTimer order has passed, unless the module has
+// been replaced since.
+func (h *Host) scheduleTimer(w control.SetTimer) {
 	generation := h.generation
 	h.After(w.After, func() {
 		if h.generation == generation {
--- a/pilot/records.go
+++ b/pilot/records.go
@@ -32,7 +32,7 @@
 	run             uint64
 	sequence        uint64
 	versions        map[control.TableID]uint64 // number of changes of each table in this run
-	openCheckpoints []*checkpoint              // sent and not confirmed by all proxies, oldest first
+	openCheckpoints []*checkpoint              // checkpoints sent and not yet confirmed by all proxies, oldest first
 }
 
 // job is an event to be written as one or more records.
@@ -49,8 +49,8 @@
 type checkpoint struct {
 	number  int
 	at      time.Duration
-	sent    map[control.ProxyID]bool // proxies that it was sent to; true once confirmed
-	missing int                      // number of proxies that have not confirmed it
+	sent    map[control.ProxyID]bool // proxies that the checkpoint was sent to; true once the proxy has confirmed it
+	missing int                      // number of proxies that have not confirmed the checkpoint
 	slowest time.Duration            // longest time until a confirmation
 }
 
@@ -81,7 +81,7 @@
 	return r
 }
 
-// enqueue queues a job of about that many records, or counts them as dropped if the queue is full.
+// enqueue queues a job that writes about the given number of records, or counts these as dropped if the queue is full.
 func (r *recorder) enqueue(records int, write func()) {
 	if r == nil {
 		return
@@ -199,8 +199,8 @@
 	}
 }
 
-// recordSent starts tracking the checkpoint of one reply, if it has one, at the proxies whose messages carry it. There may be
-// none.
+// recordSent starts tracking the checkpoint of one reply, if it has one, at the proxies whose messages carry it. It may
+// be that no message carries it.
 func (r *recorder) recordSent(orders []control.Order, messages []outgoing) {
 	if r == nil {
 		return
@@ -238,7 +238,8 @@
 	r.enqueue(0, func() { r.confirmCheckpoint(id, number, took) })
 }
 
-// confirmCheckpoint marks the oldest open checkpoint with that number as confirmed by a proxy, and closes it once all have.
+// confirmCheckpoint marks the oldest open checkpoint with that number as confirmed by a proxy, and closes
+// it once all proxies have confirmed it.
 func (r *recorder) confirmCheckpoint(id control.ProxyID, number int, took time.Duration) {
 	for i, c := range r.openCheckpoints {
 		if confirmed, there := c.sent[id]; there && !confirmed && c.number == number {
--- a/proxy/tenants.go
+++ b/proxy/tenants.go
@@ -16,7 +16,7 @@
 	"vetchdoor/tenancy/match"
 )
 
-// tenants attributes ops to tenants and confines each tenant to its subset of the servers.
+// tenants attributes ops to tenants and restricts each tenant to its subset of the servers.
 type tenants struct {
 	matcher    *match.Matcher
 	subsetSize int                           // pods in a tenant's subset; 0: all
@@ -48,7 +48,7 @@
 	mu     sync.Mutex           // guards the fields below
 	budget tenancy.RetryBudget  // tries beyond the first
 	credit tenancy.BorrowCredit // success rate; decides whether the tenant may borrow a pod
-	lent   tenancy.BorrowState  // where the tenant's writes went last
+	lent   tenancy.BorrowState  // pod to which the tenant's latest writes were sent
 
 	allowance tenancy.Allowance // op rate and ops in progress
 }
@@ -110,7 +110,7 @@
 }
 
 // admit reports whether the tenant's limit admits an op of the given revenue rank, and counts the op as in progress if so.
-// It also adds the op's share of a retry to the tenant's budget. A nil tenant admits every op.
+// It also credits the tenant's retry budget with the retries that one op earns (Limit.Tries). A nil tenant admits every op.
 func (t *tenant) admit(l tenancy.Limit, rank float64, now time.Duration) bool {
 	if t == nil {
 		return true
@@ -152,7 +152,7 @@
 	validUntil time.Duration // when candidates must be recomputed, since the proxy's start
 	cache      subsetCache
 
-	zones map[tenancy.PodID]*zonePods // by the pod ID that stands for the zone, see tenancy.ZoneOf
+	zones map[tenancy.PodID]*zonePods // by the pod ID that stands for the zone, see tenancy.ZoneGroup
 }
 
 // zonePods are the pods of a zone that have a server in a table, and the cached subsets of tenants among them. The pods are
@@ -183,9 +183,9 @@
 
 // cachedSubset is a tenant's subset of pods or groups, with the parameters that it was drawn by.
 type cachedSubset struct {
-	seat  tenancy.Placement
-	count int
-	pods  []tenancy.PodID
+	placement tenancy.Placement
+	count     int
+	pods      []tenancy.PodID
 }
 
 // getOrDraw returns the subset of a write's tenant. It calls draw if no subset is cached for the tenant's current placement
@@ -197,7 +197,7 @@
 		s.byTenant = map[string]cachedSubset{}
 	}
 	cached, ok := s.byTenant[w.Tenant]
-	if ok && cached.count == w.Count && cached.seat.Equal(w.Placement) {
+	if ok && cached.count == w.Count && cached.placement.Equal(w.Placement) {
 		return cached.pods
 	}
 	cached = cachedSubset{w.Placement, w.Count, draw(w)}
@@ -243,18 +243,18 @@
 	if t == nil || len(table.lines) == 0 {
 		return nil
 	}
-	seat := current.byTenant[owner.name].Placement
-	if t.subsetSize == 0 && seat.Size == 0 && len(seat.Pods) == 0 {
+	placement := current.byTenant[owner.name].Placement
+	if t.subsetSize == 0 && placement.Size == 0 && len(placement.Pods) == 0 {
 		return nil
 	}
 	count := t.subsetSize
-	if seat.Size > 0 {
-		count = seat.Size
+	if placement.Size > 0 {
+		count = placement.Size
 	}
 	if count > 1 { // a subset of one pod is not enlarged: a second pod would not have what was written to the first
 		count = int(math.Ceil(float64(count) * limit.Room))
 	}
-	pods := table.subsets.subsetFor(tenancy.Write{Tenant: owner.name, Placement: seat, Count: count}, now)
+	pods := table.subsets.subsetFor(tenancy.Write{Tenant: owner.name, Placement: placement, Count: count}, now)
 	if limit.Fenced && len(pods) > 1 {
 		return pods[:1]
 	}
