--- a/serve/serve.go
+++ b/serve/serve.go
@@ -24,12 +24,12 @@
 
 // Server answers HTTP/1.1 requests. Its exported fields must not change after Start.
 type Server struct {
-	Bounds         http1.Bounds                    // of a request; the zero value stands for http1.Usual
+	Bounds         http1.Bounds                    // of a request; the zero value stands for http1.DefaultBounds
 	Handle         func(c *Conn, m *http1.Message) // answers by c.Answer; m is valid only during the call
 	Accept         func(c *Conn) bool              // optional, called for each new connection; false refuses it
 	Closed         func(c *Conn)                   // optional, called once when a connection has closed
 	IdleTimeout    time.Duration                   // an idle connection is closed after this time; 0: one minute
-	DrainTimeout   time.Duration                   // the same during Stop, from Stop at the earliest; 0: until its context ends
+	DrainTimeout   time.Duration                   // idle timeout during Stop, not counted before Stop; 0: until its context ends
 	RequestTimeout time.Duration                   // from the first byte of a request to its last; 0: ten seconds
 
 	Net stream.Net // nil stands for sockets
--- a/stream/stream.go
+++ b/stream/stream.go
@@ -43,7 +43,7 @@
 	mu       sync.Mutex
 	pending  []byte // not written yet
 	flushing bool   // a goroutine is writing pending
-	ending   bool   // Send is refused; the connection closes once pending is written
+	ending   bool   // Send returns net.ErrClosed; the connection closes once pending is written
 	once     sync.Once
 	closing  atomic.Bool // Close was called: bytes received from now on are not passed to the handler
 	guard    *Guard
