--- a/files/files.go
+++ b/files/files.go
@@ -73,7 +73,7 @@
 	TryShare       float64  `json:"try_share,omitempty"`     // try timeout before a retry, as a share of the target latency
 	OutlierAfter   int      `json:"outlier_after,omitempty"` // consecutive failures after which a proxy avoids a server; 0: never
 	OutlierFor     Duration `json:"outlier_for,omitempty"`
-	Bootstrap      int      `json:"bootstrap"` // maximum servers in a standing table, used without a pilot's table
+	Bootstrap      int      `json:"bootstrap"` // maximum servers in a standing table, for use while a proxy has no pilot's table
 	DefaultRetries string   `json:"usual_again,omitempty"`
 	WriteLifetime  Duration `json:"write_life,omitempty"` // time limit for an accepted write, also a failing one; 0: 2 op timeouts
 	CrossZonePrice float64  `json:"cross_zone_price,omitempty"`
@@ -160,7 +160,7 @@
 	Address  string `json:"address"`
 }
 
-// PilotAddress is the address of a pilot, for a proxy, and the zone of the pilot.
+// PilotAddress is the address and the zone of a pilot that a proxy may connect to.
 type PilotAddress struct {
 	Address string `json:"address"`
 	Zone    string `json:"zone"`
@@ -330,7 +330,7 @@
 	return retryPolicyByName[s.DefaultRetries]
 }
 
-// ControlConfig returns the configuration of the controller, the part of a pilot that makes the decisions.
+// ControlConfig returns the configuration of the pilot's decision module.
 func (p *Pilot) ControlConfig() control.Config {
 	s, l, c := &p.Service, &p.Limits, &p.Channel
 	f := control.Config{
@@ -350,12 +350,12 @@
 	return f
 }
 
-// reservedShare determines how many waiting lines the controller must not use: one in reservedShare of MaxWaitingLines,
+// reservedShare determines how many waiting lines the decision module must not use: one in reservedShare of MaxWaitingLines,
 // for messages that the pilot sends to proxies on its own.
 const reservedShare = 16
 
-// ReservedLines returns the maximum number of unconfirmed lines that the pilot itself may have sent, outside the
-// controller's decisions; at least enough for one message.
+// ReservedLines returns the maximum number of unconfirmed lines that the pilot itself may have sent, without an
+// order of the decision module; it is at least enough for one message.
 func (p *Pilot) ReservedLines() int {
 	return max(p.Channel.MaxWaitingLines/reservedShare, p.Channel.MessageLines+len(p.Service.OpTypes))
 }
--- a/files/groups_test.go
+++ b/files/groups_test.go
@@ -7,8 +7,8 @@
 	"vetchdoor/files"
 )
 
-// Only writes with deduplication by pack need configured packs, and the controller is told whether there are such
-// writes.
+// Only writes with deduplication by pack need configured packs, and the decision module's configuration gives whether
+// there are such writes.
 func TestUnplaceableOpTypes(t *testing.T) {
 	service := &files.Service{Zones: []string{"a"}, OpTypes: []files.OpType{
 		{Name: "by pack", Repeat: "deduplicated", Group: "pack"},
--- a/logbook/timeline.go
+++ b/logbook/timeline.go
@@ -16,7 +16,7 @@
 // Span is a period in which a node had the same state and weight.
 type Span struct {
 	From, To time.Time
-	State    string // in, or the reason for which the node is withdrawn
+	State    string // "in", or the reason why the node is withdrawn
 	Cause    *Entry // the record that started the span
 	Weight   float64
 }
--- a/record/record.go
+++ b/record/record.go
@@ -10,13 +10,13 @@
 	Level          = "level"      // the admitted share or rate of an op type changed
 	Withdrawal     = "withdrawal" // a server was withdrawn from all tables, or may be used again
 	Confirmation   = "in-force"   // how many proxies confirmed a checkpoint
-	Restart        = "restart"    // the pilot or its controller restarted
+	Restart        = "restart"    // a run of the pilot began, at its start or at a restart of the decision module
 	Refusal        = "refusal"    // a proxy rejected a message, or the pilot refused a stream
 	ProxyJoined    = "joined"     // a proxy joined
 	ProxyLeft      = "left"
 	TenantMove     = "move"  // the move of a tenant began or ended
 	TenantLimit    = "limit" // the limits of a tenant changed
-	ControllerNote = "note"  // a message of the controller
+	ControllerNote = "note"  // a message of the decision module
 )
 
 // The SD-ELEMENT of decisions and its parameters. Numbers are decimal; durations are in microseconds.
--- a/runtime/message.go
+++ b/runtime/message.go
@@ -13,7 +13,7 @@
 	Pilot      string
 	Run        uint64        // number of the pilot's run, which increases with each start
 	Number     uint64        // sequence number within the run and the proxy's session, from 1
-	CreatedAt  time.Duration // when the pilot made the message, on its own clock
+	CreatedAt  time.Duration // when the pilot created the message, on the pilot's clock
 	Lines      int           // lines of the message, its head included, that count against the limit of the pilot's channel
 	Checkpoint int           // a number that the proxy repeats in its Confirmation; negative: none
 	Changes    []Change
--- a/runtime/seat.go
+++ b/runtime/seat.go
@@ -12,8 +12,8 @@
 // the protocol.
 func TenantName(word string) string { return strings.TrimPrefix(word, "=") }
 
-// ParseSeat parses the words that place a tenant, any of draw N, size N, pods ZONE.PACK,… and home. It returns the given
-// seat with the values of these words in place of its own; home resets the seat.
+// ParseSeat parses the words that change a tenant's placement: any of draw N, size N, pods ZONE.PACK,… and home. It returns
+// the given placement with the values of these words in place of its own; home resets it to the default placement.
 func ParseSeat(words []string, seat tenancy.Placement) (tenancy.Placement, error) {
 	w := &wordReader{words: words}
 	if len(words) == 0 {
@@ -39,7 +39,7 @@
 // maxPods limits the number of pods in a subset.
 const maxPods = 1000
 
-// seat reads a seat in the form that Seat.String writes.
+// seat reads a placement in the form that tenancy.Placement.String writes.
 func (w *wordReader) seat() (s tenancy.Placement) {
 	w.expect("draw")
 	s.Draw = uint32(w.uint("draw", math.MaxUint32))
--- a/runtime/word_reader.go
+++ b/runtime/word_reader.go
@@ -61,7 +61,7 @@
 	}
 }
 
-// uint reads a whole number from 0 to limit. Errors call it by the name in what.
+// uint reads a whole number from 0 to limit. what names it in errors.
 func (w *wordReader) uint(what string, limit uint64) uint64 {
 	s := w.take()
 	n, err := strconv.ParseUint(s, 10, 64)
@@ -71,7 +71,7 @@
 	return n
 }
 
-// float reads a finite number. Errors call it by the name in what.
+// float reads a finite number. what names it in errors.
 func (w *wordReader) float(what string) float64 {
 	s := w.take()
 	x, err := strconv.ParseFloat(s, 64)
@@ -188,7 +188,7 @@
 	return digest
 }
 
-// limit reads the word in what and a number that is not negative; * stands for no limit, which is returned as -1.
+// limit reads the keyword what, then a number that is not negative; * stands for no limit, which is returned as -1.
 func (w *wordReader) limit(what string) (x float64) {
 	w.expect(what)
 	if w.nextIs("*") {
@@ -201,7 +201,7 @@
 	return x
 }
 
-// onOff reads the word in what, and then on or off.
+// onOff reads the keyword what, then on or off.
 func (w *wordReader) onOff(what string) bool {
 	w.expect(what)
 	switch on := w.take(); on {
