--- a/cmd/vetchdoor/daemons.go
+++ b/cmd/vetchdoor/daemons.go
@@ -54,7 +54,7 @@
 		p.Records, p.WriteInfo = l.records, l.info
 		p.OnStuck = func() {
 			l.close()
-			os.Exit(exitControllerStuck)
+			os.Exit(exitDecisionModuleStuck)
 		}
 		if err := p.Start(); err != nil {
 			l.close()
@@ -175,7 +175,7 @@
 	return out
 }
 
-// follow watches the settings file and applies its changes to the list, until done is closed. A file that cannot be
+// watchRoster watches the settings file and applies its changes to the list, until done is closed. A file that cannot be
 // read leaves the list unchanged.
 func watchRoster(path string, f *files.Roster, s *labroster.Server, done <-chan struct{}) {
 	last := time.Time{}
--- a/cmd/vetchdoor/main.go
+++ b/cmd/vetchdoor/main.go
@@ -14,13 +14,13 @@
 
 // Exit codes of the program.
 const (
-	exitOK              = 0
-	exitFailed          = 1 // a rule was broken or a check failed
-	exitUsage           = 2 // invalid usage or input
-	exitControllerStuck = 3 // the controller of a pilot did not return from a call; the process must be restarted
+	exitOK                  = 0
+	exitFailed              = 1 // a rule was broken or a check failed
+	exitUsage               = 2 // invalid usage or input
+	exitDecisionModuleStuck = 3 // the decision module of a pilot did not return from a call; the process must be restarted
 )
 
-// failure is an error for which the program exits with exitFailed; any other error exits with exitBad.
+// failure is an error for which the program exits with exitFailed; for any other error it exits with exitUsage.
 type failure struct{ error }
 
 func main() {
--- a/cmd/vetchdoor/platform.go
+++ b/cmd/vetchdoor/platform.go
@@ -20,7 +20,7 @@
 				return err
 			}
 			p := platform.New(g, slog.Default())
-			p.OnStuck = func() { os.Exit(exitControllerStuck) }
+			p.OnStuck = func() { os.Exit(exitDecisionModuleStuck) }
 			if err := p.Start(); err != nil {
 				return err
 			}
--- a/cmd/vetchdoor/signals.go
+++ b/cmd/vetchdoor/signals.go
@@ -11,7 +11,7 @@
 // services lists the sub-commands that run until a signal ends them.
 var services = []string{"pilot", "platform", "proxy", "node", "roster"}
 
-// caught holds the signals of a service, which are caught even before its flags are parsed; nil for other commands.
+// caughtSignals holds the signals of a service, which are caught even before its flags are parsed; nil for other commands.
 var caughtSignals *signals
 
 // signals holds the caught signals of a service. Each kind has its own channel, so that many signals of one kind, sent
@@ -21,7 +21,7 @@
 	reload chan os.Signal // receives SIGHUP
 }
 
-// catch starts to catch signals if the arguments name a service.
+// catchSignals starts to catch signals if the arguments name a service.
 func catchSignals(args []string) {
 	if !slices.ContainsFunc(args, func(arg string) bool { return slices.Contains(services, arg) }) {
 		return
--- a/cmd/vetchdoor/signals_test.go
+++ b/cmd/vetchdoor/signals_test.go
@@ -55,7 +55,7 @@
 	}
 }
 
-// awaitHangup waits until SIGHUP no longer ends a process, according to its masks of ignored and caught signals:
+// awaitHangupHandled waits until SIGHUP no longer ends a process, according to its masks of ignored and caught signals:
 // between the start of a process and its first instruction the default action applies, which the process cannot
 // prevent.
 func awaitHangupHandled(t *testing.T, pid int) {
@@ -68,7 +68,7 @@
 	t.Fatal("the process does not handle SIGHUP in time")
 }
 
-// takesHangup reports whether a process ignores or catches SIGHUP.
+// handlesHangup reports whether a process ignores or catches SIGHUP.
 func handlesHangup(pid int) bool {
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
--- a/cmd/vetchdoor/soak_clients_test.go
+++ b/cmd/vetchdoor/soak_clients_test.go
@@ -267,17 +267,17 @@
 	}
 }
 
-// The number of kinds of connections in the crowd: idle, an incomplete request, a slow request, and a client that reads
-// none of its long answers.
+// crowdKinds is the number of kinds of connections in the crowd: idle, an incomplete request, a slow request, and a client
+// that reads none of its long answers.
 const crowdKinds = 4
 
-// For connections that do not read their answers.
+// Parameters of the crowd's connections that do not read their answers.
 const (
 	longAnswer    = 1 << 20         // size of an answer, in bytes
 	stallDuration = 2 * time.Second // time until the client closes the connection
 )
 
-// holdConnection keeps a connection busy in one of these ways until it is closed or the run ends.
+// holdConnection keeps a connection of one of the crowdKinds open until it is closed or the run ends.
 func (s *soak) holdConnection(c net.Conn, connectionKind int) {
 	if connectionKind == crowdKinds-1 { // requests more than the system's buffers hold, and reads nothing
 		ask := fmt.Sprintf("GET /x HTTP/1.1\r\nHost: h\r\n%s: %d\r\n\r\n", node.SizeField, longAnswer)
--- a/cmd/vetchdoor/soak_parts_test.go
+++ b/cmd/vetchdoor/soak_parts_test.go
@@ -31,10 +31,10 @@
 	maxDescriptors     = 96 // open descriptors per process, with 16 clients, 2 pilots and 4 servers
 )
 
-// dumpWithin is the time that a hanging process gets to print its goroutines.
+// dumpTimeout is the time that a hanging process gets to print its goroutines.
 const dumpTimeout = 500 * time.Millisecond
 
-// For runs with a crowd.
+// Limits in runs with a crowd: many badly behaved client connections beside the clients.
 const (
 	crowdConnections = 60  // number of connections to each proxy
 	descriptorLimit  = 128 // limit on the open descriptors of each proxy
--- a/cmd/vetchdoor/soak_repeats_test.go
+++ b/cmd/vetchdoor/soak_repeats_test.go
@@ -17,7 +17,7 @@
 	dedupWindow   = 6 * time.Second
 	repeatWithin  = dedupWindow * 7 / 10 // since the first try; the rest of the window is a margin for delays
 	repeatPause   = 2 * time.Second      // maximum pause between two tries
-	sameProxyEach = 5                    // one in sameEach repeats goes to the same proxy again
+	sameProxyEach = 5                    // one in sameProxyEach repeats goes to the same proxy again
 )
 
 // Answers that servers lose on purpose.
@@ -26,13 +26,13 @@
 	lostInterval = 400 * time.Millisecond // interval at which the shares are changed
 )
 
-// leastCrossed is the required number of deduplicated writes that reach servers through both proxies, as a mean over
+// minCrossed is the required number of deduplicated writes that reach servers through both proxies, as a mean over
 // the runs; with fewer, checkRepeats would check next to nothing.
 const minCrossed = 5
 
 // tally counts the deduplicated writes of a run.
 type tally struct {
-	writes, repeats, elsewhere, refused int // as clients saw them; elsewhere: repeats to another proxy than the previous try
+	writes, repeats, elsewhere, refused int // tries seen by clients; elsewhere: repeats to another proxy than the try before
 	crossed                             int // writes that reached servers through both proxies
 	effects, doubled, late              int // doubled and late: additional effects of one write, within the window and after it
 }
--- a/cmd/vetchdoor/soak_test.go
+++ b/cmd/vetchdoor/soak_test.go
@@ -23,7 +23,7 @@
 	soakFirst = flag.Uint64("seed", 1, "the seed of the soak's first run")
 )
 
-// soakFor is how long one run sends signals.
+// soakDuration is how long one run sends signals.
 const soakDuration = 8 * time.Second
 
 // The soak test runs the built program as real processes on loopback, sends them series of signals, and compares what
@@ -158,7 +158,8 @@
 	s.checkRepeats()
 }
 
-// checkChannels checks the queue of each pilot that responds (rule 5), also while parts restart.
+// checkChannels checks rule 5, on the bounded channel to proxies, at each pilot that responds, also while parts restart: no
+// session was dropped because the channel was full. It checks for panics of the decision module too.
 func (s *soak) checkChannels() {
 	for _, p := range s.pilots {
 		info, err := session.Query("unix:"+filepath.Join(s.dir, p.name+".sock"), "show info", time.Second)
