--- a/cmd/vetchdoor/soak_repeats_test.go
+++ b/cmd/vetchdoor/soak_repeats_test.go
@@ -32,14 +32,14 @@
 
 // tally counts the deduplicated writes of a run.
 type tally struct {
-	writes, repeats, elsewhere, refused int // tries seen by clients; elsewhere: repeats to another proxy than the try before
+	writes, repeats, elsewhere, rejected int // tries seen by clients; elsewhere: repeats to another proxy than the try before
 	crossed                             int // writes that reached servers through both proxies
 	effects, doubled, late              int // doubled and late: additional effects of one write, within the window and after it
 }
 
 func (y tally) String() string {
 	return fmt.Sprintf("%d deduplicated writes, %d repeats, %d of them through another proxy, %d writes reached servers through both; %d effects, %d repeated within the window, %d after it; %d rejections",
-		y.writes, y.repeats, y.elsewhere, y.crossed, y.effects, y.doubled, y.late, y.refused)
+		y.writes, y.repeats, y.elsewhere, y.crossed, y.effects, y.doubled, y.late, y.rejected)
 }
 
 // loseAnswers makes servers lose answers until stop is closed: each server a random share up to maxLostShare, half of the
@@ -140,7 +140,7 @@
 			continue
 		}
 		if o.status == 503 {
-			s.dedupWrites.refused++
+			s.dedupWrites.rejected++
 		}
 		if o.try == 0 {
 			s.dedupWrites.writes++
--- a/files/day.go
+++ b/files/day.go
@@ -37,16 +37,16 @@
 type Net struct {
 	Same  Duration `json:"same"`
 	Cross Duration `json:"cross"`
-	Push  Duration `json:"push"` // mean additional delay of messages from pilots to proxies
-	Hears Duration `json:"hears"`
+	Push  Duration `json:"push"`  // mean additional delay of messages from pilots to proxies
+	Hears Duration `json:"hears"` // mean additional delay of messages from proxies to pilots
 }
 
 // Load configures the ops that the clients send.
 type Load struct {
 	OfCapacity float64    `json:"of_capacity,omitempty"` // mean load as a share of the capacity of the nodes; or use PerSecond
 	PerSecond  float64    `json:"ops_per_second,omitempty"`
-	Swing      float64    `json:"swing,omitempty"` // amplitude of the load's sine curve over the day, as a share of the mean
-	Spread     float64    `json:"spread,omitempty"`
+	Swing      float64    `json:"swing,omitempty"`  // amplitude of the load's sine curve over the day, as a share of the mean
+	Spread     float64    `json:"spread,omitempty"` // coefficient of variation of the lognormal shares of the proxies
 	ZoneShare  []float64  `json:"zone_share,omitempty"`
 	Shape      []Point    `json:"shape,omitempty"` // load curve that replaces the sine of Swing
 	Works      []Work     `json:"works"`
@@ -103,8 +103,8 @@
 	On     []uint32 `json:"on,omitempty"` // numbers of the affected endpoints, proxies or pilots; empty: random ones
 }
 
-// Goal holds the weights with which the parts of the service score are combined, and TailMiss, a parameter of the part
-// Tail.
+// Goal holds the weights with which the parts of the service score are combined. TailMiss is the share of missed ops in a
+// window up to which the part Tail counts the window's revenue in full; at five times that share it counts none.
 type Goal struct {
 	Whole       float64 `json:"whole"`
 	WorstWindow float64 `json:"worst_window"`
@@ -113,7 +113,8 @@
 	TailMiss    float64 `json:"tail_miss,omitempty"`
 }
 
-// Prices are the costs subtracted from the service score; each is multiplied by the rate of what it prices.
+// Prices are the costs subtracted from the service score. Each is multiplied by a ratio, such as cross-zone tries per op for
+// CrossZone, or handshakes per op for Handshake.
 type Prices struct {
 	CrossZone  float64 `json:"cross_zone,omitempty"`
 	Waste      float64 `json:"waste,omitempty"`
--- a/runtime/seat.go
+++ b/runtime/seat.go
@@ -39,8 +39,8 @@
 // maxPods limits the number of pods in a subset.
 const maxPods = 1000
 
-// seat reads a placement in the form that tenancy.Placement.String writes.
-func (w *wordReader) seat() (s tenancy.Placement) {
+// placement reads a placement in the form that tenancy.Placement.String writes.
+func (w *wordReader) placement() (s tenancy.Placement) {
 	w.expect("draw")
 	s.Draw = uint32(w.uint("draw", math.MaxUint32))
 	w.expect("size")
--- a/stream/ends_test.go
+++ b/stream/ends_test.go
@@ -365,8 +365,8 @@
 	return err == nil
 }
 
-// TestRefusedIsClosedOnce guards against the shutdown of another client's connection: the function that has refused a
-// connection closes it again, when its descriptor may already belong to the other client.
+// TestRefusedIsClosedOnce guards against the shutdown of another client's connection: the accept function that has
+// refused a connection closes it again, when its descriptor may already belong to the other client.
 func TestRefusedIsClosedOnce(t *testing.T) {
 	var hooks Hooks
 	var refused *Conn
