--- a/cmd/vetchdoor/soak_repeats_test.go
+++ b/cmd/vetchdoor/soak_repeats_test.go
@@ -32,9 +32,9 @@
 
 // tally counts the deduplicated writes of a run.
 type tally struct {
-	writes, repeats, elsewhere, rejected int // tries seen by clients; elsewhere: repeats to another proxy than the try before
-	crossed                             int // writes that reached servers through both proxies
-	effects, doubled, late              int // doubled and late: additional effects of one write, within the window and after it
+	writes, repeats, elsewhere, rejected int // tries seen by clients; elsewhere: repeats to another proxy
+	crossed                              int // writes that reached servers through both proxies
+	effects, doubled, late               int // doubled and late: additional effects of one write, within the window and after it
 }
 
 func (y tally) String() string {
--- a/files/files.go
+++ b/files/files.go
@@ -130,7 +130,7 @@
 
 	Members *Members `json:"members,omitempty"` // gossip with other pilots, for the admin commands only; nil: none
 
-	MaxProxies  int      `json:"most_proxies,omitempty"` // maximum of joined proxies; others are sent to the peers; 0: no limit
+	MaxProxies  int      `json:"most_proxies,omitempty"` // maximum of joined proxies; further ones are sent to Peers; 0: no limit
 	LeaveWithin Duration `json:"leave_within,omitempty"` // time over which proxies are sent away when the pilot ends; 0: 10 s
 	Peers       []Peer   `json:"peers,omitempty"`        // the other pilots that this pilot may exchange messages with
 	Log         []Log    `json:"log,omitempty"`          // log receivers in addition to standard error
@@ -154,7 +154,7 @@
 	AllowedNetworks []string `json:"allow,omitempty"`  // networks from which gossip is accepted; empty: loopback
 }
 
-// Peer is another pilot: its number among the instances and its listen address.
+// Peer is another pilot: its instance number and its listen address.
 type Peer struct {
 	Instance int    `json:"instance"`
 	Address  string `json:"address"`
--- a/runtime/word_reader.go
+++ b/runtime/word_reader.go
@@ -41,7 +41,7 @@
 	return s
 }
 
-// nextIs reports whether the next word is the given one, and does not remove it.
+// nextIs reports whether the next word is the given one; it does not remove the word.
 func (w *wordReader) nextIs(word string) bool {
 	return len(w.words) > 0 && w.words[0] == word
 }
--- a/serve/serve_test.go
+++ b/serve/serve_test.go
@@ -179,9 +179,9 @@
 }
 
 // The failure of a request without an answer reports whether the request may have run: no if there was no connection, yes if
-// the connection was cut off. A call that is given up ends, and its server is notified. The test gives calls up only once
-// their server handles them: under load a call was once given up between its connection and its request, of which the server
-// is not notified.
+// the connection was cut off. A cancelled call ends, and its server is notified. The test cancels calls only once their
+// server handles them: under load a call was once cancelled after its connection was made and before its request was sent,
+// and of that the server is not notified.
 func TestUpstream(t *testing.T) {
 	var received, disconnected atomic.Int64 // calls to /hang: received by the server, and reported to it as disconnected
 	hang := make(chan struct{})
