--- a/cmd/vetchdoor/logs.go
+++ b/cmd/vetchdoor/logs.go
@@ -42,9 +42,9 @@
 		s, err := syslog.Start(syslog.Config{Network: f.Network, Address: f.Address, Buffer: f.Buffer,
 			Spool: f.Spool, SpoolBytes: f.SpoolBytes, CA: f.CA, Cert: f.Cert, Key: f.Key, ServerName: f.Name}, slog.Default(),
 			uint64(time.Now().UnixNano()),
-			func(dropped [syslog.Debug + 1]uint64, torn uint64) {
+			func(dropped [syslog.Debug + 1]uint64, corrupt uint64) {
 				<-ready
-				h.ReportLoss(dropped, torn)
+				h.ReportLoss(dropped, corrupt)
 			})
 		if err != nil {
 			l.close()
--- a/cmd/vetchdoor/soak_clients_test.go
+++ b/cmd/vetchdoor/soak_clients_test.go
@@ -45,7 +45,7 @@
 // clientTimeout is the limit for every wait of a client; it exceeds all timeouts of a proxy.
 const clientTimeout = 15 * time.Second
 
-// client sends ops to one proxy over one connection after the other until the run ends.
+// client sends ops to one proxy until the run ends; when a connection closes, it opens the next one.
 func (s *soak) client(number int) {
 	rng := rand.New(rand.NewPCG(s.seed, 100+uint64(number)))
 	proxy := number % len(s.proxies)
@@ -165,7 +165,7 @@
 	return s.readAnswer(in, o)
 }
 
-// awaitContinue waits for 100 Continue. If a final answer came instead, ended and last are true: the connection cannot
+// awaitContinue waits for 100 Continue. If a final answer or an error came instead, ended and last are true: the connection cannot
 // be reused, because the server may or may not read the body.
 func (s *soak) awaitContinue(in *bufio.Reader, o *outcome) (ended, last bool) {
 	line, err := in.Peek(len("HTTP/1.1 100 "))
--- a/cmd/vetchdoor/soak_parts_test.go
+++ b/cmd/vetchdoor/soak_parts_test.go
@@ -158,7 +158,7 @@
 	s.platform.killAfter = pilotKillAfter
 }
 
-// process is one part that runs as a program and is restarted at the same address.
+// process is one part of the service under test: it runs as a program and is restarted at the same address.
 type process struct {
 	s             *soak
 	name, kind    string
--- a/cmd/vetchdoor/soak_repeats_test.go
+++ b/cmd/vetchdoor/soak_repeats_test.go
@@ -106,8 +106,8 @@
 	}
 }
 
-// checkRepeats checks that no deduplicated write took effect twice within the window, counted from the try that took
-// effect first.
+// checkRepeats checks that no deduplicated write took effect twice within the window, which is counted from the arrival of
+// the try that took effect before.
 func (s *soak) checkRepeats() {
 	s.countTries()
 	s.dedupWrites.crossed = s.countCrossed()
--- a/logbook/entry.go
+++ b/logbook/entry.go
@@ -137,10 +137,10 @@
 	return e
 }
 
-// ReadLines calls each for every line of a stream that is not empty. It returns the first read error, with the name.
+// ReadLines calls each for every nonempty line of a stream. It returns the first read error, prefixed with the name.
 func (r *Reader) ReadLines(name string, in io.Reader, each func(*Entry)) error {
 	b := bufio.NewReaderSize(in, 1<<16)
-	var last time.Time // time of the previous line, for lines without one
+	var last time.Time // time of the previous line, used for lines that have no time
 	for n := 1; ; n++ {
 		line, long, err := readLine(b)
 		if line != "" {
--- a/runtime/change.go
+++ b/runtime/change.go
@@ -15,7 +15,7 @@
 	AddServer     Verb = iota + 1 // adds a server to a table, with all that a proxy needs to send ops to it
 	SetWeight                     // sets the weight of a server that is in a table
 	DelServer                     // removes a server from a table
-	SetState                      // takes a server out of all tables, or puts it back: Drained
+	SetState                      // takes a server out of all tables if Drained is set, otherwise puts it back
 	ClearState                    // puts all servers back that SetState has taken out
 	SetMap                        // maps op types to a table
 	ClearTable                    // removes all servers and levels of a table
