--- a/cmd/vetchdoor/soak_clients_test.go
+++ b/cmd/vetchdoor/soak_clients_test.go
@@ -165,8 +165,8 @@
 	return s.readAnswer(in, o)
 }
 
-// awaitContinue waits for 100 Continue. If a final answer or an error came instead, ended and last are true: the connection cannot
-// be reused, because the server may or may not read the body.
+// awaitContinue waits for 100 Continue. If a final answer or an error comes instead, ended and last are true: the
+// connection cannot be reused, because the server may or may not read the body.
 func (s *soak) awaitContinue(in *bufio.Reader, o *outcome) (ended, last bool) {
 	line, err := in.Peek(len("HTTP/1.1 100 "))
 	if err != nil {
