--- a/cmd/vetchdoor/soak_clients_test.go
+++ b/cmd/vetchdoor/soak_clients_test.go
@@ -45,7 +45,7 @@
 // clientTimeout is the limit for every wait of a client; it exceeds all timeouts of a proxy.
 const clientTimeout = 15 * time.Second
 
-// client sends ops to one proxy over one connection after the other until the run ends.
+// client sends ops to one proxy until the run ends; when a connection closes, it opens the next one.
 func (s *soak) client(number int) {
 	rng := rand.New(rand.NewPCG(s.seed, 100+uint64(number)))
 	proxy := number % len(s.proxies)
@@ -165,8 +165,8 @@
 	return s.readAnswer(in, o)
 }
 
-// awaitContinue waits for 100 Continue. If a final answer came instead, ended and last are true: the connection cannot
-// be reused, because the server may or may not read the body.
+// awaitContinue waits for 100 Continue. If a final answer or an error comes instead, ended and last are true: the
+// connection cannot be reused, because the server may or may not read the body.
 func (s *soak) awaitContinue(in *bufio.Reader, o *outcome) (ended, last bool) {
 	line, err := in.Peek(len("HTTP/1.1 100 "))
 	if err != nil {
@@ -267,17 +267,17 @@
 	}
 }
 
-// The number of kinds of connections in the crowd: idle, an incomplete request, a slow request, and a client that reads
-// none of its long answers.
+// crowdKinds is the number of kinds of connections in the crowd: idle, an incomplete request, a slow request, and a client
+// that reads none of its long answers.
 const crowdKinds = 4
 
-// For connections that do not read their answers.
+// Parameters of the crowd's connections that do not read their answers.
 const (
 	longAnswer    = 1 << 20         // size of an answer, in bytes
 	stallDuration = 2 * time.Second // time until the client closes the connection
 )
 
-// holdConnection keeps a connection busy in one of these ways until it is closed or the run ends.
+// holdConnection keeps a connection of one of the crowdKinds open until it is closed or the run ends.
 func (s *soak) holdConnection(c net.Conn, connectionKind int) {
 	if connectionKind == crowdKinds-1 { // requests more than the system's buffers hold, and reads nothing
 		ask := fmt.Sprintf("GET /x HTTP/1.1\r\nHost: h\r\n%s: %d\r\n\r\n", node.SizeField, longAnswer)
--- a/cmd/vetchdoor/soak_repeats_test.go
+++ b/cmd/vetchdoor/soak_repeats_test.go
@@ -17,7 +17,7 @@
 	dedupWindow   = 6 * time.Second
 	repeatWithin  = dedupWindow * 7 / 10 // since the first try; the rest of the window is a margin for delays
 	repeatPause   = 2 * time.Second      // maximum pause between two tries
-	sameProxyEach = 5                    // one in sameEach repeats goes to the same proxy again
+	sameProxyEach = 5                    // one in sameProxyEach repeats goes to the same proxy again
 )
 
 // Answers that servers lose on purpose.
@@ -26,20 +26,20 @@
 	lostInterval = 400 * time.Millisecond // interval at which the shares are changed
 )
 
-// leastCrossed is the required number of deduplicated writes that reach servers through both proxies, as a mean over
+// minCrossed is the required number of deduplicated writes that reach servers through both proxies, as a mean over
 // the runs; with fewer, checkRepeats would check next to nothing.
 const minCrossed = 5
 
 // tally counts the deduplicated writes of a run.
 type tally struct {
-	writes, repeats, elsewhere, refused int // as clients saw them; elsewhere: repeats to another proxy than the previous try
-	crossed                             int // writes that reached servers through both proxies
-	effects, doubled, late              int // doubled and late: additional effects of one write, within the window and after it
+	writes, repeats, elsewhere, rejected int // tries seen by clients; elsewhere: repeats to another proxy
+	crossed                              int // writes that reached servers through both proxies
+	effects, doubled, late               int // doubled and late: additional effects of one write, within the window and after it
 }
 
 func (y tally) String() string {
 	return fmt.Sprintf("%d deduplicated writes, %d repeats, %d of them through another proxy, %d writes reached servers through both; %d effects, %d repeated within the window, %d after it; %d rejections",
-		y.writes, y.repeats, y.elsewhere, y.crossed, y.effects, y.doubled, y.late, y.refused)
+		y.writes, y.repeats, y.elsewhere, y.crossed, y.effects, y.doubled, y.late, y.rejected)
 }
 
 // loseAnswers makes servers lose answers until stop is closed: each server a random share up to maxLostShare, half of the
@@ -106,8 +106,8 @@
 	}
 }
 
-// checkRepeats checks that no deduplicated write took effect twice within the window, counted from the try that took
-// effect first.
+// checkRepeats checks that no deduplicated write took effect twice within the window, which is counted from the arrival of
+// the try that took effect before.
 func (s *soak) checkRepeats() {
 	s.countTries()
 	s.dedupWrites.crossed = s.countCrossed()
@@ -140,7 +140,7 @@
 			continue
 		}
 		if o.status == 503 {
-			s.dedupWrites.refused++
+			s.dedupWrites.rejected++
 		}
 		if o.try == 0 {
 			s.dedupWrites.writes++
