--- a/pilot/moves_test.go
+++ b/pilot/moves_test.go
@@ -38,7 +38,9 @@
 		}
 		r.file = f
 	})
-	r.file.Listen = r.p.Address()
+	restart := *r.file // a copy, for the running pilot reads its own file
+	restart.Listen = r.p.Address()
+	r.file = &restart
 	return r
 }
 
