--- a/lab/check.go
+++ b/lab/check.go
@@ -18,8 +18,8 @@
 	"vetchdoor/runtime"
 )
 
-// Violation is a breach of one of the five rules, or of none of them (noRule): the rule's number, the time since the
-// fleet was created, and a description of what was observed.
+// Violation is a breach of one of the five rules, or another fault, whose Rule is noRule. At is the time since the fleet
+// was created; Description is what was observed.
 type Violation struct {
 	Rule        int           `json:"rule"`
 	At          time.Duration `json:"at"`
@@ -80,8 +80,8 @@
 	*runtime.Message
 	sent      time.Duration // when it left the pilot
 	received  time.Duration // when it reached the proxy
-	confirmed time.Duration // when its confirmation left the proxy; negative if none was seen
-	reapplied bool          // the confirmation says that the proxy had applied it before
+	confirmed time.Duration // when its first confirmation left the proxy; negative if none was seen
+	reapplied bool          // the confirmation reports that the proxy had already applied the message
 	decided   time.Duration // when the pilot decided it, by the clock of its run
 }
 
--- a/lab/fleet.go
+++ b/lab/fleet.go
@@ -58,8 +58,8 @@
 	wrapProxy      func(*files.Proxy, *proxy.Proxy) // hook for tests that make proxies faulty; may be nil
 }
 
-// trafficShift is a fraction of the traffic that moves to some proxies for a period, or permanently. It grows, and for a
-// period also shrinks, linearly over ramp.
+// trafficShift is a fraction of the traffic that moves to some proxies for a period, or permanently. The fraction grows
+// linearly over ramp from the start; unless the shift is permanent, it shrinks linearly over ramp before the end.
 type trafficShift struct {
 	from, to  time.Duration
 	ramp      time.Duration
@@ -430,7 +430,7 @@
 	})
 }
 
-// schedule runs g after a delay, unless the day has ended by then.
+// schedule runs action after a delay, unless the day has ended by then.
 func (f *fleet) schedule(after time.Duration, action func()) {
 	f.timers.Add(1)
 	go func() {
--- a/lab/link/link.go
+++ b/lab/link/link.go
@@ -227,7 +227,7 @@
 // DropDirection drops all data in one direction until Heal.
 func (l *Link) DropDirection(d Direction) { l.dropping[d].Store(true) }
 
-// Heal ends Cut and DropDirection, and breaks all connections if either was in force, since data may be missing from
+// Heal ends Cut and DropDirection, and breaks all connections if either was active, since data may be missing from
 // them.
 func (l *Link) Heal() {
 	dropped := l.dropping[Up].Swap(false)
--- a/lab/links_test.go
+++ b/lab/links_test.go
@@ -25,7 +25,7 @@
 			}
 			f.route(0).SetCut(false)
 		},
-		// messages that the proxy does not confirm must not block those to the others
+		// messages that the proxy does not confirm must not block messages to the other proxies
 		"half open to both pilots during changes": func(f *simFleet) {
 			for _, r := range f.routes[0] {
 				r.SetCut(true)
@@ -182,7 +182,7 @@
 					redirected++
 				}
 			}
-			if redirected != 3 { // one of the three was redirected to this pilot at the start
+			if redirected != 3 { // one of the three proxies was redirected to this pilot at the start
 				f.t.Errorf("%d of 3 proxies were redirected", redirected)
 			}
 			f.startPilot(0)
--- a/lab/load.go
+++ b/lab/load.go
@@ -203,7 +203,7 @@
 }
 
 // windowTenthsUsed is the part of a deduplication window, in tenths, in which a client retries. The rest allows for network
-// delay: a retry that leaves within the window and arrives after it takes effect again, which would be the client's fault.
+// delay: a retry that is sent within the window but arrives after its end takes effect again, by the client's fault.
 const windowTenthsUsed = 7
 
 // runClient plays the client of an op: it sends tries through a proxy, with a timeout for each, and retries after a backoff
--- a/lab/node/ledger.go
+++ b/lab/node/ledger.go
@@ -28,7 +28,7 @@
 	OpType    int
 }
 
-// Crash is the crash of a cold node that received too much work.
+// Crash is the crash of a cold node that received more work than it survives.
 type Crash struct {
 	At       time.Duration
 	Endpoint control.EndpointID
@@ -120,7 +120,8 @@
 	return append([]Crash(nil), l.crashes...)
 }
 
-// RecordMixUp records a request or an answer that contained parts of another one. It keeps the first 100.
+// RecordMixUp records a request or an answer that contained parts of another one. The ledger keeps
+// the first 100.
 func (l *Ledger) RecordMixUp(what string) {
 	const maxMixUps = 100
 	l.mu.Lock()
--- a/lab/node/node.go
+++ b/lab/node/node.go
@@ -68,7 +68,7 @@
 type Faults struct {
 	Hang     bool                 // ops are accepted and not answered while set
 	Silent   bool                 // nothing is sent on any connection
-	SilentTo func(proxy int) bool // as Silent, for the proxies for which it returns true
+	SilentTo func(proxy int) bool // like Silent, but only for the proxies for which it returns true
 
 	// PathFrom returns the extra delay of ops from a proxy and the share of them that is lost.
 	PathFrom func(proxy int) (delay time.Duration, lossShare float64)
@@ -125,8 +125,8 @@
 	dropped
 )
 
-// New makes a node that is not running. s gives the op types and load measures, limits the overload that crashes a
-// cold node; seed draws the node's speed and the share of ops that fail.
+// New makes a node that is not running. s gives the op types and load measures, and limits gives the overload that
+// crashes a cold node. seed seeds the random draws of the node's speed and of the ops that a fault affects.
 func New(config files.NodeAt, m files.Machine, s *files.Service, limits files.Limits, seed uint64, l *Ledger) *Node {
 	n := &Node{config: config, machine: m, limits: limits, types: s.Types(), measures: s.Measures,
 		zone: s.ZoneIndex(config.Zone), ledger: l, rng: rand.New(rand.NewPCG(seed, uint64(config.Endpoint))), running: map[*job]bool{}}
@@ -164,7 +164,7 @@
 	return n.started
 }
 
-// Start starts the process, cold or already warm. It does nothing if the process is running or has crashed of
+// Start starts the process, cold or already warm. It does nothing if the process is running or has crashed from
 // overload, and fails if the address cannot be listened on.
 func (n *Node) Start(cold bool) error {
 	n.mu.Lock()
@@ -225,7 +225,8 @@
 	s.Stop(ctx)
 }
 
-// UpdateFaults changes the injected faults. Jobs held up by a Hang or Silent that ends finish at once.
+// UpdateFaults changes the injected faults. Jobs that Hang or Silent held up are
+// finished when the fault is cleared.
 func (n *Node) UpdateFaults(change func(t *Faults)) {
 	n.mu.Lock()
 	was := n.faults
@@ -239,7 +240,7 @@
 	n.mu.Unlock()
 }
 
-// Pause suspends processing for a duration: no job starts, and running jobs end no earlier than its end.
+// Pause suspends processing for a duration: no job starts or ends before the duration is over.
 func (n *Node) Pause(d time.Duration) {
 	n.mu.Lock()
 	n.pausedUntil = time.Now().Add(d)
@@ -431,8 +432,8 @@
 }
 
 // overloaded records work that arrived at a cold node and reports whether it is more than the node survives:
-// OverloadFactor times its present capacity over FallAfter. Twice the work of the largest of these ops is allowed on
-// top.
+// OverloadFactor times its present capacity over FallAfter. Twice the work of the largest of these ops is allowed
+// in addition.
 func (n *Node) overloaded(work time.Duration) bool {
 	now := time.Now()
 	if n.crashed || !n.up || n.started.IsZero() || n.warmupFactor(now) >= 1 || n.limits.FallAfter <= 0 {
--- a/lab/platform/agent.go
+++ b/lab/platform/agent.go
@@ -113,10 +113,10 @@
 	return fmt.Appendf(nil, "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// Answer sends an answer and lets the connection take its next call.
+// Answer sends an answer, after which the connection reads its next call.
 func (c *Call) Answer(answer Answer) { c.Send(c.Encode(answer)) }
 
-// Send writes raw bytes as the answer and lets the connection take its next call.
+// Send writes raw bytes as the answer, after which the connection reads its next call.
 func (c *Call) Send(b []byte) {
 	_, _ = c.Write(b)
 	c.answered <- true
--- a/lab/platform/peer.go
+++ b/lab/platform/peer.go
@@ -76,8 +76,8 @@
 	neverConfirms bool
 }
 
-// Join connects to a pilot and attaches as a proxy. The proxy starts with the tables and levels of a previous one, or
-// with none if that is nil. isKnown reports whether a host is in the list.
+// Join connects to a pilot and attaches as a proxy. The proxy starts with the tables and levels of a previous Proxy,
+// or with none if that is nil. isKnown reports whether a host is in the list.
 func Join(address string, number int, zone string, types []string, isKnown func(string) bool,
 	previous *Proxy) (*Proxy, error) {
 	peer, err := Dial(address)
--- a/lab/receiver/strict.go
+++ b/lab/receiver/strict.go
@@ -15,7 +15,7 @@
 type Message struct {
 	Priority int
 	Time     time.Time // zero for the nil value
-	Host     string    // empty for the nil value, as App, Proc and ID
+	Host     string    // empty for the nil value; so are App, Proc and ID
 	App      string
 	Proc     string
 	ID       string
--- a/lab/repeats_days_test.go
+++ b/lab/repeats_days_test.go
@@ -24,7 +24,7 @@
 	return d
 }
 
-// repeatingDays are variants of that day.
+// repeatingDays are variants of repeatingDay.
 var repeatingDays = []struct {
 	name   string
 	change func(d *files.Day)
--- a/lab/repeats_test.go
+++ b/lab/repeats_test.go
@@ -151,8 +151,8 @@
 	return count
 }
 
-// tableInUse describes the table that a proxy uses, as endpoint, zone and pack of each server: the first one in force from
-// a pilot, or the standing one if there is none.
+// tableInUse describes the table that a proxy uses, as endpoint, zone and pack of each server: the first table in the
+// proxy's stat output that came from a pilot, or the standing table if there is none.
 func (f *simFleet) tableInUse(proxy int) string {
 	var out []string
 	table := "standing"
@@ -245,7 +245,7 @@
 	}
 }
 
-// Events before the first tries, or between them and the repeats.
+// The functions below are the events of repeat cases, for the fields before and between of repeatCase.
 
 // waitForOwnCell waits until the proxies that the first load reports had moved to another cell are back.
 func waitForOwnCell(*simFleet) { time.Sleep(3 * time.Second) }
--- a/lab/roster/roster.go
+++ b/lab/roster/roster.go
@@ -39,7 +39,7 @@
 	return StartOnNet(nil, address, entries)
 }
 
-// StartOnNet is Start on a given network; nil: sockets.
+// StartOnNet is like Start, but listens on the given network; nil selects sockets.
 func StartOnNet(network stream.Net, address string, entries []list.Entry) (*Server, error) {
 	s := &Server{version: 1, entries: map[control.EndpointID]list.Entry{}, watchers: map[*watcher]bool{}}
 	for _, e := range entries {
@@ -111,7 +111,7 @@
 	}
 }
 
-// Entries returns the list in order of endpoint.
+// Entries returns the entries of the list, sorted by endpoint.
 func (s *Server) Entries() []list.Entry {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/lab/tenants.go
+++ b/lab/tenants.go
@@ -170,7 +170,7 @@
 }
 
 // TenantResult rates the service of the tenants while one of them misbehaved. Each figure is a share of revenue from 0
-// to 1, but UnderHalf, which is the share of the other tenants that got less than half of theirs. Others covers the
+// to 1, except UnderHalf, which is the share of the other tenants that got less than half of theirs. Others covers the
 // other tenants; Outside covers those of their ops that could reach none of the misbehaving tenant's pods, Inside the
 // rest.
 type TenantResult struct {
@@ -178,7 +178,7 @@
 	UnderHalf    float64 `json:"others_under_half"`
 	Misbehaving  float64 `json:"bad"`
 	Outside      float64 `json:"outside"`
-	OutsideShare float64 `json:"outside_share"` // share of the revenue that the others asked for
+	OutsideShare float64 `json:"outside_share"` // share of the revenue asked for by the other tenants
 	Inside       float64 `json:"inside"`
 }
 
@@ -316,7 +316,7 @@
 
 	P50                time.Duration `json:"acked_p50_ns"` // latencies of acked ops of which no try was refused for a move
 	P99                time.Duration `json:"acked_p99_ns"`
-	InconsistentMoving int           `json:"wrong_moving"` // those with a binding change of their tenant within nearMove
+	InconsistentMoving int           `json:"wrong_moving"` // inconsistent writes near a binding change, see nearMove
 
 	Examples []InconsistentWrite `json:"which,omitempty"` // the first 20 inconsistent writes
 }
@@ -328,10 +328,11 @@
 	At      string   `json:"at"`
 	Tries   []string `json:"tries"`
 	Effects []string `json:"effects"`
-	Moves   []string `json:"moves"` // the tenant's binding changes around that time
+	Moves   []string `json:"moves"` // the tenant's binding changes within 10 s of the write's scheduled start
 }
 
-// nearMove is longer than the delivery of a binding change plus the time between a try and its retry.
+// nearMove is the time before and after a write's scheduled start within which a binding change of its tenant counts for
+// InconsistentMoving. It is longer than the delivery of a binding change plus the time between a try and its retry.
 const nearMove = 2500 * time.Millisecond
 
 // scoreMoves reconstructs the moves from the wire traffic and checks the history of each write against the nodes' records.
--- a/lab/tenants_test.go
+++ b/lab/tenants_test.go
@@ -32,11 +32,11 @@
 }
 
 // TestMovesUnderWriteLoad guards against duplicate writes of tenants that move under a heavy write load, with half of the
-// responses lost and retries through other proxies: every write keeps to one effect. In the planted case pilots and proxies
-// are configured with too short a write life and window; the histories and rule 2 must show it, and no other rule may be
-// broken.
+// responses lost and retries through other proxies: every write takes effect at most once. In the planted case pilots and
+// proxies are configured with too short a write lifetime and deduplication window; the histories and rule 2 must show it,
+// and no other rule may be broken.
 //
-// The test depends on time. With clients that retried until the end of a window of 600 ms, and seven days in real time at
+// The test depends on real time. With clients that retried until the end of a window of 600 ms, and seven days in real time at
 // once, 24 to 52 effects were doubled on a busy machine, by tries that arrived 603 to 1,250 ms after the first. Hence
 // clients leave three tenths of the window for network delay, the windows here are wide, and realTimeSlots limits
 // concurrent days.
--- a/lab/trouble.go
+++ b/lab/trouble.go
@@ -11,8 +11,8 @@
 	"vetchdoor/pilot"
 )
 
-// scheduleTroubles schedules the troubles of a day. Their targets are drawn at once from the day's seed, so that two
-// runs of a day have the same ones.
+// scheduleTroubles schedules the troubles of a day. It draws the targets of all troubles now, from the day's seed, so that
+// two runs of a day have the same targets.
 func (f *fleet) scheduleTroubles() {
 	for i := range f.day.Troubles {
 		t := &f.day.Troubles[i]
@@ -116,7 +116,7 @@
 			})
 		}
 	},
-	// messages of proxies to pilots are lost, or with how "down" those of pilots to proxies
+	// messages from proxies to pilots are lost, or, if t.How is "down", messages from pilots to proxies
 	"one_way": func(f *fleet, t *files.Trouble) {
 		d := link.Up
 		if t.How == "down" {
@@ -166,7 +166,7 @@
 		for _, x := range f.day.Service.OpTypes {
 			shortestTarget = min(shortestTarget, x.TargetLatency.AsDuration())
 		}
-		roundTripDelay := time.Duration(2 * t.Size * float64(shortestTarget)) // round trip
+		roundTripDelay := time.Duration(2 * t.Size * float64(shortestTarget))
 		for _, n := range f.nodes {
 			at := f.day.Service.ZoneIndex(n.Config().Zone)
 			delay := func(p int) (time.Duration, float64) {
@@ -224,8 +224,8 @@
 	return f.rng.Perm(n)[:count]
 }
 
-// pickNodes returns the nodes that a trouble names, or else a random part of them, of which only those in t.Zone if it
-// is set.
+// pickNodes returns the nodes that a trouble names, or else a random part of all nodes. If t.Zone is set, nodes of that
+// part that are in other zones are left out.
 func (f *fleet) pickNodes(t *files.Trouble) []*node.Node {
 	if len(t.On) > 0 {
 		var out []*node.Node
@@ -251,10 +251,10 @@
 	return out
 }
 
-// pickProxies returns the indexes of the proxies that a trouble names, or else of a random part of them.
+// pickProxies returns the indexes of the proxies that a trouble names, or else of a random part of all proxies.
 func (f *fleet) pickProxies(t *files.Trouble) []int { return pick(f, len(f.proxies), t.Part, t.On) }
 
-// pickPilots returns the pilots that a trouble names, or else a random part of them.
+// pickPilots returns the pilots that a trouble names, or else a random part of all pilots.
 func (f *fleet) pickPilots(t *files.Trouble) (out []*pilotInstance) {
 	for _, i := range pick(f, len(f.pilots), t.Part, t.On) {
 		out = append(out, f.pilots[i])
@@ -358,7 +358,7 @@
 	}
 }
 
-// cutZone drops all traffic between a zone and the others without closing connections.
+// cutZone drops all traffic between a zone and all other zones without closing connections.
 func (f *fleet) cutZone(t *files.Trouble) {
 	zone := f.troubleZone(t)
 	for _, p := range f.pilots {
