--- a/lab/account.go
+++ b/lab/account.go
@@ -137,8 +137,8 @@
 	ops, missed     int // missed: not acked within the target latency, nor rejected within it
 }
 
-// tailShare returns the share of the revenue that counts when each window is weighted by its share of missed ops: in
-// full up to maxMiss, then linearly less, down to nothing at five times maxMiss.
+// tailShare returns the share of the revenue that counts when each window is weighted by its share of missed ops:
+// the weight is 1 up to maxMiss and then falls linearly to 0 at five times maxMiss.
 func tailShare(tails []map[int]*tailWindow, maxMiss float64) float64 {
 	var all revenueShare
 	for _, windows := range tails {
@@ -156,8 +156,8 @@
 	return all.share()
 }
 
-// price returns the sum of the prices, each weighted as the day sets it. Most are relative to the number of ops or to
-// the revenue asked for.
+// price returns the sum of the prices, each multiplied by the weight that the day sets. Most prices are
+// relative to the number of ops or to the revenue asked for.
 func price(p *files.Prices, s costs, lateFailRevenue, revenueAsked float64, ops int) float64 {
 	if ops == 0 {
 		return 0
--- a/lab/check.go
+++ b/lab/check.go
@@ -377,7 +377,7 @@
 				}
 			}
 		}
-		// report adds a violation for each op type whose table stayed empty past the limit. The period starts anew whenever
+		// report adds a violation for each op type whose table stayed empty past the limit. The period restarts whenever
 		// the list shows no warm ready endpoint.
 		report := func(until time.Duration) {
 			for i := range typeCount {
--- a/lab/fleet.go
+++ b/lab/fleet.go
@@ -417,7 +417,7 @@
 }
 
 // announce makes the list service show a node in the given mode after a delay. A change other than draining is dropped if
-// the node has restarted in the meantime: the list service never noticed that the node was down.
+// the node has restarted in the meantime: the list service never detected that the node was down.
 func (f *fleet) announce(after time.Duration, n *node.Node, mode string) {
 	startedBefore := n.Started()
 	f.schedule(after, func() {
--- a/lab/node/ledger.go
+++ b/lab/node/ledger.go
@@ -120,8 +120,8 @@
 	return append([]Crash(nil), l.crashes...)
 }
 
-// RecordMixUp records a request or an answer that contained parts of another one. The ledger keeps
-// the first 100.
+// RecordMixUp records a request or an answer that contained parts of another one. The ledger
+// keeps the first 100.
 func (l *Ledger) RecordMixUp(what string) {
 	const maxMixUps = 100
 	l.mu.Lock()
--- a/lab/orders_test.go
+++ b/lab/orders_test.go
@@ -41,7 +41,7 @@
 		f.nodes[1].UpdateFaults(func(t *node.Faults) { t.Draining = true })
 		f.list.Set(f.entry(1, "draining", 1))
 	},
-	"cold": func(f *simFleet) { // one server crashes and is back cold before the list service has noticed
+	"cold": func(f *simFleet) { // one server crashes and restarts cold before the list service detects the crash
 		f.nodes[3].Stop()
 		if err := f.nodes[3].Start(true); err != nil {
 			f.t.Error(err)
@@ -386,7 +386,7 @@
 
 var orderFlag = flag.String("order", "", "the only order of events that TestEveryOrder plays, separated by commas")
 
-// permutations calls f with every ordered selection of n names.
+// permutations calls f with every ordered selection of n different elements of the slice of.
 func permutations(of []string, n int, f func([]string)) {
 	var in []string
 	var next func()
--- a/lab/platform/discovery.go
+++ b/lab/platform/discovery.go
@@ -41,7 +41,7 @@
 	Healthy    Behavior = iota
 	Silent              // calls are not answered
 	Malformed           // responses are invalid JSON
-	AlwaysFull          // every response has the whole list, whatever was requested
+	AlwaysFull          // every response has the whole list, even if only changes were requested
 )
 
 // Discovery is a stand-in for the discovery service that any number of pilots may watch.
--- a/lab/repeats_test.go
+++ b/lab/repeats_test.go
@@ -16,7 +16,7 @@
 
 // The tests below guard against duplicate effects of deduplicated writes. The connection between client and proxy breaks
 // before the response arrives, and the client repeats the write with the same key, within the window, through another proxy
-// or the same one. The write must take effect once, whatever the tables of the proxies hold.
+// or the same one. The write must take effect once, whichever servers the tables of the proxies contain.
 
 const (
 	repeatedWrites = 40
@@ -29,12 +29,12 @@
 // repeatCase describes a fleet and the proxies through which a write is tried first and repeated.
 type repeatCase struct {
 	name          string
-	group         string // dedup group: servers that drop each other's repeats
-	crossZone     float64
+	group         string  // dedup group: servers that drop each other's repeats
+	crossZone     float64 // price of crossing zones: oneTable or tablesByZone
 	servers       []files.NodeAt
-	unlisted      int
+	unlisted      int // number of servers at the end of servers that are not in the list at first
 	tenants       *files.Tenants
-	first, second int
+	first, second int               // indexes of the proxies of the first tries and of the repeats
 	before        func(f *simFleet) // runs before the first tries; may be nil
 	between       func(f *simFleet) // runs between the first tries and the repeats; may be nil
 	tablesDiffer  bool              // whether the first proxy's first tries must use another table than the repeats
@@ -42,13 +42,13 @@
 
 // repeatOutcome counts what happened to a case's repeats.
 type repeatOutcome struct {
-	doubled   int
+	doubled   int // writes that took effect more than once
 	refused   int // repeats refused by a proxy that reaches the group of the first try
-	unreached int // repeats refused by a proxy that does not reach it
+	unreached int // repeats refused by a proxy that does not reach that group
 }
 
-// Prices of crossing zones. With oneTable a cell spans both zones and all proxies use equal tables; with tablesByZone each
-// zone has a cell of its own.
+// Prices of crossing zones, for repeatCase.crossZone. With oneTable a cell spans both zones and all proxies use equal
+// tables; with tablesByZone each zone has a cell of its own.
 const (
 	oneTable     = 0
 	tablesByZone = 0.08
--- a/lab/roster/roster.go
+++ b/lab/roster/roster.go
@@ -1,6 +1,7 @@
 // Package roster is a stand-in for the list service. It lists the servers that are ready or draining, pushes each
 // change to its watchers, sends the whole list to a client that has missed changes, and can be made unreachable.
-// Start makes a Server; the test calls Set and thus decides how late the list follows the servers.
+// Start makes a Server; the test calls Set, and so controls how late the list reflects a change
+// of the servers.
 package roster
 
 import (
--- a/lab/tenants.go
+++ b/lab/tenants.go
@@ -62,7 +62,7 @@
 
 // Kinds of misbehaviour of a tenant's ops. Ops without a kind may still cost more work than usual.
 const (
-	badImpatient  = "hasty"       // the client times out early and retries at once, whatever the response
+	badImpatient  = "hasty"       // the client times out early and retries at once after any response but an ack
 	badPoison     = "poison"      // the server that processes one crashes
 	badSlowReader = "slow-reader" // requests a large response and reads it slowly
 	badNewNames   = "new-names"   // each op has a new, unknown tenant name
--- a/lab/trouble.go
+++ b/lab/trouble.go
@@ -293,7 +293,7 @@
 }
 
 // flap takes nodes down and up periodically, each for a part of the period, by a crash, a hang, errors or silence. The list
-// service may not notice every change.
+// service may not detect every change.
 func (f *fleet) flap(t *files.Trouble) {
 	period := max(time.Duration(t.Size*float64(time.Second)), 500*time.Millisecond)
 	down := time.Duration(min(max(t.Extra, 0.1), 0.9) * float64(period))
@@ -358,7 +358,8 @@
 	}
 }
 
-// cutZone drops all traffic between a zone and all other zones without closing connections.
+// cutZone drops all traffic between a zone and all other zones for the length of a trouble. No connection is closed before
+// its end.
 func (f *fleet) cutZone(t *files.Trouble) {
 	zone := f.troubleZone(t)
 	for _, p := range f.pilots {
