--- a/lab/link/memory.go
+++ b/lab/link/memory.go
@@ -65,7 +65,8 @@
 	}
 }
 
-// BreakAfter breaks the connection that carries the given number of further bytes in a direction, even within a line.
+// BreakAfter breaks a connection once the link has carried the given number of further bytes in a direction, even within a
+// line. The connection that carries the last of these bytes is the one that breaks.
 func (r *MemoryLink) BreakAfter(d Direction, bytes int) {
 	r.mu.Lock()
 	r.breakAfter[d] = bytes
@@ -222,10 +223,10 @@
 	closeSent        bool // the end of the connection has been sent to the peer
 	busy             bool // a goroutine is running the request handler or the close callbacks
 	received         []byte
-	skipped          int     // total bytes that the owner has consumed
-	lent             []byte  // result of the last Peek or Next
-	inTransit        []piece // pieces on their way to this end
-	due              time.Time
+	skipped          int           // total bytes that the owner has consumed
+	lent             []byte        // result of the last Peek or Next
+	inTransit        []piece       // pieces on their way to this end
+	due              time.Time     // arrival time of the last piece sent to this end
 	changed          chan struct{} // closed and replaced when data arrives or the connection ends
 	readTimeout      time.Duration // timeout of a read; 0 for none
 	request          func()
--- a/lab/node/node.go
+++ b/lab/node/node.go
@@ -225,8 +225,8 @@
 	s.Stop(ctx)
 }
 
-// UpdateFaults changes the injected faults. Jobs that Hang or Silent held up beyond their end are
-// finished at once when the fault is cleared.
+// UpdateFaults changes the injected faults. When Hang or Silent is cleared, all running jobs finish at once, or at the end
+// of a Pause.
 func (n *Node) UpdateFaults(change func(t *Faults)) {
 	n.mu.Lock()
 	was := n.faults
