--- a/lab/roster/roster.go
+++ b/lab/roster/roster.go
@@ -1,6 +1,7 @@
 // Package roster is a stand-in for the list service. It lists the servers that are ready or draining, pushes each
 // change to its watchers, sends the whole list to a client that has missed changes, and can be made unreachable.
-// Start makes a Server; the test calls Set and thus decides how late the list follows the servers.
+// Start makes a Server; the test calls Set, and so controls how late the list reflects a change
+// of the servers.
 package roster
 
 import (
@@ -39,7 +40,7 @@
 	return StartOnNet(nil, address, entries)
 }
 
-// StartOnNet is Start on a given network; nil: sockets.
+// StartOnNet is like Start, but listens on the given network; nil selects sockets.
 func StartOnNet(network stream.Net, address string, entries []list.Entry) (*Server, error) {
 	s := &Server{version: 1, entries: map[control.EndpointID]list.Entry{}, watchers: map[*watcher]bool{}}
 	for _, e := range entries {
@@ -111,7 +112,7 @@
 	}
 }
 
-// Entries returns the list in order of endpoint.
+// Entries returns the entries of the list, sorted by endpoint.
 func (s *Server) Entries() []list.Entry {
 	s.mu.Lock()
 	defer s.mu.Unlock()
