--- a/bench/cells/main.go
+++ b/bench/cells/main.go
@@ -163,7 +163,7 @@
 	}
 	t := got.Tenants
 	r.Others, r.Outside, r.Inside, r.Shared = t.Others, t.Outside, t.Inside, 1-t.OutsideShare
-	r.Rules, r.Falls, r.BehindP99 = len(got.Breaks), got.Falls, got.BehindP99
+	r.Rules, r.Falls, r.BehindP99 = len(got.Violations), got.ColdCrashes, got.GeneratorLagP99
 	fmt.Fprintf(os.Stderr, "%s, %s, seed %d: others %.3f, outside %.3f, %d rules broken\n",
 		r.Kind, r.Variant, r.Seed, r.Others, r.Outside, r.Rules)
 }
@@ -277,7 +277,7 @@
 				shared, inside, outside = append(shared, r.Shared), append(inside, r.Inside), append(outside, r.Outside)
 			}
 		}
-		_, reachable := tenancy.Blast(17, v.subset)
+		_, reachable := tenancy.BlastRadius(17, v.subset)
 		sharedMean, sharedHalf := interval(shared)
 		insideMean, insideHalf := interval(inside)
 		outsideMean, outsideHalf := interval(outside)
--- a/bench/pilot/main.go
+++ b/bench/pilot/main.go
@@ -63,7 +63,7 @@
 		return err
 	}
 	defer os.RemoveAll(dir)
-	day.Channel.MostWaiting, day.Channel.LinesPerSecond, day.Channel.ReportLinesPerSecond = 400_000, 200_000, 5000
+	day.Channel.MaxWaitingLines, day.Channel.LinesPerSecond, day.Channel.ReportLinesPerSecond = 400_000, 200_000, 5000
 	file := files.Pilot{Kind: "pilot", Name: "p", Zone: day.Service.Zones[0], Proxies: proxies, Listen: "127.0.0.1:0",
 		Roster: service.Address(), Admin: "unix:" + filepath.Join(dir, "sock"),
 		Service: day.Service, Limits: day.Limits, Channel: day.Channel}
@@ -101,7 +101,7 @@
 	time.Sleep(8 * time.Second)
 	report := func(what string, since time.Time, cpu time.Duration) (time.Time, time.Duration) {
 		now, total := time.Now(), cpuOf(cmd.Process.Pid)
-		info, err := session.Ask(file.Admin, "show info", 10*time.Second)
+		info, err := session.Query(file.Admin, "show info", 10*time.Second)
 		if err != nil {
 			info = err.Error()
 		}
@@ -155,7 +155,7 @@
 			time.Sleep(time.Second)
 		}
 	}()
-	scan := runtime.NewScanner(runtime.Orders)
+	scan := runtime.NewScanner(runtime.StreamBounds)
 	buf := make([]byte, 64<<10)
 	for {
 		n, err := c.Read(buf)
@@ -171,14 +171,14 @@
 			if !ok {
 				break
 			}
-			if !line[0].Is("apply") {
+			if !line[0].HasPrefix("apply") {
 				continue
 			}
 			m, err := runtime.ParseMessage(line[0])
 			if err != nil {
 				panic(err)
 			}
-			_, _ = c.Write(runtime.InForce{Run: m.Run, Number: m.Number, Checkpoint: m.Checkpoint}.Append(nil))
+			_, _ = c.Write(runtime.Confirmation{Run: m.Run, Number: m.Number, Checkpoint: m.Checkpoint}.Append(nil))
 		}
 	}
 }
