--- a/logbook/log.go
+++ b/logbook/log.go
@@ -155,7 +155,7 @@
 	if v := p[record.Value]; v != "" {
 		s += fmt.Sprintf(" (%s, limit %s)", v, p[record.Threshold])
 	}
-	if e.Run == 0 || e.Kind == record.Refusal || e.Kind == record.ControllerNote {
+	if e.Run == 0 || e.Kind == record.Refusal || e.Kind == record.ModuleNote {
 		s += " " + e.Text
 	}
 	if c := b.Confirmation(e); c != nil {
--- a/pilot/records.go
+++ b/pilot/records.go
@@ -194,7 +194,7 @@
 			attrs := []slog.Attr{slog.String(record.Node, nodeName(o.Endpoint)), slog.Bool(record.Withdrawn, o.Out)}
 			r.write(slog.LevelWarn, record.Withdrawal, o.Why.Reason, text, slices.Concat(attrs, figureAttrs(o.Why), mark)...)
 		case control.LogMessage:
-			r.write(slog.LevelInfo, record.ControllerNote, "", o.Text)
+			r.write(slog.LevelInfo, record.ModuleNote, "", o.Text)
 		}
 	}
 }
--- a/pilot/records_test.go
+++ b/pilot/records_test.go
@@ -72,7 +72,7 @@
 	out.Close()
 	closeAfter(t, got, 9)
 	m, bad, _ := got.Received()
-	want := []string{record.Restart, record.TableLine, record.TableCleared, record.TableAssigned, record.Level, record.Withdrawal, record.ControllerNote,
+	want := []string{record.Restart, record.TableLine, record.TableCleared, record.TableAssigned, record.Level, record.Withdrawal, record.ModuleNote,
 		record.Confirmation, record.Confirmation}
 	if len(m) != len(want) || len(bad) > 0 {
 		t.Fatalf("%d records, %v", len(m), bad)
--- a/record/record.go
+++ b/record/record.go
@@ -4,19 +4,19 @@
 
 // Kinds of records.
 const (
-	TableLine      = "line"       // a server was added to a table, its weight changed, or (weight 0) it was removed
-	TableCleared   = "blank"      // all lines of a table were removed
-	TableAssigned  = "bind"       // a proxy was assigned to a table
-	Level          = "level"      // the admitted share or rate of an op type changed
-	Withdrawal     = "withdrawal" // a server was withdrawn from all tables, or may be used again
-	Confirmation   = "in-force"   // how many proxies confirmed a checkpoint
-	Restart        = "restart"    // a run of the pilot began, at its start or at a restart of the decision module
-	Refusal        = "refusal"    // a proxy rejected a message, or the pilot refused a stream
-	ProxyJoined    = "joined"     // a proxy joined
-	ProxyLeft      = "left"
-	TenantMove     = "move"  // the move of a tenant began or ended
-	TenantLimit    = "limit" // the limits of a tenant changed
-	ControllerNote = "note"  // a message of the decision module
+	TableLine     = "line"       // a server was added to a table, its weight changed, or (weight 0) it was removed
+	TableCleared  = "blank"      // all lines of a table were removed
+	TableAssigned = "bind"       // a proxy was assigned to a table
+	Level         = "level"      // the admitted share or rate of an op type changed
+	Withdrawal    = "withdrawal" // a server was withdrawn from all tables, or may be used again
+	Confirmation  = "in-force"   // how many proxies confirmed a checkpoint
+	Restart       = "restart"    // a run of the pilot began, at its start or at a restart of the decision module
+	Refusal       = "refusal"    // a proxy rejected a message, or the pilot refused a stream
+	ProxyJoined   = "joined"     // a proxy joined
+	ProxyLeft     = "left"
+	TenantMove    = "move"  // the move of a tenant began or ended
+	TenantLimit   = "limit" // the limits of a tenant changed
+	ModuleNote    = "note"  // a message of the decision module
 )
 
 // The SD-ELEMENT of decisions and its parameters. Numbers are decimal; durations are in microseconds.
