--- a/pilot/moves.go
+++ b/pilot/moves.go
@@ -385,7 +385,7 @@
 		placement.Pods = nil
 	} else {
 		var err error
-		if placement, err = runtime.ParseSeat(where, placement); err != nil {
+		if placement, err = runtime.ParsePlacement(where, placement); err != nil {
 			return err
 		}
 	}
--- a/runtime/seat.go
+++ b/runtime/seat.go
@@ -12,9 +12,9 @@
 // the protocol.
 func TenantName(word string) string { return strings.TrimPrefix(word, "=") }
 
-// ParseSeat parses the words that change a tenant's placement: any of draw N, size N, pods ZONE.PACK,… and home. It returns
+// ParsePlacement parses the words that change a tenant's placement: any of draw N, size N, pods ZONE.PACK,… and home. It returns
 // the given placement with the values of these words in place of its own; home resets it to the default placement.
-func ParseSeat(words []string, seat tenancy.Placement) (tenancy.Placement, error) {
+func ParsePlacement(words []string, seat tenancy.Placement) (tenancy.Placement, error) {
 	w := &wordReader{words: words}
 	if len(words) == 0 {
 		w.fail("nothing is said of the seat: draw N, size N, pods ZONE.PACK,… or home")
