--- a/lab/tenants.go
+++ b/lab/tenants.go
@@ -368,7 +368,7 @@
 		slices.SortFunc(list, func(a, b bindingChange) int { return int(int64(a.number - b.number)) })
 		for i := 1; i < len(list); i++ {
 			if before, now := list[i-1], list[i]; before.change.Held && !now.change.Held {
-				if heldTotal += now.at - before.at; now.change.Seat.Equal(before.change.Seat) {
+				if heldTotal += now.at - before.at; now.change.Placement.Equal(before.change.Placement) {
 					result.Cancelled++
 				} else {
 					result.Moved++
--- a/pilot/moves.go
+++ b/pilot/moves.go
@@ -147,7 +147,7 @@
 	orders := s.bindings[:min(maxBindingLines, len(s.bindings))]
 	changes := make([]runtime.Change, len(orders))
 	for j, order := range orders {
-		if changes[j] = (runtime.Change{Verb: runtime.SetBinding, Tenant: order.Tenant, Number: order.Number, Seat: order.Placement,
+		if changes[j] = (runtime.Change{Verb: runtime.SetBinding, Tenant: order.Tenant, Number: order.Number, Placement: order.Placement,
 			Held: order.Held}); order.Clear {
 			changes[j] = runtime.Change{Verb: runtime.ClearBindings, Number: order.Number}
 		}
--- a/proxy/bindings.go
+++ b/proxy/bindings.go
@@ -61,7 +61,7 @@
 	for _, c := range m.Changes {
 		switch c.Verb {
 		case runtime.SetBinding:
-			setBinding(c.Tenant, c.Number, c.Seat, c.Held)
+			setBinding(c.Tenant, c.Number, c.Placement, c.Held)
 			if after.pilot != m.Pilot {
 				after.pilot, after.upTo = "", 0
 			} else {
--- a/runtime/change.go
+++ b/runtime/change.go
@@ -45,7 +45,7 @@
 	SubsetFactor float64 // factor on the number of pods in the tenant's subset; at least 1
 	Digest       uint64  // of the table that AdoptTable copies
 	Number       uint64  // sequence number of a binding, among those of its pilot
-	Seat         tenancy.Placement
+	Placement    tenancy.Placement
 	Held         bool // writes are refused, with a time after which to retry
 }
 
@@ -140,7 +140,7 @@
 func (c Change) appendSetBinding(b []byte) []byte {
 	b = appendTenant(append(b, "set binding "...), c.Tenant)
 	b = strconv.AppendUint(append(b, " number "...), c.Number, 10)
-	b = append(append(b, ' '), c.Seat.String()...)
+	b = append(append(b, ' '), c.Placement.String()...)
 	return appendOnOff(append(b, " hold "...), c.Held)
 }
 
--- a/runtime/parse_change.go
+++ b/runtime/parse_change.go
@@ -141,6 +141,6 @@
 	c.Tenant = w.tenant()
 	w.expect("number")
 	c.Number = w.uint("number", math.MaxUint64)
-	c.Seat = w.placement()
+	c.Placement = w.placement()
 	c.Held = w.onOff("hold")
 }
--- a/runtime/runtime_test.go
+++ b/runtime/runtime_test.go
@@ -105,7 +105,7 @@
 		{Verb: SetTenant, Tenant: "a b;", Rate: -1, RetriesPerOp: 0.2, MaxInFlight: -1, SubsetFactor: 1},
 		{Verb: SetTenant, Tenant: "", Rate: 0.5, Fenced: true, MaxInFlight: 2.5, SubsetFactor: 1.5},
 		{Verb: SetBinding, Tenant: "a <<", Number: 1 << 63,
-			Seat: tenancy.Placement{Draw: 3, Size: 2, Pods: []tenancy.PodID{1<<16 | 7, 9}}, Held: true},
+			Placement: tenancy.Placement{Draw: 3, Size: 2, Pods: []tenancy.PodID{1<<16 | 7, 9}}, Held: true},
 		{Verb: SetBinding, Tenant: "", Number: 1},
 		{Verb: ClearBindings, Number: 12},
 		{Verb: AdoptTable, Table: 4, Digest: 1<<63 + 5},
