--- a/pilot/host/host.go
+++ b/pilot/host/host.go
@@ -31,7 +31,7 @@
 
 // Host runs a module. Its exported settings and callbacks are set before Run.
 type Host struct {
-	Facts          control.Config
+	Config         control.Config
 	Seed           uint64
 	Log            *slog.Logger
 	SilenceTimeout time.Duration  // proxies consider the pilot dead after this; the module counts as hung after half of it
@@ -63,7 +63,7 @@
 	if config.Tick <= 0 {
 		config.Tick = 5 * time.Millisecond
 	}
-	return &Host{Facts: config, Seed: seed, Log: log, SilenceTimeout: 10 * time.Second, epoch: time.Now(),
+	return &Host{Config: config, Seed: seed, Log: log, SilenceTimeout: 10 * time.Second, epoch: time.Now(),
 		inbox: make(chan func(), 1024), stop: make(chan struct{}), stopped: make(chan struct{}),
 		NewDecider: func() Decider { return &policy.Assigner{} }}
 }
@@ -155,7 +155,7 @@
 // Enqueue adds an event to the batch that the module gets at the next tick. It must be called on the loop.
 func (h *Host) Enqueue(e control.Event) {
 	if h.events = append(h.events, e); len(h.events) == 1 && h.batchTimer != nil {
-		h.batchTimer.Reset(h.Facts.Tick)
+		h.batchTimer.Reset(h.Config.Tick)
 	}
 }
 
@@ -167,10 +167,10 @@
 func (h *Host) StartModule() {
 	h.module = h.NewDecider()
 	h.generation++
-	h.events = append([]control.Event{control.Start{Config: h.Facts, Seed: h.Seed}}, h.Callbacks.InitialEvents()...)
+	h.events = append([]control.Event{control.Start{Config: h.Config, Seed: h.Seed}}, h.Callbacks.InitialEvents()...)
 	h.Seed++
 	if h.batchTimer != nil {
-		h.batchTimer.Reset(h.Facts.Tick)
+		h.batchTimer.Reset(h.Config.Tick)
 	}
 }
 
--- a/pilot/pilot.go
+++ b/pilot/pilot.go
@@ -105,7 +105,7 @@
 		connections:    map[*connection]bool{},
 		silenceTimeout: file.SilenceTimeout.AsDuration(), resumeWithin: file.ResumeWindow.AsDuration(), probePool: &upstream.Pool{}}
 	p.host = host.New(file.ControlConfig(), seed, p.log)
-	p.host.Callbacks, p.config = p, p.host.Facts
+	p.host.Callbacks, p.config = p, p.host.Config
 	if p.silenceTimeout <= 0 {
 		p.silenceTimeout = 10 * time.Second
 	}
