--- a/files/groups_test.go
+++ b/files/groups_test.go
@@ -20,7 +20,7 @@
 		t.Errorf("without packs the unplaceable op types are %q", names)
 	}
 	if pilot := (&files.Pilot{Service: *service}); !pilot.ControlConfig().SinglePackWrites {
-		t.Error("the controller is not told that writes go to one pack")
+		t.Error("the decision module is not told that writes go to one pack")
 	}
 	service.WritePacks = map[string][]int{"a": {1}}
 	if names := service.UnplaceableOpTypes(); names != nil {
@@ -28,6 +28,6 @@
 	}
 	service.OpTypes = service.OpTypes[1:]
 	if pilot := (&files.Pilot{Service: *service}); pilot.ControlConfig().SinglePackWrites {
-		t.Error("the controller is told that writes go to one pack, but none do")
+		t.Error("the decision module is told that writes go to one pack, but none do")
 	}
 }
