--- a/proxy/admin.go
+++ b/proxy/admin.go
@@ -16,17 +16,17 @@
 // commands returns the commands of the admin socket.
 func (p *Proxy) commands() []session.Command {
 	return []session.Command{
-		{Prefix: "show tenant", Help: "[NAME]: tenants with a limit or a binding, as this proxy has them", Do: p.showTenant},
-		{Prefix: "show info", Help: "what this proxy is and has done", Do: p.showInfo},
-		{Prefix: "show info typed", Help: "the same in the typed form", Do: func(w io.Writer, _ runtime.Command) error {
+		{Prefix: "show tenant", Help: "[NAME]: tenants with a limit or a binding at this proxy", Do: p.showTenant},
+		{Prefix: "show info", Help: "identity and counters of this proxy", Do: p.showInfo},
+		{Prefix: "show info typed", Help: "the same in typed format", Do: func(w io.Writer, _ runtime.Command) error {
 			session.WriteTyped(w, p.Info())
 			return nil
 		}},
-		{Prefix: "show stat", Help: "each server of each table, as CSV", Do: p.showStat},
+		{Prefix: "show stat", Help: "servers of all tables, as CSV", Do: p.showStat},
 		{Prefix: "show servers state", Help: "servers with their weights and states", Do: p.showServers},
-		{Prefix: "show map", Help: "op types and the tables that they go by", Do: p.showMap},
-		{Prefix: "show levels", Help: "how much of each op type is let in", Do: p.showLevels},
-		{Prefix: "set server", Help: "*/eN state drain|ready: by hand, until the pilot says otherwise", Do: p.setServer},
+		{Prefix: "show map", Help: "op types and the tables that they are mapped to", Do: p.showMap},
+		{Prefix: "show levels", Help: "admitted level of each op type", Do: p.showLevels},
+		{Prefix: "set server", Help: "*/eN state drain|ready: set a server's state manually, until the pilot changes it", Do: p.setServer},
 	}
 }
 
