--- a/pilot/fleet_test.go
+++ b/pilot/fleet_test.go
@@ -17,7 +17,7 @@
 	"vetchdoor/files"
 	"vetchdoor/fleet"
 	"vetchdoor/lab/loopback"
-	stand "vetchdoor/lab/roster"
+	labroster "vetchdoor/lab/roster"
 	"vetchdoor/members"
 	"vetchdoor/proxy"
 	sessions "vetchdoor/session"
@@ -26,7 +26,7 @@
 // pilotPair is two pilots that are each other's peers, with one list service.
 type pilotPair struct {
 	t      *testing.T
-	list   *stand.Server
+	list   *labroster.Server
 	pilots [2]*Pilot
 	files  [2]*files.Pilot
 }
@@ -36,7 +36,7 @@
 	t.Helper()
 	x := &pilotPair{t: t}
 	var err error
-	if x.list, err = stand.Start("127.0.0.1:0", entries()); err != nil {
+	if x.list, err = labroster.Start("127.0.0.1:0", entries()); err != nil {
 		t.Fatal(err)
 	}
 	for i := range x.pilots { // each pilot's file names the other pilot's address, so ports are chosen first
--- a/pilot/pilot_test.go
+++ b/pilot/pilot_test.go
@@ -21,7 +21,7 @@
 	"vetchdoor/http1"
 	"vetchdoor/lab/leak"
 	"vetchdoor/lab/link"
-	stand "vetchdoor/lab/roster"
+	labroster "vetchdoor/lab/roster"
 	"vetchdoor/pilot/host"
 	"vetchdoor/proxy"
 	"vetchdoor/roster"
@@ -85,7 +85,7 @@
 	t      *testing.T
 	module *scriptedModule
 	p      *Pilot
-	list   *stand.Server
+	list   *labroster.Server
 	tap    *link.Tap
 	link   *link.Link
 }
@@ -136,7 +136,7 @@
 	t.Helper()
 	r := &rig{t: t, module: &scriptedModule{}}
 	var err error
-	if r.list, err = stand.Start("127.0.0.1:0", entries()); err != nil {
+	if r.list, err = labroster.Start("127.0.0.1:0", entries()); err != nil {
 		t.Fatal(err)
 	}
 	f := pilotFile(r.list.Address())
--- a/roster/roster_test.go
+++ b/roster/roster_test.go
@@ -23,7 +23,7 @@
 
 	"vetchdoor/control"
 	"vetchdoor/lab/link"
-	stand "vetchdoor/lab/roster"
+	labroster "vetchdoor/lab/roster"
 	"vetchdoor/roster"
 	"vetchdoor/stream"
 )
@@ -87,7 +87,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			net, dials := link.NewMemory(nil), atomic.Int64{}
 			if answers {
-				s, err := stand.StartOnNet(net, "list:80", []roster.Entry{entry(1, "ready")})
+				s, err := labroster.StartOnNet(net, "list:80", []roster.Entry{entry(1, "ready")})
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -134,7 +134,7 @@
 // TestFollow checks that a client follows changes, reconnects after an outage of the service, and gets the whole list
 // after a gap.
 func TestFollow(t *testing.T) {
-	s, err := stand.Start("127.0.0.1:0", []roster.Entry{entry(1, "ready"), entry(2, "ready")})
+	s, err := labroster.Start("127.0.0.1:0", []roster.Entry{entry(1, "ready"), entry(2, "ready")})
 	if err != nil {
 		t.Fatal(err)
 	}
