--- a/lab/bench.go
+++ b/lab/bench.go
@@ -144,7 +144,7 @@
 }
 
 // ImportBenchDay converts a day of the benchmark to a day of this package, with every shrink-th server and proxy and the
-// load scaled to match. notes list what could not be converted. It returns a *files.Fault for a file that is not a
+// load scaled to match. notes list what could not be converted. It returns a *files.ValidationError for a file that is not a
 // supported day.
 func ImportBenchDay(path string, data []byte, shrink int) (day *files.Day, notes []string, err error) {
 	var b benchDay
--- a/runtime/change.go
+++ b/runtime/change.go
@@ -21,7 +21,7 @@
 	ClearTable                    // removes all servers and levels of a table
 	SetLevel                      // sets the level and the retry policy of op types
 	SetTenant                     // sets the limit of a tenant: Rate, RetriesPerOp, Fenced, MaxInFlight, SubsetFactor
-	SetBinding                    // binds a tenant to pods: Number, Seat, Held
+	SetBinding                    // binds a tenant to pods: Number, Placement, Held
 	AdoptTable                    // makes a table a copy of the one with Digest that an op type is mapped to
 	ClearBindings                 // removes the bindings of other pilots, and this pilot's bindings up to Number
 )
