--- a/pilot/moves.go
+++ b/pilot/moves.go
@@ -147,7 +147,7 @@
 	orders := s.bindings[:min(maxBindingLines, len(s.bindings))]
 	changes := make([]runtime.Change, len(orders))
 	for j, order := range orders {
-		if changes[j] = (runtime.Change{Verb: runtime.SetBinding, Tenant: order.Tenant, Number: order.Number, Seat: order.Placement,
+		if changes[j] = (runtime.Change{Verb: runtime.SetBinding, Tenant: order.Tenant, Number: order.Number, Placement: order.Placement,
 			Held: order.Held}); order.Clear {
 			changes[j] = runtime.Change{Verb: runtime.ClearBindings, Number: order.Number}
 		}
@@ -385,7 +385,7 @@
 		placement.Pods = nil
 	} else {
 		var err error
-		if placement, err = runtime.ParseSeat(where, placement); err != nil {
+		if placement, err = runtime.ParsePlacement(where, placement); err != nil {
 			return err
 		}
 	}
